--- a/src/main/java/dev/dunefront/claim/Account.java
+++ b/src/main/java/dev/dunefront/claim/Account.java
@@ -11,7 +11,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What users, operators and the other controllers are told of jobs: counts, and what waits. */
+/**
+ * Task counts and waiting demand of jobs, as reported to users, operators and the other
+ * controllers.
+ */
 public final class Account {
   private final ControllerContext context;
   private final Map<String, Claim> claims;
@@ -19,10 +22,12 @@
   private final Zones zones;
   private final Room room;
 
-  /** Task counts of jobs that others have claimed, as they tell. */
+  /** Latest task counts received for jobs that other controllers have claimed. */
   private final Map<String, Counts> elsewhere = new HashMap<>();
 
-  /** The claims are those of this controller, by job, as they are at any time. */
+  /**
+   * @param claims live view of this controller's claims, by job id
+   */
   Account(
       ControllerContext context, Map<String, Claim> claims, Quotas quotas, Zones zones, Room room) {
     this.context = context;
@@ -32,25 +37,25 @@
     this.room = room;
   }
 
-  /** What another controller has told of a job no longer counts: it is claimed here, or over. */
+  /** Discards the counts received for a job that is now claimed here or has ended. */
   void forget(String id) {
     elsewhere.remove(id);
   }
 
-  /** Another controller tells of the jobs that it has claimed. */
+  /** Stores the counts that another controller sent for its claimed jobs. */
   void told(Message.Progress progress) {
-    for (Message.Count n : progress.counts()) {
-      if (!claims.containsKey(n.job()) && context.jobs().get(n.job()) != null) {
-        elsewhere.put(n.job(), new Counts(n.done(), n.running(), n.placed()));
+    for (Message.Count count : progress.counts()) {
+      if (!claims.containsKey(count.job()) && context.jobs().get(count.job()) != null) {
+        elsewhere.put(count.job(), new Counts(count.done(), count.running(), count.placed()));
       }
     }
   }
 
-  /** Tasks of an open job that are neither done nor placed, as its claimant has told last. */
+  /** Tasks of an open job that are neither done nor placed, by the latest counts known here. */
   int unstarted(JobSpec spec) {
-    Claim c = claims.get(spec.id());
-    if (c != null) {
-      return c.unstarted();
+    Claim claim = claims.get(spec.id());
+    if (claim != null) {
+      return claim.unstarted();
     }
     Counts counts = counts(spec.id());
     return Math.max(0, spec.tasks() - counts.done() - counts.placed());
@@ -60,60 +65,63 @@
   public record Counts(int done, int running, int placed) {}
 
   public Counts counts(String id) {
-    Claim c = claims.get(id);
-    return c == null
+    Claim claim = claims.get(id);
+    return claim == null
         ? elsewhere.getOrDefault(id, new Counts(0, 0, 0))
-        : new Counts(c.done, running(c), c.live.size());
+        : new Counts(claim.done, running(claim), claim.live.size());
   }
 
-  private static int running(Claim c) {
+  private static int running(Claim claim) {
     int running = 0;
-    for (Claim.Live l : c.live.values()) {
-      if (l.state == Message.State.RUNNING || l.state == Message.State.SAVING) {
+    for (Claim.Live attempt : claim.live.values()) {
+      if (attempt.state == Message.State.RUNNING || attempt.state == Message.State.SAVING) {
         running++;
       }
     }
     return running;
   }
 
-  /** What has changed in the counts of claimed jobs since this was last asked. */
+  /** Counts of the claimed jobs that have changed since the previous call. */
   public Message.Progress progress() {
     List<Message.Count> changed = new ArrayList<>();
-    for (Claim c : claims.values()) {
-      int running = running(c);
-      int placed = c.live.size();
-      if (c.done != c.toldDone || running != c.toldRunning || placed != c.toldPlaced) {
-        c.toldDone = c.done;
-        c.toldRunning = running;
-        c.toldPlaced = placed;
-        changed.add(new Message.Count(c.id(), c.done, running, placed));
+    for (Claim claim : claims.values()) {
+      int running = running(claim);
+      int placed = claim.live.size();
+      if (claim.done != claim.toldDone
+          || running != claim.toldRunning
+          || placed != claim.toldPlaced) {
+        claim.toldDone = claim.done;
+        claim.toldRunning = running;
+        claim.toldPlaced = placed;
+        changed.add(new Message.Count(claim.id(), claim.done, running, placed));
       }
     }
     return new Message.Progress(changed);
   }
 
-  /** A class of jobs of one team. */
+  /** The jobs of one class and team. */
   public record Group(String jobClass, String team) {}
 
-  /** By group the age in seconds of its oldest open job of which nothing has ever been placed. */
+  /** For each group, the age in seconds of its oldest open job with no task placed or done. */
   public Map<Group, Integer> unbegunS() {
     long now = context.timers().timeOfDayMs();
     Map<Group, Integer> oldest = new HashMap<>();
-    for (JobTable.Entry e : context.jobs().all()) {
-      JobSpec spec = e.record().spec();
-      if (e.record().status() == Status.OPEN && unstarted(spec) == spec.tasks()) {
-        int ageS = (int) (Math.max(0, now - e.record().acceptedMs()) / 1000);
+    for (JobTable.Entry entry : context.jobs().all()) {
+      JobSpec spec = entry.record().spec();
+      if (entry.record().status() == Status.OPEN && unstarted(spec) == spec.tasks()) {
+        int ageS = (int) (Math.max(0, now - entry.record().acceptedMs()) / 1000);
         oldest.merge(new Group(spec.jobClass(), spec.team()), ageS, Math::max);
       }
     }
     return oldest;
   }
 
-  /** The greatest of these; 0 if there is none. */
+  /** The maximum over all groups of {@link #oldestUnstartedAgesS}; 0 if there is none. */
   public int oldestUnbegunS() {
     return unbegunS().values().stream().mapToInt(Integer::intValue).max().orElse(0);
   }
 
+  /** Number of jobs claimed by this controller. */
   public int claimed() {
     return claims.size();
   }
@@ -123,49 +131,53 @@
     return claims.values().stream().mapToInt(Claim::unstarted).sum();
   }
 
-  /** What waits for room here. */
+  /**
+   * The demand of this controller's claims for capacity, and the machines without a usable view.
+   */
   public Message.Demand demand() {
     List<Message.Waiting> waiting = new ArrayList<>();
     Map<Queue.Shape, Integer> heads = new HashMap<>();
     Map<Queue.Shape, Integer> behind = new HashMap<>();
     double now = context.now();
-    for (Claim c : claims.values()) {
-      int n = c.unstarted();
-      Quotas.Quota q = quotas.of(c.spec.team());
-      if (q != null) {
-        n = Math.min(n, c.allowed(q));
+    for (Claim claim : claims.values()) {
+      int tasks = claim.unstarted();
+      Quotas.Quota quota = quotas.of(claim.spec.team());
+      if (quota != null) {
+        tasks = Math.min(tasks, claim.allowed(quota));
       }
-      if (n > 0 && !c.suspect() && now >= c.notBefore) {
-        Map<String, Integer> left = zones.left(c, context.catalog().zones());
-        if (c.queued && left.isEmpty()) {
-          // In the place of the one at the head of the line, whoever that is.
-          behind.merge(c.shape, n, Integer::sum);
+      if (tasks > 0 && !claim.suspect() && now >= claim.notBefore) {
+        Map<String, Integer> remainingByZone = zones.left(claim, context.catalog().zones());
+        if (claim.queued && remainingByZone.isEmpty()) {
+          // Added below to the first equivalent job that is listed.
+          behind.merge(claim.shape, tasks, Integer::sum);
         } else {
-          waiting.add(new Message.Waiting(c.id(), n, left));
-          heads.putIfAbsent(c.shape, waiting.size() - 1);
+          waiting.add(new Message.Waiting(claim.id(), tasks, remainingByZone));
+          heads.putIfAbsent(claim.shape, waiting.size() - 1);
         }
       }
     }
     behind.forEach(
-        (shape, n) -> {
+        (shape, tasks) -> {
           Integer head = heads.get(shape);
           if (head != null) {
-            Message.Waiting w = waiting.get(head);
-            waiting.set(head, new Message.Waiting(w.job(), w.tasks() + n, w.zones()));
+            Message.Waiting first = waiting.get(head);
+            waiting.set(
+                head, new Message.Waiting(first.job(), first.tasks() + tasks, first.zones()));
           }
         });
-    Set<String> unheard = new HashSet<>();
-    for (Claim c : claims.values()) {
-      Set<String> hosts = new HashSet<>(c.hosts());
-      hosts.addAll(c.strays.hosts());
+    Set<String> hostsWithoutView = new HashSet<>();
+    for (Claim claim : claims.values()) {
+      Set<String> hosts = new HashSet<>(claim.hosts());
+      hosts.addAll(claim.strays.hosts());
       for (String host : hosts) {
-        Room.Seen seen = room.get(host);
-        // A holder that has never had a report under its token cannot prove anything by its clock.
-        if (seen == null || !seen.view().settled() && !seen.view().lost()) {
-          unheard.add(host);
+        Room.Seen machine = room.get(host);
+        // Until its worker has reported under the holder's token, the holder cannot prove by its
+        // own clock that a lease has expired.
+        if (machine == null || !machine.view().settled() && !machine.view().lost()) {
+          hostsWithoutView.add(host);
         }
       }
     }
-    return new Message.Demand(waiting, List.copyOf(unheard));
+    return new Message.Demand(waiting, List.copyOf(hostsWithoutView));
   }
 }
--- a/src/main/java/dev/dunefront/claim/AttemptEnds.java
+++ b/src/main/java/dev/dunefront/claim/AttemptEnds.java
@@ -9,18 +9,19 @@
 import java.lang.System.Logger.Level;
 
 /**
- * Ends placed attempts, each by a proof, and tells what ends and failures say of machines and jobs.
+ * Ends placed attempts, each on the basis of a proof, and applies the consequences: machines to
+ * avoid, faults to report, retry backoff and learned run times.
  */
 final class AttemptEnds {
   private static final System.Logger LOG = System.getLogger(AttemptEnds.class.getName());
 
-  /** A machine that has refused a task is not asked again for so long, in seconds. */
+  /** How long a job avoids a machine that refused one of its tasks. */
   private static final double REFUSED_S = 3;
 
-  /** One on which a task has failed is not asked again for so long, in seconds. */
+  /** How long a job avoids a machine on which one of its tasks failed. */
   private static final double FAILED_S = 60;
 
-  /** The longest pause between tries of a job that fails everywhere, in seconds. */
+  /** Maximum delay between retries of a job whose tasks fail on every machine. */
   private static final double LONGEST_PAUSE_S = 60;
 
   private static final int MOST_DOUBLINGS = 6;
@@ -49,88 +50,100 @@
     };
   }
 
-  /** The only way in which a placed attempt ends; it is recorded with the claim's next write. */
-  void end(Claim c, int number, Live l, EndProof proof) {
-    if (!proof.concerns(l.placement.asAttempt())) {
+  /**
+   * Ends a placed attempt. This is the only place where that happens; the end is recorded with the
+   * claim's next transaction.
+   */
+  void end(Claim claim, int number, Live attempt, EndProof proof) {
+    if (!proof.concerns(attempt.placement.asAttempt())) {
       context
           .safety()
           .violated(
               Invariant.PROOF_OF_ANOTHER_SESSION,
-              c.id() + "/" + number + ", " + l.placement + ", by " + proof);
+              claim.id() + "/" + number + ", " + attempt.placement + ", by " + proof);
       return;
     }
     End end = endOf(proof);
-    l.ending = true;
+    attempt.ending = true;
     context.safety().ended(proof);
     LOG.log(
         Level.DEBUG,
-        "{0}/{1} is over on {2}: {3}, attempt {4} of session {5} by {6}",
-        c.id(),
+        "task {0}/{1} ended on {2}: {3}, attempt {4}, session {5}, proof {6}",
+        claim.id(),
         number,
-        l.placement.host(),
+        attempt.placement.host(),
         end,
-        l.placement.attempt(),
-        l.placement.session(),
+        attempt.placement.attempt(),
+        attempt.placement.session(),
         proof);
-    c.ends.add(new Ended(number, l.placement, end, proof));
+    claim.ends.add(new Ended(number, attempt.placement, end, proof));
     double now = context.now();
-    String host = l.placement.host();
+    String host = attempt.placement.host();
     if (end == End.DONE) {
-      ran(c, now);
-      turnover.ended(host, c.size, now);
-      if (l.runningSince > 0) {
-        urgencies.ran(c.spec, now - l.runningSince);
+      ran(claim, now);
+      turnover.ended(host, claim.size, now);
+      if (attempt.runningSince > 0) {
+        urgencies.ran(claim.spec, now - attempt.runningSince);
       }
     }
     if (end == End.FAILED) {
-      failed(c, number, host, now);
+      failed(claim, number, host, now);
     } else if (end == End.REFUSED) {
-      c.avoid.put(host, now + REFUSED_S);
+      claim.avoid.put(host, now + REFUSED_S);
     }
   }
 
-  private void blame(Claim c, String host, int weight) {
-    Room.Seen s = room.get(host);
-    if (s != null) {
-      context.peers().send(s.holder(), new Message.Blame(host, c.id(), weight));
+  /**
+   * Reports failures of a job's tasks to the machine's holder.
+   *
+   * @param weight one of the constants of {@link Message.Blame}
+   */
+  private void blame(Claim claim, String host, int weight) {
+    Room.Seen machine = room.get(host);
+    if (machine != null) {
+      context.peers().send(machine.holder(), new Message.Blame(host, claim.id(), weight));
     }
   }
 
   /**
-   * A task of a job has been done: what failed of it before speaks against the machines that it
-   * failed on, and it need not wait for its next try any longer.
+   * Handles the first completed task of a job: its earlier failures now count against the machines
+   * that they happened on, and the retry backoff ends.
    */
-  private void ran(Claim c, double now) {
-    if (c.runs()) {
+  private void ran(Claim claim, double now) {
+    if (claim.runs()) {
       return;
     }
-    c.ran = true;
-    if (!c.failedOn.isEmpty()) {
-      c.notBefore = Math.min(c.notBefore, now);
-      c.failedOn.keySet().forEach(h -> blame(c, h, Message.Blame.PROVEN));
+    claim.ran = true;
+    if (!claim.failedOn.isEmpty()) {
+      claim.notBefore = Math.min(claim.notBefore, now);
+      claim.failedOn.keySet().forEach(failedHost -> blame(claim, failedHost, Message.Blame.PROVEN));
     }
   }
 
-  private void failed(Claim c, int number, String host, double now) {
-    c.failures++;
-    Double before = c.failedOn.putIfAbsent(host, now);
-    boolean first = before == null;
-    c.avoid.put(host, now + FAILED_S);
-    if (first && c.runs()) {
-      blame(c, host, Message.Blame.PROVEN);
-    } else if (first && !c.suspect()) {
-      blame(c, host, Message.Blame.UNPROVEN);
-    } else if (!c.suspect() && now - before >= FAILED_S) {
-      // Tried again on the one machine that there is: that says as much as once among others.
-      blame(c, host, Message.Blame.PROVEN);
-    } else if (first) {
-      c.failedOn.keySet().forEach(h -> blame(c, h, Message.Blame.WITHDRAWN));
+  private void failed(Claim claim, int number, String host, double now) {
+    claim.failures++;
+    Double firstFailedAt = claim.failedOn.putIfAbsent(host, now);
+    boolean firstOnHost = firstFailedAt == null;
+    claim.avoid.put(host, now + FAILED_S);
+    if (firstOnHost && claim.runs()) {
+      blame(claim, host, Message.Blame.PROVEN);
+    } else if (firstOnHost && !claim.suspect()) {
+      blame(claim, host, Message.Blame.UNPROVEN);
+    } else if (!claim.suspect() && now - firstFailedAt >= FAILED_S) {
+      // A repeated failure on the only machine tried so far counts like one failure among several
+      // machines.
+      blame(claim, host, Message.Blame.PROVEN);
+    } else if (firstOnHost) {
+      claim
+          .failedOn
+          .keySet()
+          .forEach(failedHost -> blame(claim, failedHost, Message.Blame.WITHDRAWN));
     }
-    if (c.suspect()) {
-      // Fails everywhere: it is tried again ever more rarely, one task at a time.
-      c.notBefore =
-          now + Math.min(LONGEST_PAUSE_S, Math.pow(2, Math.min(MOST_DOUBLINGS, c.failures)));
+    if (claim.suspect()) {
+      // Tasks fail on every machine: retries one task at a time with exponential backoff.
+      claim.notBefore =
+          now + Math.min(LONGEST_PAUSE_S, Math.pow(2, Math.min(MOST_DOUBLINGS, claim.failures)));
     }
-    LOG.log(Level.INFO, "{0}/{1} failed on {2}", c.id(), number, host);
+    LOG.log(Level.INFO, "task {0}/{1} failed on {2}", claim.id(), number, host);
   }
 }
--- a/src/main/java/dev/dunefront/claim/Begin.java
+++ b/src/main/java/dev/dunefront/claim/Begin.java
@@ -1,15 +1,15 @@
 package dev.dunefront.claim;
 
 /**
- * Sees to it that every job begins in time, however large its tasks are, whatever its priority and
- * however much else waits. The order by priority and rank is the ordinary path; a job of which
- * nothing was ever placed leaves it as it ages, with its first task alone: for a quarter of the
- * bound it waits like any other, then it ranks ahead within its priority, and from half of the
- * bound on room is gathered for it across all priorities. Of these each controller has one at a
- * time, so what they take from others is bounded by a task for each controller.
+ * Ensures that every job starts in time, regardless of its task size, its priority and the other
+ * queued work. Jobs are normally served by priority and rank. A job of which no task was ever
+ * placed is escalated as it ages, and only for its first task: from a quarter of the bound on it
+ * ranks first within its priority, and from half of the bound on capacity is collected for it
+ * across all priorities. Each controller escalates one job at a time across priorities, so the
+ * capacity taken from other jobs is at most one task per controller.
  */
 final class Begin {
-  /** Where a job stands. */
+  /** The escalation stage of a job. */
   enum Standing {
     ORDINARY,
     AHEAD,
@@ -19,18 +19,18 @@
   private static final double AHEAD_FROM = 0.25;
   private static final double FIRST_FROM = 0.5;
 
-  /** One that cannot be placed makes way for another after so long, in seconds. */
+  /** After this time an escalated job that cannot be placed is replaced by another one. */
   private static final double TURN_S = 30;
 
   private Claim first;
   private double since;
 
   /**
-   * Where a job stands by its age.
+   * The stage that a job's age calls for.
    *
-   * @param begun whether anything of it was ever placed
+   * @param begun whether a task of the job was ever placed
    * @param ageS its age in seconds
-   * @param boundS within how many seconds jobs are to begin
+   * @param boundS time within which jobs must start, in seconds
    */
   static Standing of(boolean begun, double ageS, double boundS) {
     if (begun || ageS < boundS * AHEAD_FROM) {
@@ -39,24 +39,28 @@
     return ageS < boundS * FIRST_FROM ? Standing.AHEAD : Standing.FIRST;
   }
 
-  /** Where the job stands now, beside the other jobs of this controller. */
-  Standing standing(Claim c, double ageS, double boundS, double now) {
-    Standing by = of(begun(c), ageS, boundS);
-    if (first == c && by != Standing.FIRST) {
+  /**
+   * Updates and returns the stage of a job. At most one job of this controller is in {@link
+   * Stage#ACROSS_PRIORITIES}; others that are due for it stay in {@link Stage#WITHIN_PRIORITY}.
+   */
+  Standing standing(Claim claim, double ageS, double boundS, double now) {
+    Standing stage = of(begun(claim), ageS, boundS);
+    if (first == claim && stage != Standing.FIRST) {
       first = null;
     }
-    if (by != Standing.FIRST) {
-      return by;
+    if (stage != Standing.FIRST) {
+      return stage;
     }
-    if (first != c && (first == null || first.dropped || begun(first) || now - since > TURN_S)) {
-      first = c;
+    if (first != claim
+        && (first == null || first.dropped || begun(first) || now - since > TURN_S)) {
+      first = claim;
       since = now;
     }
-    return first == c ? Standing.FIRST : Standing.AHEAD;
+    return first == claim ? Standing.FIRST : Standing.AHEAD;
   }
 
-  /** Whether anything of the job was ever placed, or never will be. */
-  static boolean begun(Claim c) {
-    return !c.busy.isEmpty() || !c.open();
+  /** Whether a task of the job is placed or done, or the job is no longer open. */
+  static boolean begun(Claim claim) {
+    return !claim.busy.isEmpty() || !claim.open();
   }
 }
--- a/src/main/java/dev/dunefront/claim/Choosing.java
+++ b/src/main/java/dev/dunefront/claim/Choosing.java
@@ -11,50 +11,56 @@
 import java.util.Map;
 import java.util.function.IntPredicate;
 
-/** What machines are to a job: whether it may park there, and what a start there costs. */
+/** Selects the machines at which a job may queue wants, and rates the cost of a start there. */
 final class Choosing {
-  /** What besides its boot passes until a machine of the cheapest type takes replicas. */
+  /** Time in addition to its boot until a machine of the cheapest type accepts replicas. */
   private static final double HOME_S = 10;
 
-  /** How much of its fetch a task counts that is in no hurry. */
+  /** Weight of the image fetch time in the cost for tasks that are not urgent. */
   private static final double PATIENT = 0.25;
 
-  /** What taking room beside another job's image costs, in seconds of an earlier start. */
+  /** Cost of each image of another job on the machine, in seconds of start delay. */
   private static final double CROWD_S = 0.5;
 
-  /** What using a machine many times too large costs, in seconds of an earlier start. */
+  /** Cost of a machine that is many times too large, in seconds of start delay. */
   private static final double OVERSIZE_S = 3;
 
   /**
-   * What a wholly free machine costs an urgent task against a nearly full one, in seconds of an
-   * earlier start: full machines stay anyway, and empty ones can be returned.
+   * Cost of an empty machine relative to a nearly full one for a service replica, in seconds of
+   * start delay: full machines are kept anyway, and empty ones can be returned.
    */
   private static final double SPREAD_OUT_S = 0.2;
 
   /**
-   * What an ordinary machine costs a task that may run on a spot machine, in seconds of an earlier
-   * start, where there is work that may not: what stays empty can be returned.
+   * Cost of an on-demand machine for a task that may run on a spot machine, in seconds of start
+   * delay, while there is urgent work that may not: on-demand machines that stay empty can be
+   * returned.
    */
   private static final double ORDINARY_S = 10;
 
-  /** Fetches that take up to this many times as long as the quickest are as good as it. */
+  /** Fetch times up to this multiple of the fastest count as equally fast. */
   private static final double QUICK = 1.25;
 
   private static final int HERE = 0;
   private static final int FULL = 1;
 
-  /** Machines that are better left to others, or to a later time. */
+  /** Machines that should be left to other jobs or used only later. */
   private static final int LAST = 2;
 
-  /** A machine on which a job could park; the lower the tier, the sooner it is chosen. */
+  /**
+   * A machine at which a job could queue wants. Natural order: lower tier, then lower cost first.
+   *
+   * @param ever number of the job's tasks that fit on the empty machine
+   * @param fits number of the job's tasks that fit into the free capacity
+   */
   record Choice(Room.Seen seen, int ever, int fits, int tier, double costS, int mix)
       implements Comparable<Choice> {
-    /** There is room now. */
+    /** Whether a task fits now. */
     boolean here() {
       return tier == HERE;
     }
 
-    /** There is none now, but some will be. */
+    /** Whether no task fits now, but could later. */
     boolean full() {
       return tier == FULL;
     }
@@ -81,14 +87,21 @@
     this.turnover = turnover;
   }
 
-  /** What a kind of machine is to a job; worked out once for each job and kind. */
+  /**
+   * How a kind of machine suits a job; computed once per job and kind.
+   *
+   * @param ever number of the job's tasks that fit on the empty machine
+   * @param large whether the machine is oversized and should be left to larger tasks
+   * @param fetchS time to fetch the job's image, in seconds
+   * @param dearS time for which the job waits for a cheaper type first, in seconds
+   */
   record Fit(int ever, boolean large, double fetchS, double dearS) {}
 
-  private Fit fit(Claim c, Room.Kind kind) {
-    while (c.fits.size() <= kind.index()) {
-      c.fits.add(null);
+  private Fit fit(Claim claim, Room.Kind kind) {
+    while (claim.fits.size() <= kind.index()) {
+      claim.fits.add(null);
     }
-    Fit known = c.fits.get(kind.index());
+    Fit known = claim.fits.get(kind.index());
     if (known != null) {
       return known;
     }
@@ -96,133 +109,144 @@
     if (type == null) {
       return new Fit(0, false, 0, 0);
     }
-    JobSpec spec = c.spec;
-    int ever = spec.allows(kind.type(), kind.zone(), kind.spot()) ? c.size.timesIn(type.size()) : 0;
-    double fetch =
+    JobSpec spec = claim.spec;
+    int emptySlots =
+        spec.allows(kind.type(), kind.zone(), kind.spot()) ? claim.size.timesIn(type.size()) : 0;
+    double fetchS =
         spec.image() == null || type.fetchGbPerS() <= 0 ? 0 : spec.imageGb() / type.fetchGbPerS();
-    boolean large = ever >= Catalog.OVERSIZE && context.catalog().leavesLarge(spec);
-    // A replica stays where it starts, so it waits for the type on which it costs least for as long
-    // as such a machine takes to come.
-    boolean dear = !large && context.catalog().dear(spec, type);
-    double comes = dear ? context.catalog().home(spec).bootS() + HOME_S : 0;
-    Fit fit = new Fit(ever, large, fetch, comes);
-    c.fits.set(kind.index(), fit);
+    boolean oversized = emptySlots >= Catalog.OVERSIZE && context.catalog().leavesLarge(spec);
+    // A replica stays where it starts, so it waits for the cheapest type as long as renting such a
+    // machine takes.
+    boolean waitsForCheaper = !oversized && context.catalog().dear(spec, type);
+    double cheaperTypeWaitS = waitsForCheaper ? context.catalog().home(spec).bootS() + HOME_S : 0;
+    Fit fit = new Fit(emptySlots, oversized, fetchS, cheaperTypeWaitS);
+    claim.fits.set(kind.index(), fit);
     return fit;
   }
 
-  /** Whether a machine of a kind, by its index, could ever take a task of the job. */
-  IntPredicate fits(Claim c) {
-    return index -> index < room.kinds().size() && fit(c, room.kinds().get(index)).ever > 0;
+  /** Matches the indexes of the machine kinds that fit a task of the job when empty. */
+  IntPredicate fits(Claim claim) {
+    return index -> index < room.kinds().size() && fit(claim, room.kinds().get(index)).ever > 0;
   }
 
-  /** The machine as the job sees it, or null if it cannot park there. */
-  Choice choice(Claim c, Room.Seen s, double now) {
-    Fit fit = fit(c, s.kind());
-    View v = s.view();
+  /** Rates a machine for a job; null if the job cannot queue wants there. */
+  Choice choice(Claim claim, Room.Seen machine, double now) {
+    Fit fit = fit(claim, machine.kind());
+    View view = machine.view();
     if (fit.ever == 0
-        || !v.open()
-        || now - c.unservedSince < fit.dearS
-        || keptForUrgent(c.spec, v)
-        || !c.avoid.isEmpty() && c.avoid.getOrDefault(v.host(), 0.0) > now
-        || (c.spec.oneZone() || c.spec.spread()) && !zones.allowed(c, v.host(), List.of())) {
+        || !view.open()
+        || now - claim.unservedSince < fit.dearS
+        || keptForUrgent(claim.spec, view)
+        || !claim.avoid.isEmpty() && claim.avoid.getOrDefault(view.host(), 0.0) > now
+        || (claim.spec.oneZone() || claim.spec.spread())
+            && !zones.allowed(claim, view.host(), List.of())) {
       return null;
     }
-    int fits = s.roomy() ? c.size.timesIn(v.free()) : 0;
-    boolean urgent = c.spec.priority().urgent();
-    // Large machines are left to tasks that fit nowhere else, as long as others may turn up.
-    boolean spare =
+    int freeSlots = machine.roomy() ? claim.size.timesIn(view.free()) : 0;
+    boolean urgent = claim.spec.priority().urgent();
+    // Oversized machines are left to tasks that fit nowhere else, as long as smaller machines may
+    // still become available.
+    boolean leaveToLarger =
         fit.large
             && !urgent
-            && now - c.unservedSince
+            && now - claim.unservedSince
                 < context.tunables().gatherTicks() * context.tunables().tickS();
-    boolean slow = fit.fetchS > c.slowFetchS && !warm(c, v);
-    int tier = slow ? LAST : fits == 0 ? FULL : spare ? LAST : HERE;
-    return new Choice(s, fit.ever, fits, tier, costS(c, s, fit), s.mix() ^ c.mix);
+    boolean slowFetch = fit.fetchS > claim.slowFetchS && !warm(claim, view);
+    int tier = slowFetch ? LAST : freeSlots == 0 ? FULL : leaveToLarger ? LAST : HERE;
+    return new Choice(
+        machine, fit.ever, freeSlots, tier, costS(claim, machine, fit), machine.mix() ^ claim.mix);
   }
 
   /**
-   * Whether the machine's room is kept for urgent tasks that may run on ordinary machines alone:
-   * some run there, so it has their images, and the job may run elsewhere.
+   * Whether the machine's capacity is reserved for urgent tasks that may run on on-demand machines
+   * only: such tasks run there already, so their images are present, and this job can run
+   * elsewhere.
    */
-  private boolean keptForUrgent(JobSpec spec, View v) {
+  private boolean keptForUrgent(JobSpec spec, View view) {
     return spec.spot()
-        && !v.spot()
+        && !view.spot()
         && !spec.priority().urgent()
-        && v.runsUrgent()
-        && context.catalog().urgentHome(v.type());
+        && view.runsUrgent()
+        && context.catalog().urgentHome(view.type());
   }
 
-  private static boolean warm(Claim c, View v) {
-    return c.spec.image() == null || v.images().contains(c.spec.image());
+  private static boolean warm(Claim claim, View view) {
+    return claim.spec.image() == null || view.images().contains(claim.spec.image());
   }
 
-  /** The quickest fetch of the job's image on any kind of machine that fits. */
-  double quickFetchS(Claim c) {
-    double quick = Double.POSITIVE_INFINITY;
-    for (Room.Kind k : room.kinds()) {
-      Fit fit = fit(c, k);
-      quick = Math.min(quick, fit.ever > 0 ? fit.fetchS : quick);
+  /** The shortest fetch time of the job's image over all fitting kinds; 0 if there is none. */
+  double quickFetchS(Claim claim) {
+    double fastest = Double.POSITIVE_INFINITY;
+    for (Room.Kind kind : room.kinds()) {
+      Fit fit = fit(claim, kind);
+      fastest = Math.min(fastest, fit.ever > 0 ? fit.fetchS : fastest);
     }
-    return quick == Double.POSITIVE_INFINITY ? 0 : quick;
+    return fastest == Double.POSITIVE_INFINITY ? 0 : fastest;
   }
 
   /**
-   * A fetch that takes longer than this is too slow for an urgent job: room on machines that fetch
-   * quickly becomes free so soon that its tasks start there earlier, though they wait for it.
+   * The longest acceptable image fetch of an urgent job: capacity on machines with a faster fetch
+   * becomes free so soon that its tasks start earlier there, including the wait. Infinite if there
+   * is no such limit.
    */
-  double slowFetchS(Claim c) {
-    Priority priority = c.spec.priority();
+  double slowFetchS(Claim claim) {
+    Priority priority = claim.spec.priority();
     if (!priority.urgent()) {
       return Double.POSITIVE_INFINITY;
     }
-    double quick = quickFetchS(c);
-    double slow = 0;
-    for (Room.Kind k : room.kinds()) {
-      Fit fit = fit(c, k);
-      slow = Math.max(slow, fit.ever > 0 ? fit.fetchS : 0);
+    double fastest = quickFetchS(claim);
+    double slowest = 0;
+    for (Room.Kind kind : room.kinds()) {
+      Fit fit = fit(claim, kind);
+      slowest = Math.max(slowest, fit.ever > 0 ? fit.fetchS : 0);
     }
-    if (slow <= quick * QUICK) {
+    if (slowest <= fastest * QUICK) {
       return Double.POSITIVE_INFINITY;
     }
-    double most = quick * QUICK;
-    IntPredicate fits = fits(c);
-    double slots =
-        turnover.slotsPerS(c.size, k -> fits.test(k) && fit(c, room.kinds().get(k)).fetchS <= most);
-    return slots <= 0
+    double limitS = fastest * QUICK;
+    IntPredicate fitting = fits(claim);
+    double slotsPerS =
+        turnover.slotsPerS(
+            claim.size,
+            index -> fitting.test(index) && fit(claim, room.kinds().get(index)).fetchS <= limitS);
+    return slotsPerS <= 0
         ? Double.POSITIVE_INFINITY
-        : Math.max(most, quick + turnover.waiting(priority) / slots);
+        : Math.max(limitS, fastest + turnover.waiting(priority) / slotsPerS);
   }
 
-  /** What a start there costs, in seconds. */
-  private double costS(Claim c, Room.Seen s, Fit fit) {
-    List<String> images = s.view().images();
-    boolean warm = warm(c, s.view());
-    double fetch = warm ? 0 : fit.fetchS;
-    int others = images.size() - (warm && c.spec.image() != null ? 1 : 0);
-    // A task in no hurry leaves the machines that have others' images to those others.
-    double cost = c.spec.priority().urgent() ? fetch : fetch * PATIENT + others * CROWD_S;
-    if (c.spec.service()) {
-      cost += SPREAD_OUT_S * c.size.timesIn(s.view().free()) / Math.max(1, fit.ever);
+  /** The cost of a start on a machine, in seconds. */
+  private double costS(Claim claim, Room.Seen machine, Fit fit) {
+    List<String> images = machine.view().images();
+    boolean hasImage = warm(claim, machine.view());
+    double fetchS = hasImage ? 0 : fit.fetchS;
+    int otherImages = images.size() - (hasImage && claim.spec.image() != null ? 1 : 0);
+    // Tasks that are not urgent leave machines with the images of other jobs to those jobs.
+    double costS =
+        claim.spec.priority().urgent() ? fetchS : fetchS * PATIENT + otherImages * CROWD_S;
+    if (claim.spec.service()) {
+      costS += SPREAD_OUT_S * claim.size.timesIn(machine.view().free()) / Math.max(1, fit.ever);
     }
-    if (c.spec.spot() && !s.view().spot() && !c.spec.priority().urgent()) {
-      cost += context.catalog().ordinaryNeeded() ? ORDINARY_S : 0;
+    if (claim.spec.spot() && !machine.view().spot() && !claim.spec.priority().urgent()) {
+      costS += context.catalog().ordinaryNeeded() ? ORDINARY_S : 0;
     }
-    return cost + (fit.large ? OVERSIZE_S : 0);
+    return costS + (fit.large ? OVERSIZE_S : 0);
   }
 
-  /** Puts the best of several offers first. */
-  void sortOffers(Claim c) {
-    if (c.offers.size() < 2) {
+  /** Sorts the claim's offers by cost, cheapest first. */
+  void sortOffers(Claim claim) {
+    if (claim.offers.size() < 2) {
       return;
     }
     Map<String, Double> costs = new HashMap<>();
-    for (Claim.Held h : c.offers) {
-      String host = h.offer().host();
+    for (Claim.Held received : claim.offers) {
+      String host = received.offer().host();
       if (!costs.containsKey(host)) {
-        Room.Seen s = room.get(host);
-        costs.put(host, s == null ? Double.MAX_VALUE : costS(c, s, fit(c, s.kind())));
+        Room.Seen machine = room.get(host);
+        costs.put(
+            host,
+            machine == null ? Double.MAX_VALUE : costS(claim, machine, fit(claim, machine.kind())));
       }
     }
-    c.offers.sort(Comparator.comparingDouble(h -> costs.get(h.offer().host())));
+    claim.offers.sort(Comparator.comparingDouble(received -> costs.get(received.offer().host())));
   }
 }
--- a/src/main/java/dev/dunefront/claim/Chunk.java
+++ b/src/main/java/dev/dunefront/claim/Chunk.java
@@ -13,21 +13,24 @@
 import java.util.Set;
 
 /**
- * What is recorded of a run of consecutive tasks of one job: which are done, which are placed
- * where, and how many attempts the others have had. A key of its own keeps any job, however large,
- * within the state service's limits.
+ * The recorded state of a range of consecutive tasks of one job: which are done, where the placed
+ * ones are, and how many attempts the others have had. Each chunk has its own key, so that jobs of
+ * any size stay within the state service's limits.
  */
 final class Chunk {
   /**
-   * Tasks in a chunk. A placement takes some 12 bytes and a machine's name some 15, so the value
-   * mostly stays below 16 KiB even if every task is on a machine of its own.
+   * Tasks per chunk. A placement takes about 12 bytes and a machine name about 15, so the value
+   * usually stays below 16 KiB even if every task is on a different machine.
    */
   static final int TASKS = 512;
 
-  /** The most that a placement's numbers take as text, and a run's, and all that is around them. */
+  /** Maximum encoded size of the numbers of one placement. */
   private static final int PLACEMENT_BYTES = 16;
 
+  /** Maximum encoded size of one range of done tasks. */
   private static final int RUN_BYTES = 8;
+
+  /** Maximum encoded size of the field names and delimiters. */
   private static final int FRAME_BYTES = 200;
 
   static String prefix(String job) {
@@ -38,18 +41,19 @@
     return prefix(job) + index;
   }
 
+  /** Where and in which worker session an attempt of a task is placed. */
   record Placement(long attempt, String host, long session) {
-    /** The attempt, for whoever looks for a proof that it is over. */
+    /** The attempt in the form that {@link EndProof} checks. */
     EndProof.Attempt asAttempt() {
       return new EndProof.Attempt(attempt, host, session);
     }
 
     @Override
     public boolean equals(Object o) {
-      return o instanceof Placement p
-          && attempt == p.attempt
-          && session == p.session
-          && host.equals(p.host);
+      return o instanceof Placement placement
+          && attempt == placement.attempt
+          && session == placement.session
+          && host.equals(placement.host);
     }
 
     @Override
@@ -61,107 +65,112 @@
   final long stamp;
   final BitSet done = new BitSet();
   final Map<Integer, Placement> placed = new HashMap<>();
+
+  /** Number of the latest attempt of each task, by task number within the chunk. */
   final Map<Integer, Long> tries = new HashMap<>();
 
   Chunk(long stamp) {
     this.stamp = stamp;
   }
 
-  /** A copy to be changed; only when it is written does it take the original's place. */
+  /** A mutable copy; it replaces the original only after it has been written. */
   Chunk copy(long newStamp) {
-    Chunk c = new Chunk(newStamp);
-    c.done.or(done);
-    c.placed.putAll(placed);
-    c.tries.putAll(tries);
-    return c;
+    Chunk chunk = new Chunk(newStamp);
+    chunk.done.or(done);
+    chunk.placed.putAll(placed);
+    chunk.tries.putAll(tries);
+    return chunk;
   }
 
-  /** About how large the value is as text; the state service limits that. */
+  /** Upper estimate of the encoded size, which the state service limits. */
   int bytes() {
-    int runs = 0;
+    int ranges = 0;
     for (int from = done.nextSetBit(0);
         from >= 0;
         from = done.nextSetBit(done.nextClearBit(from))) {
-      runs++;
+      ranges++;
     }
     Set<String> hosts = new HashSet<>();
-    int names = 0;
-    for (Placement p : placed.values()) {
-      names += hosts.add(p.host) ? p.host.length() + 3 : 0;
+    int nameBytes = 0;
+    for (Placement placement : placed.values()) {
+      nameBytes += hosts.add(placement.host) ? placement.host.length() + 3 : 0;
     }
     return FRAME_BYTES
-        + names
-        + RUN_BYTES * runs
+        + nameBytes
+        + RUN_BYTES * ranges
         + PLACEMENT_BYTES * Math.max(placed.size(), tries.size());
   }
 
-  /** How much another placement may add. */
+  /** Maximum number of bytes that a placement on this machine adds. */
   static int bytesFor(String host) {
     return PLACEMENT_BYTES + host.length() + 3;
   }
 
-  static Chunk read(Doc d, long stamp) throws BadMessage {
-    Chunk c = new Chunk(stamp);
-    List<Long> done = d.counts("done");
+  static Chunk read(Doc doc, long stamp) throws BadMessage {
+    Chunk chunk = new Chunk(stamp);
+    List<Long> done = doc.counts("done");
     for (int i = 0; i + 1 < done.size(); i += 2) {
       int from = done.get(i).intValue();
-      c.done.set(from, from + done.get(i + 1).intValue());
+      chunk.done.set(from, from + done.get(i + 1).intValue());
     }
-    List<String> hosts = d.texts("hosts");
-    List<Long> placed = d.counts("placed");
+    List<String> hosts = doc.texts("hosts");
+    List<Long> placed = doc.counts("placed");
     for (int i = 0; i + 3 < placed.size(); i += 4) {
       int host = placed.get(i + 2).intValue();
       if (host < 0 || host >= hosts.size()) {
-        throw new BadMessage("a placement on a machine that is not listed");
+        throw new BadMessage("placement refers to a host index that is not listed");
       }
-      int n = placed.get(i).intValue();
+      int offset = placed.get(i).intValue();
       Placement placement = new Placement(placed.get(i + 1), hosts.get(host), placed.get(i + 3));
-      c.placed.put(n, placement);
-      c.tries.put(n, placement.attempt);
+      chunk.placed.put(offset, placement);
+      chunk.tries.put(offset, placement.attempt);
     }
-    List<Long> tries = d.counts("tries");
+    List<Long> tries = doc.counts("tries");
     for (int i = 0; i + 1 < tries.size(); i += 2) {
-      c.tries.put(tries.get(i).intValue(), tries.get(i + 1));
+      chunk.tries.put(tries.get(i).intValue(), tries.get(i + 1));
     }
-    return c;
+    return chunk;
   }
 
-  /** Done tasks as runs (first, length); placements as (task, attempt, index of host, session). */
+  /**
+   * Encodes done tasks as ranges (first, length) and placements as (task, attempt, host index,
+   * session).
+   */
   Doc write(String mark) {
-    List<Object> runs = new ArrayList<>();
+    List<Object> ranges = new ArrayList<>();
     for (int from = done.nextSetBit(0); from >= 0; ) {
       int to = done.nextClearBit(from);
-      runs.add((long) from);
-      runs.add((long) (to - from));
+      ranges.add((long) from);
+      ranges.add((long) (to - from));
       from = done.nextSetBit(to);
     }
     List<Object> hosts = new ArrayList<>();
     Map<String, Integer> index = new HashMap<>();
     List<Object> placements = new ArrayList<>();
     placed.forEach(
-        (n, p) -> {
-          Integer host = index.get(p.host);
+        (offset, placement) -> {
+          Integer host = index.get(placement.host);
           if (host == null) {
             host = hosts.size();
-            index.put(p.host, host);
-            hosts.add(p.host);
+            index.put(placement.host, host);
+            hosts.add(placement.host);
           }
-          placements.add((long) n);
-          placements.add(p.attempt);
+          placements.add((long) offset);
+          placements.add(placement.attempt);
           placements.add((long) host);
-          placements.add(p.session);
+          placements.add(placement.session);
         });
     List<Object> attempts = new ArrayList<>();
     tries.forEach(
-        (n, a) -> {
-          if (!placed.containsKey(n) && !done.get(n)) {
-            attempts.add((long) n);
-            attempts.add(a);
+        (offset, attempt) -> {
+          if (!placed.containsKey(offset) && !done.get(offset)) {
+            attempts.add((long) offset);
+            attempts.add(attempt);
           }
         });
     return Doc.of()
         .put(Store.MARK, mark)
-        .put("done", runs)
+        .put("done", ranges)
         .put("hosts", hosts)
         .put("placed", placements)
         .put("tries", attempts);
--- a/src/main/java/dev/dunefront/claim/Claim.java
+++ b/src/main/java/dev/dunefront/claim/Claim.java
@@ -15,12 +15,12 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** A job that this controller has claimed. */
+/** The in-memory state of a job that this controller has claimed. */
 final class Claim {
-  /** An offer that waits to be taken or declined. */
+  /** An offer that has not been accepted or declined yet. */
   record Held(String holder, Message.Offer offer, double at) {}
 
-  /** Why an attempt is over. */
+  /** How an attempt ended. */
   enum End {
     DONE,
     STOPPED,
@@ -29,20 +29,20 @@
     GONE
   }
 
-  /** An end to be recorded, with its proof. */
+  /** The end of an attempt that is still to be recorded, with its proof. */
   record Ended(int number, Placement placement, End end, EndProof proof) {
-    /** Whether the proof rests on the record of who holds the machine. */
+    /** Whether the proof is valid only while the machine's hold record is unchanged. */
     boolean conditional() {
       return proof.conditional();
     }
 
-    /** The version of that record on which it rests. */
+    /** The version of the hold record that the proof depends on. */
     long holdStamp() {
       return proof.basis().holdStamp();
     }
   }
 
-  /** What is known of a placed task beyond its record. */
+  /** A placed attempt with the runtime state that is not part of its record. */
   static final class Live {
     final Placement placement;
     Message.State state = Message.State.PENDING;
@@ -51,7 +51,7 @@
     double stoppedAt;
     boolean ending;
 
-    /** The holder's last word showed this attempt. */
+    /** Whether the latest view of the machine included this attempt. */
     boolean shown;
 
     Live(Placement placement) {
@@ -69,66 +69,71 @@
   boolean dropped;
 
   /**
-   * Its record says that the job is to end, and this claim has yet to read that: the state service
-   * may refuse this controller alone. Until then nothing of it is placed or started.
+   * The job's record says that it is to end, but this claim has not read that version yet: the
+   * state service may be refusing only this controller's requests. No task of the job is placed or
+   * started meanwhile.
    */
   boolean halted;
 
   final TreeMap<Integer, Chunk> chunks = new TreeMap<>();
 
-  /** Tasks that are done or placed. */
+  /** Numbers of the tasks that are done or placed. */
   final BitSet busy = new BitSet();
 
   int done;
   final Map<Integer, Live> live = new HashMap<>();
 
-  /** The same by machine, for what a holder says concerns one machine. */
+  /** The live attempts by machine, because each view covers one machine. */
   private final Map<String, Map<Integer, Live>> liveOn = new HashMap<>();
 
   final List<Held> offers = new ArrayList<>();
   final List<Ended> ends = new ArrayList<>();
 
-  /** Attempts that are shown and not recorded. */
+  /** Attempts that appear in views but are not recorded. */
   final Strays strays = new Strays();
 
-  /** Machines whose last view has not been compared with what is recorded now. */
+  /** Machines whose latest view has not been compared with the current records. */
   final Set<String> unread = new HashSet<>();
 
-  /** Wants parked, by machine. */
+  /** Number of wants queued, by machine. */
   final Map<String, Integer> parked = new HashMap<>();
 
+  /** Until when each machine is not considered, after it refused or failed a task. */
   final Map<String, Double> avoid = new HashMap<>();
 
-  /** On which machines its tasks have failed, and since when. */
+  /** When a task of the job first failed on each machine. */
   final Map<String, Double> failedOn = new HashMap<>();
 
-  /** What each kind of machine is to this job, by the kind's index. */
+  /** How well each kind of machine suits this job, by index of the kind. */
   final List<Choosing.Fit> fits = new ArrayList<>();
 
-  /** Spreads jobs over machines that are equally good. */
+  /** Spreads jobs over machines of equal cost. */
   final int mix;
 
-  /** Starts in the transaction under way. */
+  /** Number of starts in the transaction in flight. */
   int starting;
 
-  /** For how many tasks wants were last parked, and when all machines are looked at again. */
+  /** Number of tasks that wants were queued for in the last scan of all machines. */
   int parkedFor;
 
+  /** When all machines are scanned again. */
   double lookAgain;
+
   double lookPause = WantPlacement.LOOK_AGAIN_S;
 
-  /** The openings of room that have been looked at, and when. */
+  /** Value of {@link MachineTable#capacityIncreases} at the last scan for freed capacity. */
   long openings;
 
+  /** When freed capacity was last scanned for. */
   double openingsAt;
 
-  /** When what waits to be recorded is written at the latest. */
+  /** Latest time at which pending changes are written; infinite if no flush is scheduled. */
   double flushDue = Double.POSITIVE_INFINITY;
 
-  /** Since when it has been granted more of its team's limit than it is to have. */
+  /** Since when more of the team's limit is granted than the job should keep; infinite if not. */
   double unusedSince = Double.POSITIVE_INFINITY;
 
-  /** Counts last told to the other controllers. */
+  /** Task counts last published to the other controllers. */
   int toldDone;
 
   int toldRunning;
@@ -136,12 +141,13 @@
   int reach;
   int rank = Urgencies.IN_TIME;
 
-  /** Under which its wants are parked; that of the job, or a greater one until it has begun. */
+  /** Priority of the queued wants: the job's own, or a higher one while its start is overdue. */
   int priority;
 
-  /** What it has in common with jobs like it, and whether it waits behind such. */
+  /** Jobs of the same class are interchangeable when they search for capacity. */
   final Queue.Shape shape;
 
+  /** Whether the job does not search because enough equivalent jobs before it do. */
   boolean queued;
 
   Begin.Standing standing = Begin.Standing.ORDINARY;
@@ -149,17 +155,17 @@
   double unservedSince;
   double notBefore;
 
-  /** A longer fetch is too slow, for other machines become free before. */
+  /** Image fetches longer than this lose to waiting for a machine with a faster fetch. */
   double slowFetchS = Double.POSITIVE_INFINITY;
 
   double preemptedAt = Double.NEGATIVE_INFINITY;
   int preempted;
   int failures;
 
-  /** That it has not begun in time has been said. */
+  /** Whether the log already has a line that the job's start is overdue. */
   boolean saidLate;
 
-  /** A task has been done, as far as this claim has seen; perhaps not recorded yet. */
+  /** Whether this claim has seen a task complete; that may not be recorded yet. */
   boolean ran;
 
   Claim(JobRecord record, long stamp, int reach, double now) {
@@ -183,7 +189,7 @@
     return record.status() == JobRecord.Status.OPEN;
   }
 
-  /** Whether tasks of it may be placed and started. */
+  /** Whether tasks of the job may be placed and started. */
   boolean starts() {
     return open() && !halted;
   }
@@ -202,7 +208,10 @@
     return spec.tasks() - busy.cardinality() - blocked;
   }
 
-  /** The first task from this number on that may be placed; there may be none so high. */
+  /**
+   * The first task at or after this number that may be placed. The result may exceed the job's last
+   * task number.
+   */
   int nextUnplaced(int from) {
     int number = busy.nextClearBit(from);
     while (!strays.isEmpty() && strays.blocks(number)) {
@@ -211,22 +220,23 @@
     return number;
   }
 
-  /** How many tasks more the team's limit lets start: what is granted already, and what is left. */
+  /** How many more tasks the team's limit allows: unused grants plus the remaining quota. */
   int allowed(Quotas.Quota quota) {
     long granted = Math.max(0, record.granted() - live.size() - starting);
     return (int) Math.min(Integer.MAX_VALUE, granted + quota.room(size));
   }
 
-  /** A job whose tasks fail wherever they run, as far as has been seen. */
+  /** Whether tasks have failed on at least two machines and none has ever completed. */
   boolean suspect() {
     return failedOn.size() >= 2 && !runs();
   }
 
-  /** Whether a task of it has ever been done, recorded or about to be. */
+  /** Whether any task has completed, recorded or about to be. */
   boolean runs() {
     return ran || done > 0;
   }
 
+  /** Replaces a chunk and brings the derived task and attempt state up to date. */
   void install(int index, Chunk chunk) {
     Chunk old = chunks.put(index, chunk);
     int base = index * Chunk.TASKS;
@@ -234,17 +244,17 @@
     busy.clear(base, base + Chunk.TASKS);
     chunk.done.stream().forEach(n -> busy.set(base + n));
     for (int n = base; n < base + Chunk.TASKS && n < spec.tasks(); n++) {
-      Placement p = chunk.placed.get(n - base);
+      Placement placement = chunk.placed.get(n - base);
       Live known = live.get(n);
-      if (p == null) {
+      if (placement == null) {
         forgetLive(n);
       } else {
         busy.set(n);
-        if (known == null || !known.placement.equals(p)) {
+        if (known == null || !known.placement.equals(placement)) {
           forgetLive(n);
-          Live l = new Live(p);
-          live.put(n, l);
-          liveOn.computeIfAbsent(p.host(), h -> new HashMap<>()).put(n, l);
+          Live attempt = new Live(placement);
+          live.put(n, attempt);
+          liveOn.computeIfAbsent(placement.host(), host -> new HashMap<>()).put(n, attempt);
         }
       }
     }
@@ -255,19 +265,19 @@
     if (old != null) {
       liveOn.computeIfPresent(
           old.placement.host(),
-          (h, on) -> {
-            on.remove(number);
-            return on.isEmpty() ? null : on;
+          (host, attempts) -> {
+            attempts.remove(number);
+            return attempts.isEmpty() ? null : attempts;
           });
     }
   }
 
-  /** The placed tasks on a machine. */
+  /** The live attempts on a machine, by task number. */
   Map<Integer, Live> liveOn(String host) {
     return liveOn.getOrDefault(host, Map.of());
   }
 
-  /** The machines with placed tasks. */
+  /** The machines with live attempts. */
   Set<String> hosts() {
     return liveOn.keySet();
   }
--- a/src/main/java/dev/dunefront/claim/ClaimLoader.java
+++ b/src/main/java/dev/dunefront/claim/ClaimLoader.java
@@ -5,10 +5,11 @@
 import dev.dunefront.wire.BadMessage;
 
 /**
- * Reads what is recorded of a claimed job: its record, and which of its tasks are placed or done.
+ * Loads the recorded state of a claimed job: the job record and the chunks that list placed and
+ * done tasks.
  */
 final class ClaimLoader {
-  /** A read that had no answer is tried again after so long, in seconds. */
+  /** Delay before a failed read is retried. */
   private static final double RETRY_S = 0.3;
 
   private final ControllerContext context;
@@ -21,66 +22,68 @@
     this.reconciliation = reconciliation;
   }
 
-  /** Reads which tasks are placed and done. */
-  void load(Claim c) {
-    c.loading = true;
+  /** Reads the job's chunks, which list the placed and done tasks. */
+  void load(Claim claim) {
+    claim.loading = true;
     context
         .store()
         .range(
-            Chunk.prefix(c.id()),
+            Chunk.prefix(claim.id()),
             Store.Urgency.CORE,
             range -> {
-              if (c.dropped) {
+              if (claim.dropped) {
                 return;
               }
               if (range.outcome() != Outcome.OK) {
-                context.later(RETRY_S, () -> load(c));
+                context.later(RETRY_S, () -> load(claim));
                 return;
               }
-              c.forgetChunks();
-              for (Store.Pair p : range.pairs()) {
+              claim.forgetChunks();
+              for (Store.Pair pair : range.pairs()) {
                 try {
-                  int index = Integer.parseInt(p.key().substring(Chunk.prefix(c.id()).length()));
-                  c.install(index, Chunk.read(p.value(), p.stamp()));
+                  int index =
+                      Integer.parseInt(pair.key().substring(Chunk.prefix(claim.id()).length()));
+                  claim.install(index, Chunk.read(pair.value(), pair.stamp()));
                 } catch (BadMessage | NumberFormatException e) {
-                  throw new IllegalStateException("chunk " + p.key() + " cannot be read", e);
+                  throw new IllegalStateException("chunk " + pair.key() + " cannot be read", e);
                 }
               }
-              c.loading = false;
+              claim.loading = false;
               double now = context.now();
-              // Holders that have yet to learn who claims the job now show it in a moment.
-              c.live.values().forEach(l -> l.probedAt = now);
-              c.unread.addAll(c.hosts());
-              reconciliation.readAgain(c);
-              claims.review(c);
+              // Holders that do not know the new claim owner yet will report the attempts shortly,
+              // so the first probes are delayed.
+              claim.live.values().forEach(attempt -> attempt.probedAt = now);
+              claim.unread.addAll(claim.hosts());
+              reconciliation.readAgain(claim);
+              claims.review(claim);
             });
   }
 
-  /** Reads the job's record anew, and with it whether the claim still stands. */
-  void reload(Claim c) {
-    c.loading = true;
+  /** Reads the job's record again and releases the claim if it is no longer valid. */
+  void reload(Claim claim) {
+    claim.loading = true;
     context
         .jobs()
         .read(
-            c.id(),
+            claim.id(),
             Store.Urgency.CORE,
             found -> {
-              if (c.dropped) {
+              if (claim.dropped) {
                 return;
               }
               if (found.outcome() == Outcome.OK && found.entry() != null) {
                 String self = context.membership().self();
                 if (self == null || !self.equals(found.entry().record().claim())) {
-                  claims.drop(c);
+                  claims.drop(claim);
                   return;
                 }
-                c.record = found.entry().record();
-                c.stamp = found.entry().stamp();
-                load(c);
+                claim.record = found.entry().record();
+                claim.stamp = found.entry().stamp();
+                load(claim);
               } else if (found.outcome() == Outcome.OK || found.outcome() == Outcome.MISSING) {
-                claims.drop(c);
+                claims.drop(claim);
               } else {
-                context.later(RETRY_S, () -> reload(c));
+                context.later(RETRY_S, () -> reload(claim));
               }
             });
   }
--- a/src/main/java/dev/dunefront/claim/ClaimShare.java
+++ b/src/main/java/dev/dunefront/claim/ClaimShare.java
@@ -6,7 +6,9 @@
 import dev.dunefront.wire.MachineType;
 import java.util.Collection;
 
-/** How much a controller claims: its part of the room that fits, and a little ahead. */
+/**
+ * Limits how much work a controller claims: its share of the fitting capacity plus some headroom.
+ */
 final class ClaimShare {
   private final ControllerContext context;
   private final Room room;
@@ -17,25 +19,25 @@
   }
 
   /**
-   * Whether a job may be claimed beside what is claimed already. Unstarted work is measured as a
-   * part of all the room that fits it, for jobs differ in size: were tasks counted alone, a few
-   * dozen small ones would keep a large one unclaimed that waits for other machines.
+   * Whether a job may be claimed in addition to the present claims. Unstarted work is measured as a
+   * fraction of the capacity that fits it, because task sizes differ: if tasks were merely counted,
+   * a few dozen small ones would keep a large one unclaimed that needs different machines.
    */
   boolean admits(JobSpec spec, Collection<Claim> claims) {
     if (context.membership().self() == null) {
       return false;
     }
-    boolean any = false;
+    boolean anyUnstarted = false;
     double load = 0;
-    for (Claim c : claims) {
-      int unstarted = c.unstarted();
-      any |= unstarted > 0;
-      // A job waits only behind work that would be dealt before it anyway.
-      if (unstarted > 0 && c.spec.priority().compareTo(spec.priority()) <= 0) {
-        load += (double) unstarted / Math.max(1, fittingRoom(c.spec));
+    for (Claim claim : claims) {
+      int unstarted = claim.unstarted();
+      anyUnstarted |= unstarted > 0;
+      // Only work of the same or a higher priority counts, as it is served first anyway.
+      if (unstarted > 0 && claim.spec.priority().compareTo(spec.priority()) <= 0) {
+        load += (double) unstarted / Math.max(1, fittingRoom(claim.spec));
       }
     }
-    if (!any) {
+    if (!anyUnstarted) {
       return true;
     }
     long fitting = fittingRoom(spec);
@@ -45,27 +47,27 @@
   }
 
   /**
-   * Whether a job that has just come may be claimed at once: jobs of its priority that came before
-   * it and wait unclaimed for room go first.
+   * Whether a newly submitted job may be claimed immediately: not while open jobs of the same or a
+   * higher priority are unclaimed, as these go first.
    */
   boolean admitsAtOnce(JobSpec spec, Collection<Claim> claims) {
-    for (JobTable.Entry e : context.jobs().all()) {
-      if (e.record().claim() == null
-          && e.record().status() == Status.OPEN
-          && e.record().spec().priority().compareTo(spec.priority()) <= 0) {
+    for (JobTable.Entry entry : context.jobs().all()) {
+      if (entry.record().claim() == null
+          && entry.record().status() == Status.OPEN
+          && entry.record().spec().priority().compareTo(spec.priority()) <= 0) {
         return false;
       }
     }
     return admits(spec, claims);
   }
 
-  /** How many tasks of the job the machines could hold if they were empty. */
+  /** How many tasks of the job would fit on all known machines if they were empty. */
   private long fittingRoom(JobSpec spec) {
     long fitting = 0;
-    for (Room.Kind k : room.kinds()) {
-      MachineType t = context.catalog().type(k.type());
-      if (t != null && spec.allows(k.type(), k.zone(), k.spot())) {
-        fitting += (long) room.count(k) * spec.size().timesIn(t.size());
+    for (Room.Kind kind : room.kinds()) {
+      MachineType type = context.catalog().type(kind.type());
+      if (type != null && spec.allows(kind.type(), kind.zone(), kind.spot())) {
+        fitting += (long) room.count(kind) * spec.size().timesIn(type.size());
       }
     }
     return fitting;
--- a/src/main/java/dev/dunefront/claim/Claims.java
+++ b/src/main/java/dev/dunefront/claim/Claims.java
@@ -18,9 +18,9 @@
 import java.util.Set;
 
 /**
- * The jobs that this controller has claimed: claims them and gives them up, and hands what happens
- * to {@link WantPlacement}, which asks for room, {@link Recorder}, which writes what is placed and
- * what has ended, and {@link Reconciliation}, which finds out how attempts ended.
+ * The jobs that this controller has claimed. Adopts and releases claims, and dispatches events to
+ * {@link WantPlacement}, which queues wants for capacity, {@link ClaimWriter}, which records
+ * placements and ends, and {@link Reconciliation}, which determines how attempts ended.
  */
 public final class Claims {
   private static final System.Logger LOG = System.getLogger(Claims.class.getName());
@@ -44,7 +44,7 @@
   private final ClaimShare share;
   private final Account account;
 
-  /** Jobs whose size has been learned from. */
+  /** Ids of the jobs that the ranking and the arrival rate already include. */
   private final Set<String> sized = new HashSet<>();
 
   private boolean reviewing;
@@ -74,7 +74,7 @@
     return room;
   }
 
-  /** What this controller asks the others to tell of their machines. */
+  /** How much detail this controller requests about machines held by other controllers. */
   public RoomInterest interest() {
     return interest;
   }
@@ -83,27 +83,27 @@
     return urgencies;
   }
 
-  /** What there is to tell of jobs. */
+  /** Task counts and unmet demand of jobs. */
   public Account account() {
     return account;
   }
 
   // ---- claiming ----
 
-  /** Whether a job may be claimed beside what is claimed already. */
+  /** Whether a job may be claimed in addition to the present claims. */
   boolean admits(JobSpec spec) {
     return share.admits(spec, claims.values());
   }
 
-  /** Whether a job that has just come may be claimed at once. */
+  /** Whether a newly submitted job may be claimed immediately. */
   public boolean admitsAtOnce(JobSpec spec) {
     return share.admitsAtOnce(spec, claims.values());
   }
 
-  /** Whether a claimed job like these has yet to begin. */
+  /** Whether a claimed job of this equivalence class has not started yet. */
   boolean waitsAlike(Queue.Shape shape) {
-    for (Claim c : claims.values()) {
-      if (c.shape.equals(shape) && !Begin.begun(c)) {
+    for (Claim claim : claims.values()) {
+      if (claim.shape.equals(shape) && !Begin.begun(claim)) {
         return true;
       }
     }
@@ -116,77 +116,84 @@
   }
 
   /**
-   * Takes charge of a job whose record names this incarnation already. It goes by the record as the
+   * Starts to manage a job whose record already names this incarnation. Uses the record as the
    * replica shows it, not as it was written: another controller may have cancelled the job before
-   * the answer to the write was here. By what was written the claim would wait for ever for a
-   * change that has been, and the cancellation never end.
+   * the response to the write arrived. With the written version the claim would wait forever for a
+   * change that has already been applied, and the cancellation would never complete.
    *
-   * @param fresh nothing of it can have been placed yet
+   * @param fresh whether no task of the job can have been placed yet
    */
   public void adopt(String id, boolean fresh) {
-    JobTable.Entry e = context.jobs().get(id);
-    if (claims.containsKey(id) || e == null || !e.record().heldBy(context.membership().self())) {
+    JobTable.Entry entry = context.jobs().get(id);
+    if (claims.containsKey(id)
+        || entry == null
+        || !entry.record().heldBy(context.membership().self())) {
       return;
     }
-    Claim c = new Claim(e.record(), e.stamp(), context.tunables().reach(), context.now());
-    c.halted = context.jobs().over(id);
-    claims.put(c.id(), c);
-    reconciliation.began(c);
-    takeover.adopted(c.id());
-    account.forget(c.id());
+    Claim claim =
+        new Claim(entry.record(), entry.stamp(), context.tunables().reach(), context.now());
+    claim.halted = context.jobs().over(id);
+    claims.put(claim.id(), claim);
+    reconciliation.began(claim);
+    takeover.adopted(claim.id());
+    account.forget(claim.id());
     if (fresh) {
-      review(c);
+      review(claim);
     } else {
-      loader.load(c);
+      loader.load(claim);
     }
   }
 
-  /** Reads the job's record anew, and with it whether the claim still stands. */
-  void reload(Claim c) {
-    loader.reload(c);
+  /** Reads the job's record again and releases the claim if it is no longer valid. */
+  void reload(Claim claim) {
+    loader.reload(claim);
   }
 
-  /** Gives a claim up: another controller has the job, or it is over. */
-  void drop(Claim c) {
-    c.dropped = true;
-    reconciliation.ended(c);
-    wantPlacement.withdraw(c);
-    recorder.declineAll(c);
-    claims.remove(c.id(), c);
+  /** Releases a claim because another controller has claimed the job or the job has ended. */
+  void drop(Claim claim) {
+    claim.dropped = true;
+    reconciliation.ended(claim);
+    wantPlacement.withdraw(claim);
+    recorder.declineAll(claim);
+    claims.remove(claim.id(), claim);
   }
 
-  /** Another controller has recorded that the job is to end. */
+  /** Handles the notice that another controller has recorded the job's cancellation. */
   public void cancelled(String id) {
-    Claim c = claims.get(id);
-    if (c != null && c.starts()) {
-      c.halted = true;
-      wantPlacement.withdraw(c);
-      recorder.declineAll(c);
+    Claim claim = claims.get(id);
+    if (claim != null && claim.starts()) {
+      claim.halted = true;
+      wantPlacement.withdraw(claim);
+      recorder.declineAll(claim);
     }
   }
 
-  /** The job's end is written. */
-  void finished(Claim c, Status last, long revision) {
-    c.dropped = true;
-    reconciliation.ended(c);
-    claims.remove(c.id(), c);
-    wantPlacement.withdraw(c);
-    recorder.declineAll(c);
-    LOG.log(Level.INFO, "{0} is {1}", c.id(), last);
-    context.jobs().finished(c.id(), last, revision);
-    // Users ask anywhere; told so, nobody need read it.
-    context.peers().broadcast(new Message.Ended(c.id(), last == Status.DONE));
+  /** Releases the claim of a job whose final state has been recorded. */
+  void finished(Claim claim, Status status, long revision) {
+    claim.dropped = true;
+    reconciliation.ended(claim);
+    claims.remove(claim.id(), claim);
+    wantPlacement.withdraw(claim);
+    recorder.declineAll(claim);
+    LOG.log(Level.INFO, "job {0} finished with status {1}", claim.id(), status);
+    context.jobs().finished(claim.id(), status, revision);
+    // Users may query any controller; the broadcast saves the others a read of the record.
+    context.peers().broadcast(new Message.Ended(claim.id(), status == Status.DONE));
   }
 
-  /** Forgets all claims, for this controller has become another incarnation. */
+  /** Releases all claims because this controller has become a new incarnation. */
   public void reborn() {
-    for (Claim c : List.copyOf(claims.values())) {
-      drop(c);
+    for (Claim claim : List.copyOf(claims.values())) {
+      drop(claim);
     }
     takeover.reborn();
   }
 
-  /** A live record has changed; null means that it is gone. */
+  /**
+   * Handles a change of the record of an unfinished job.
+   *
+   * @param entry the new record; null if it has been removed
+   */
   public void jobChanged(String id, JobTable.Entry before, JobTable.Entry entry) {
     takeover.jobChanged(before, entry);
     if (entry == null) {
@@ -196,73 +203,73 @@
       urgencies.seen(entry.record().spec());
       idle.came(entry.record());
     }
-    Claim c = claims.get(id);
-    if (c == null || entry != null && entry.stamp() <= c.stamp) {
+    Claim claim = claims.get(id);
+    if (claim == null || entry != null && entry.stamp() <= claim.stamp) {
       return;
     }
     if (entry == null || !entry.record().heldBy(context.membership().self())) {
-      drop(c);
+      drop(claim);
       return;
     }
-    c.record = entry.record();
-    c.stamp = entry.stamp();
-    if (!c.open()) {
-      wantPlacement.withdraw(c);
-      recorder.declineAll(c);
+    claim.record = entry.record();
+    claim.stamp = entry.stamp();
+    if (!claim.open()) {
+      wantPlacement.withdraw(claim);
+      recorder.declineAll(claim);
     }
-    review(c);
+    review(claim);
   }
 
   // ---- messages ----
 
   public void received(String from, Message message) {
-    if (message instanceof View v) {
-      Room.Seen old = room.put(from, v, context.now());
-      if (old != null && (!old.holder().equals(from) || old.view().token() != v.token())) {
-        unpark(v.host());
+    if (message instanceof View view) {
+      Room.Seen old = room.put(from, view, context.now());
+      if (old != null && (!old.holder().equals(from) || old.view().token() != view.token())) {
+        unpark(view.host());
       }
-      reconciliation.heard(room.get(v.host()), claims);
+      reconciliation.heard(room.get(view.host()), claims);
       reviewSoon();
-    } else if (message instanceof Message.Unheld u) {
-      if (room.remove(from, u.host())) {
-        unpark(u.host());
+    } else if (message instanceof Message.Unheld unheld) {
+      if (room.remove(from, unheld.host())) {
+        unpark(unheld.host());
         reviewSoon();
       }
-    } else if (message instanceof Message.Offer o) {
-      offered(from, o);
-    } else if (message instanceof Message.Absent a) {
-      Claim c = claims.get(a.job());
-      Live l = c == null ? null : c.live.get(a.number());
-      if (l != null
-          && !l.ending
-          && l.placement.attempt() == a.attempt()
-          && l.placement.host().equals(a.host())) {
-        reconciliation.denied(from, a, c, l);
+    } else if (message instanceof Message.Offer offer) {
+      offered(from, offer);
+    } else if (message instanceof Message.Absent absent) {
+      Claim claim = claims.get(absent.job());
+      Live attempt = claim == null ? null : claim.live.get(absent.number());
+      if (attempt != null
+          && !attempt.ending
+          && attempt.placement.attempt() == absent.attempt()
+          && attempt.placement.host().equals(absent.host())) {
+        reconciliation.denied(from, absent, claim, attempt);
       }
-    } else if (message instanceof Message.Progress p) {
-      account.told(p);
+    } else if (message instanceof Message.Progress progress) {
+      account.told(progress);
     }
   }
 
-  private void offered(String from, Message.Offer o) {
-    Claim c = claims.get(o.job());
-    if (c != null) {
-      c.parked.computeIfPresent(o.host(), (h, n) -> n > 1 ? n - 1 : null);
+  private void offered(String from, Message.Offer offer) {
+    Claim claim = claims.get(offer.job());
+    if (claim != null) {
+      claim.parked.computeIfPresent(offer.host(), (host, n) -> n > 1 ? n - 1 : null);
     }
-    // While the state cannot be written an offer would only keep room from others.
-    if (c == null
-        || c.loading
-        || !c.starts()
+    // While the state service is unavailable, a kept offer would only block capacity for others.
+    if (claim == null
+        || claim.loading
+        || !claim.starts()
         || context.store().down()
         || !context.standstill().current()) {
-      context.peers().send(from, new Message.Decline(o.offer(), o.host()));
+      context.peers().send(from, new Message.Decline(offer.offer(), offer.host()));
     } else {
-      c.offers.add(new Held(from, o, context.now()));
-      recorder.chooseSoon(c);
+      claim.offers.add(new Held(from, offer, context.now()));
+      recorder.chooseSoon(claim);
     }
   }
 
-  /** A controller's link here is gone: what it told of its machines no longer holds. */
+  /** Discards the views received from a controller whose connection is lost. */
   public void gone(String node) {
     for (String host : room.removeAll(node)) {
       unpark(host);
@@ -270,36 +277,36 @@
     reviewSoon();
   }
 
-  /** A controller can be reached again: all wants are parked anew with it. */
+  /** Queues all wants again at the machines of a controller that is reachable again. */
   public void reached(String node) {
     interest.reached(node);
-    for (Room.Seen s : room.all()) {
-      if (s.holder().equals(node)) {
-        unpark(s.view().host());
+    for (Room.Seen machine : room.all()) {
+      if (machine.holder().equals(node)) {
+        unpark(machine.view().host());
       }
     }
     reviewSoon();
   }
 
-  /** The hold record of a machine has changed; only its confirmed end matters here. */
+  /** Handles a change of a machine's hold record; only its confirmed deletion matters here. */
   public void holdChanged(String host) {
     Holds.Hold hold = context.holds().get(host);
     if (hold != null && hold.dead()) {
-      for (Claim c : List.copyOf(claims.values())) {
-        reconciliation.endAllOn(c, host);
+      for (Claim claim : List.copyOf(claims.values())) {
+        reconciliation.endAllOn(claim, host);
       }
     }
   }
 
   private void unpark(String host) {
-    for (Claim c : claims.values()) {
-      wantPlacement.lostBook(c, host);
+    for (Claim claim : claims.values()) {
+      wantPlacement.lostBook(claim, host);
     }
   }
 
   // ---- time ----
 
-  /** Looks at all claims shortly; changes that come together are looked at once. */
+  /** Schedules a reevaluation of all claims; changes that arrive meanwhile share it. */
   private void reviewSoon() {
     if (reviewing) {
       return;
@@ -316,82 +323,83 @@
   private void reviewAll() {
     List<Claim> all = new ArrayList<>(claims.values());
     all.sort(
-        Comparator.comparing((Claim c) -> c.spec.priority())
-            .thenComparing(c -> c.record.acceptedMs()));
+        Comparator.comparing((Claim claim) -> claim.spec.priority())
+            .thenComparing(claim -> claim.record.acceptedMs()));
     Queue.line(all);
-    all.forEach(c -> context.decisionLock().run(() -> review(c)));
+    all.forEach(claim -> context.decisionLock().run(() -> review(claim)));
   }
 
-  void review(Claim c) {
-    if (c.dropped || c.loading) {
+  void review(Claim claim) {
+    if (claim.dropped || claim.loading) {
       return;
     }
-    reconciliation.readAgain(c);
-    recorder.flush(c);
-    if (!c.dropped && !context.store().down()) {
-      wantPlacement.review(c);
+    reconciliation.readAgain(claim);
+    recorder.flush(claim);
+    if (!claim.dropped && !context.store().down()) {
+      wantPlacement.review(claim);
     }
   }
 
-  /** Called several times a second. */
+  /** Runs periodic work; called several times per second. */
   public void tick() {
     double now = context.now();
     takeover.tick(now);
     reconciliation.tick();
-    for (Claim c : List.copyOf(claims.values())) {
-      // What cannot be done for one job is no reason to leave the others alone.
+    for (Claim claim : List.copyOf(claims.values())) {
+      // Each claim is a decision of its own, so that a failure in one does not affect the others.
       context
           .decisionLock()
           .run(
               () -> {
-                if (!c.starts() && !c.loading) {
-                  stopAll(c, now);
+                if (!claim.starts() && !claim.loading) {
+                  stopAll(claim, now);
                 }
-                reconciliation.lookAgain(c);
-                sayIfLate(c);
+                reconciliation.lookAgain(claim);
+                sayIfLate(claim);
               });
     }
     reviewAll();
     interest.tick();
   }
 
-  /** Names what the fleet has not served in time, once. */
-  private void sayIfLate(Claim c) {
-    if (c.saidLate || c.loading || Begin.begun(c)) {
+  /** Logs once that a job has not started within the configured time. */
+  private void sayIfLate(Claim claim) {
+    if (claim.saidLate || claim.loading || Begin.begun(claim)) {
       return;
     }
-    double ageS = c.ageS(context.timers().timeOfDayMs());
+    double ageS = claim.ageS(context.timers().timeOfDayMs());
     if (ageS > context.tunables().beginS()) {
-      c.saidLate = true;
+      claim.saidLate = true;
       LOG.log(
           Level.INFO,
-          "{0}, a {1} of {2}, has not begun after {3} s: its tasks take {4} CPUs, {5} GB, types {6}",
-          c.id(),
-          c.spec.jobClass(),
-          c.spec.team(),
+          "job {0}, class {1}, team {2}, has not started after {3} s; each task needs {4} CPUs, {5} GB,"
+              + " machine types {6}",
+          claim.id(),
+          claim.spec.jobClass(),
+          claim.spec.team(),
           Math.round(ageS),
-          c.size.cpu(),
-          c.size.ram(),
-          c.spec.types());
+          claim.size.cpu(),
+          claim.size.ram(),
+          claim.spec.types());
     }
   }
 
-  private void stopAll(Claim c, double now) {
-    for (var e : c.live.entrySet()) {
-      Live l = e.getValue();
-      Room.Seen s = room.get(l.placement.host());
-      if (s != null && now - l.stoppedAt > REPEAT_S) {
-        l.stoppedAt = now;
+  private void stopAll(Claim claim, double now) {
+    for (var entry : claim.live.entrySet()) {
+      Live attempt = entry.getValue();
+      Room.Seen machine = room.get(attempt.placement.host());
+      if (machine != null && now - attempt.stoppedAt > REPEAT_S) {
+        attempt.stoppedAt = now;
         context
             .peers()
             .send(
-                s.holder(),
+                machine.holder(),
                 new Message.Stop(
-                    l.placement.host(),
-                    c.record.term(),
-                    c.id(),
-                    e.getKey(),
-                    l.placement.attempt(),
+                    attempt.placement.host(),
+                    claim.record.term(),
+                    claim.id(),
+                    entry.getKey(),
+                    attempt.placement.attempt(),
                     0));
       }
     }
--- a/src/main/java/dev/dunefront/claim/ControllerContext.java
+++ b/src/main/java/dev/dunefront/claim/ControllerContext.java
@@ -15,7 +15,7 @@
 import dev.dunefront.store.Standstill;
 import dev.dunefront.store.Store;
 
-/** What the parts of a controller share. */
+/** Services and state shared by the components of a controller. */
 public record ControllerContext(
     Settings settings,
     Tunables tunables,
@@ -36,7 +36,7 @@
     return timers.now();
   }
 
-  /** Runs a decision after a while. */
+  /** Runs a decision under the decision lock after a delay. */
   void later(double seconds, Runnable decision) {
     timers.after(seconds, () -> decisionLock.run(decision));
   }
--- a/src/main/java/dev/dunefront/claim/GivingWay.java
+++ b/src/main/java/dev/dunefront/claim/GivingWay.java
@@ -10,18 +10,24 @@
 import java.util.Queue;
 
 /**
- * Asks holders to stop young tasks of lower priority, for urgent ones that would start too late,
- * and tasks of the lowest priority, which have what lies idle, for whatever waits for room.
+ * Requests preemption from holders: of recently started tasks of lower priority for urgent tasks
+ * that would start too late, and of best-effort tasks, which only use idle capacity, for any
+ * waiting task.
  */
 final class GivingWay {
+  /** Minimum waiting time before preemption is requested. */
   private static final double PREEMPT_AFTER_S = 0.1;
+
+  /** Minimum interval between a job's requests. */
   private static final double PREEMPT_AGAIN_S = 1;
+
+  /** How long requested preemptions count as pending. */
   private static final double PREEMPT_ASKED_S = 2.5;
 
-  /** What saves first takes that much longer to leave, in seconds. */
+  /** Additional time until tasks that save their state have stopped. */
   private static final double SAVING_S = 4;
 
-  /** How long a holder's word that there are young tasks is taken for true. */
+  /** How long a view's count of recently started tasks is valid. */
   private static final double YOUNG_S = 15;
 
   private final ControllerContext context;
@@ -43,9 +49,9 @@
     this.turnover = turnover;
   }
 
-  private static boolean noneYields(List<Choice> choices) {
-    for (Choice ch : choices) {
-      if (ch.full() && ch.seen().view().yielding() > 0) {
+  private static boolean noneYields(List<Choice> candidates) {
+    for (Choice candidate : candidates) {
+      if (candidate.full() && candidate.seen().view().yielding() > 0) {
         return false;
       }
     }
@@ -53,67 +59,70 @@
   }
 
   /**
-   * Room for urgent tasks that would start too late is made where less urgent ones have just begun.
+   * Requests preemptions for a job if the free capacity, expected completions and pending requests
+   * do not cover the wanted tasks.
    */
-  void ask(Claim c, List<Choice> choices, int wanted, double now) {
-    Priority priority = c.spec.priority();
+  void ask(Claim claim, List<Choice> candidates, int wanted, double now) {
+    Priority priority = claim.spec.priority();
     if (priority == Priority.BEST_EFFORT
-        || now - c.unservedSince < PREEMPT_AFTER_S
-        || now - c.preemptedAt < PREEMPT_AGAIN_S) {
+        || now - claim.unservedSince < PREEMPT_AFTER_S
+        || now - claim.preemptedAt < PREEMPT_AGAIN_S) {
       return;
     }
     if (context.store().writeDelayS() > PREEMPT_AFTER_S) {
-      // What waits then is the record, not room; stopped tasks would only have to be recorded too.
+      // Starts are delayed by writes then, not by capacity; preempted tasks would add more writes.
       return;
     }
-    // What was asked for just now is still on its way here.
-    boolean yielding = !noneYields(choices);
-    if (now - c.preemptedAt >= PREEMPT_ASKED_S + (yielding ? SAVING_S : 0)) {
-      c.preempted = 0;
+    // Preemptions requested recently are still pending.
+    boolean yielding = !noneYields(candidates);
+    if (now - claim.preemptedAt >= PREEMPT_ASKED_S + (yielding ? SAVING_S : 0)) {
+      claim.preempted = 0;
     }
     int need = wanted;
-    for (Choice ch : choices) {
-      need -= ch.here() ? ch.fits() : 0;
+    for (Choice candidate : candidates) {
+      need -= candidate.here() ? candidate.fits() : 0;
     }
     if (priority.urgent() && !yielding) {
-      double ageS = c.ageS(context.timers().timeOfDayMs());
-      // Room that becomes free is mostly where the image has yet to be fetched.
-      double leftS = urgencies.startSlackS(c.spec, ageS) - choosing.quickFetchS(c);
+      double ageS = claim.ageS(context.timers().timeOfDayMs());
+      // Machines that free capacity usually have to fetch the image first.
+      double leftS = urgencies.startSlackS(claim.spec, ageS) - choosing.quickFetchS(claim);
       need =
           Turnover.shortage(
               need,
               turnover.waiting(priority),
-              turnover.slotsPerS(c.size, choosing.fits(c)),
+              turnover.slotsPerS(claim.size, choosing.fits(claim)),
               leftS);
     }
-    need -= c.preempted;
+    need -= claim.preempted;
     if (need > 0 && priority.urgent()) {
-      // Which tasks are young is told to those alone who have to know.
+      // Counts of recently started tasks are only sent to subscribers of the LOAD level.
       double settledAt = interest.need(Detail.LOAD);
       if (now < settledAt) {
-        c.lookAgain = Math.min(c.lookAgain, settledAt);
+        claim.lookAgain = Math.min(claim.lookAgain, settledAt);
         return;
       }
     }
-    Queue<Choice> best = new PriorityQueue<>(need > 0 ? choices : List.of());
-    for (Choice ch = best.poll(); ch != null; ch = best.poll()) {
+    Queue<Choice> best = new PriorityQueue<>(need > 0 ? candidates : List.of());
+    for (Choice candidate = best.poll(); candidate != null; candidate = best.poll()) {
       if (need <= 0) {
         break;
       }
-      // Who is not urgent asks for what yields alone; of that there is as long as it is shown.
-      boolean fresh = now - ch.seen().at() < YOUNG_S && priority.urgent();
-      View view = ch.seen().view();
-      int n = Math.min(ch.ever(), fresh ? view.youngBelow(priority) : view.yielding());
-      n = Math.min(need, n);
-      if (ch.full() && n > 0) {
-        need -= n;
-        c.preempted += n;
-        c.preemptedAt = now;
+      // Jobs that are not urgent preempt best-effort tasks only, whose count does not expire.
+      boolean countValid = now - candidate.seen().at() < YOUNG_S && priority.urgent();
+      View view = candidate.seen().view();
+      int count =
+          Math.min(candidate.ever(), countValid ? view.youngBelow(priority) : view.yielding());
+      count = Math.min(need, count);
+      if (candidate.full() && count > 0) {
+        need -= count;
+        claim.preempted += count;
+        claim.preemptedAt = now;
         context
             .peers()
             .send(
-                ch.seen().holder(),
-                new Message.Preempt(ch.seen().view().host(), priority.ordinal(), c.size, n));
+                candidate.seen().holder(),
+                new Message.Preempt(
+                    candidate.seen().view().host(), priority.ordinal(), claim.size, count));
       }
     }
   }
--- a/src/main/java/dev/dunefront/claim/IdleRoom.java
+++ b/src/main/java/dev/dunefront/claim/IdleRoom.java
@@ -6,21 +6,22 @@
 import java.util.ArrayDeque;
 
 /**
- * How much of the free room is idle, which the lowest priority may have. Room that will be wanted
- * in a moment is not: whoever takes it has to save and leave again, and whoever wants it waits for
- * that. As much is expected to come as came just now, so where nothing else comes all is idle.
+ * Estimates how much of the free capacity is idle and so available to best-effort jobs. Capacity
+ * that other jobs will request shortly does not count: a best-effort task placed there would have
+ * to save its state and leave, and the other job would wait for that. The expected demand equals
+ * the recent arrivals, so without other arrivals all free capacity is idle.
  */
 final class IdleRoom {
-  /** What came in the last so many seconds is expected in the next as many. */
+  /** The arrivals of the last such period are expected in the next one. */
   private static final double COMES_S = 10;
 
-  /** How long a count is good for, in seconds. */
+  /** How long a computed value is reused. */
   private static final double FRESH_S = 0.25;
 
   private final ControllerContext context;
   private final Room room;
 
-  /** Jobs that have come lately, whatever has become of them since. */
+  /** A recently submitted job, regardless of its present state. */
   private record Arrival(long atMs, long cpu) {}
 
   private final ArrayDeque<Arrival> came = new ArrayDeque<>();
@@ -33,7 +34,9 @@
     this.room = room;
   }
 
-  /** How many tasks of the job this controller may have parked wants for in idle room. */
+  /**
+   * How many tasks of the job this controller may queue wants for; unlimited unless best-effort.
+   */
   int tasks(JobSpec spec) {
     if (spec.priority() != Priority.BEST_EFFORT || spec.size().cpu() <= 0) {
       return Integer.MAX_VALUE;
@@ -50,28 +53,28 @@
 
   private long free() {
     long cpu = 0;
-    for (Room.Seen s : room.roomy()) {
-      cpu += s.view().free().cpu();
+    for (Room.Seen machine : room.roomy()) {
+      cpu += machine.view().free().cpu();
     }
     return cpu;
   }
 
   private long expected() {
-    long since = context.timers().timeOfDayMs() - Math.round(COMES_S * 1000);
-    while (!came.isEmpty() && came.peek().atMs() < since) {
+    long sinceMs = context.timers().timeOfDayMs() - Math.round(COMES_S * 1000);
+    while (!came.isEmpty() && came.peek().atMs() < sinceMs) {
       cameCpu -= came.poll().cpu();
     }
     return cameCpu;
   }
 
-  /** A job has been seen for the first time. */
+  /** Counts a job that is seen for the first time. */
   void came(JobRecord job) {
     JobSpec spec = job.spec();
-    long since = context.timers().timeOfDayMs() - Math.round(COMES_S * 1000);
-    if (spec.priority() != Priority.BEST_EFFORT && job.acceptedMs() >= since) {
-      Arrival a = new Arrival(job.acceptedMs(), spec.tasks() * spec.size().cpu());
-      came.add(a);
-      cameCpu += a.cpu;
+    long sinceMs = context.timers().timeOfDayMs() - Math.round(COMES_S * 1000);
+    if (spec.priority() != Priority.BEST_EFFORT && job.acceptedMs() >= sinceMs) {
+      Arrival arrival = new Arrival(job.acceptedMs(), spec.tasks() * spec.size().cpu());
+      came.add(arrival);
+      cameCpu += arrival.cpu;
     }
   }
 }
--- a/src/main/java/dev/dunefront/claim/Planning.java
+++ b/src/main/java/dev/dunefront/claim/Planning.java
@@ -15,14 +15,17 @@
 import java.util.function.Consumer;
 
 /**
- * What goes into the next transaction of a job: as many of its ends and of the offers made to it as
- * the state service's limits, the team's limit and the zones allow.
+ * Plans the next transaction of a claimed job: as many of its ended attempts and received offers as
+ * the state service's limits, the team's limit and the zone constraints allow.
  */
 final class Planning {
-  /** As many chunks as a transaction of 64 KiB surely takes. */
+  /** Number of chunks that are certain to fit into a 64 KiB transaction. */
   private static final int MAX_CHUNKS = 4;
 
-  /** A part of what is left of a team's limit, shared by all controllers, may be granted ahead. */
+  /**
+   * A job may be granted tasks ahead of their placement up to the team's remaining limit divided by
+   * this and by the number of controllers.
+   */
   private static final int AHEAD = 4;
 
   private final ControllerContext context;
@@ -35,164 +38,187 @@
     this.wantPlacement = wantPlacement;
   }
 
+  /** The placement of one task on an offer that the transaction accepts. */
   record Starting(Held held, int number, Placement placement) {}
 
-  /** One transaction under way. */
+  /**
+   * The planned contents of one transaction.
+   *
+   * @param next new versions of the changed chunks, by index
+   * @param granted number of tasks granted to the job after the transaction
+   */
   record Flight(Map<Integer, Chunk> next, List<Starting> starts, List<Ended> ends, int granted) {}
 
   /**
-   * Takes what a claim has to record. Offers that are not taken go to {@code declined}; ends and
-   * offers that the transaction has no place for stay with the claim.
+   * Takes pending ends and offers from a claim. Offers that are not accepted are passed to {@code
+   * declined}; ends and offers that do not fit into the transaction stay with the claim.
    *
-   * @param returned whether what the claim does not use of its team's limit goes back with it
+   * @param mustReturn whether the transaction must return the claim's unused part of the team's
+   *     limit
    */
-  Flight plan(Claim c, Quotas.Quota quota, boolean returned, Consumer<Held> declined) {
+  Flight plan(Claim claim, Quotas.Quota quota, boolean mustReturn, Consumer<Held> declined) {
     int txnOps = context.settings().stateLimits().txnOps();
     int maxChunks = Math.min(MAX_CHUNKS, txnOps - 4);
-    // Conditions may be four times as many as changes; some are on the job, its chunks, its
-    // team, the roster.
+    // The state service allows four times as many conditions as changes; some are needed for the
+    // job, its chunks, its team and the roster.
     int maxHosts = 4 * txnOps - maxChunks - 3;
-    Map<Integer, Chunk> next = new TreeMap<>();
+    Map<Integer, Chunk> chunks = new TreeMap<>();
     List<Ended> ends = new ArrayList<>();
     List<Starting> starts = new ArrayList<>();
-    Map<String, Long> stamps = new HashMap<>();
-    List<Ended> all = List.copyOf(c.ends);
-    c.ends.clear();
-    for (Ended e : all) {
-      int index = e.number() / Chunk.TASKS;
-      int n = e.number() % Chunk.TASKS;
-      Chunk now = next.containsKey(index) ? next.get(index) : c.chunks.get(index);
-      if (now == null || !e.placement().equals(now.placed.get(n))) {
+    Map<String, Long> holdStamps = new HashMap<>();
+    List<Ended> pending = List.copyOf(claim.ends);
+    claim.ends.clear();
+    for (Ended ended : pending) {
+      int index = ended.number() / Chunk.TASKS;
+      int offset = ended.number() % Chunk.TASKS;
+      Chunk current = chunks.containsKey(index) ? chunks.get(index) : claim.chunks.get(index);
+      if (current == null || !ended.placement().equals(current.placed.get(offset))) {
         continue;
       }
-      String host = e.placement().host();
-      // More proofs than one transaction can name are written with the next: a whole zone's worth
-      // of machines may be lost at once, and a transaction that is too large is refused for ever.
-      if (!next.containsKey(index) && next.size() >= maxChunks
-          || e.conditional() && stamps.size() >= maxHosts && !stamps.containsKey(host)
-          || e.conditional() && !agrees(stamps, host, e.holdStamp())) {
-        c.ends.add(e);
+      String host = ended.placement().host();
+      // Proofs that exceed the transaction's limits are left for the next one: all machines of a
+      // zone may be lost at once, and an oversized transaction would be rejected on every retry.
+      if (!chunks.containsKey(index) && chunks.size() >= maxChunks
+          || ended.conditional() && holdStamps.size() >= maxHosts && !holdStamps.containsKey(host)
+          || ended.conditional() && !agrees(holdStamps, host, ended.holdStamp())) {
+        claim.ends.add(ended);
         continue;
       }
-      Chunk chunk = next.computeIfAbsent(index, i -> now.copy(0));
-      ends.add(e);
-      chunk.placed.remove(n);
-      if (e.end() == End.DONE) {
-        chunk.done.set(n);
-        chunk.tries.remove(n);
+      Chunk chunk = chunks.computeIfAbsent(index, i -> current.copy(0));
+      ends.add(ended);
+      chunk.placed.remove(offset);
+      if (ended.end() == End.DONE) {
+        chunk.done.set(offset);
+        chunk.tries.remove(offset);
       }
     }
-    wantPlacement.sortOffers(c);
-    int placed = c.live.size() - ends.size();
+    wantPlacement.sortOffers(claim);
+    int placed = claim.live.size() - ends.size();
     int limit =
         quota == null
             ? Integer.MAX_VALUE
-            : (int) Math.min(Integer.MAX_VALUE, (long) c.record.granted() + quota.room(c.size));
-    // What each chunk may still grow: with long names fewer than all its tasks may be placed at
-    // once.
-    Map<Integer, Integer> growth = new HashMap<>();
-    int most = (int) (context.settings().stateLimits().valueKb() * 1024);
+            : (int)
+                Math.min(Integer.MAX_VALUE, (long) claim.record.granted() + quota.room(claim.size));
+    // Bytes by which each chunk may still grow: with long machine names, not all tasks of a chunk
+    // can be placed at the same time.
+    Map<Integer, Integer> bytesLeft = new HashMap<>();
+    int maxBytes = (int) (context.settings().stateLimits().valueKb() * 1024);
     int number = 0;
-    int allowed = c.suspect() ? Math.max(0, 1 - c.live.size()) : Integer.MAX_VALUE;
+    int maxStarts = claim.suspect() ? Math.max(0, 1 - claim.live.size()) : Integer.MAX_VALUE;
     List<String> startHosts = new ArrayList<>();
-    List<Held> offers = List.copyOf(c.offers);
+    List<Held> offers = List.copyOf(claim.offers);
     List<Held> kept = new ArrayList<>();
-    for (Held h : offers) {
-      Message.Offer o = h.offer();
-      if (context.now() - h.at() > context.tunables().offerWaitS()) {
-        declined.accept(h);
+    for (Held received : offers) {
+      Message.Offer offer = received.offer();
+      if (context.now() - received.at() > context.tunables().offerWaitS()) {
+        declined.accept(received);
         continue;
       }
-      if (stamps.size() >= maxHosts && !stamps.containsKey(o.host())) {
-        // More machines than one transaction can name: taken with the next.
-        kept.add(h);
+      if (holdStamps.size() >= maxHosts && !holdStamps.containsKey(offer.host())) {
+        // The transaction cannot hold a condition for another machine; the next one takes it.
+        kept.add(received);
         continue;
       }
-      number = c.nextUnplaced(number);
+      number = claim.nextUnplaced(number);
       int index = number / Chunk.TASKS;
-      boolean take =
-          c.starts()
-              && number < c.spec.tasks()
-              && starts.size() < allowed
+      boolean accept =
+          claim.starts()
+              && number < claim.spec.tasks()
+              && starts.size() < maxStarts
               && placed + starts.size() < limit
-              && context.now() >= c.notBefore
-              && (next.containsKey(index) || next.size() < maxChunks)
-              && growth.computeIfAbsent(index, i -> most - size(c, next, i))
-                  >= Chunk.bytesFor(o.host())
-              && zones.allowed(c, o.host(), startHosts)
-              && agrees(stamps, o.host(), o.holdStamp());
-      if (!take) {
-        declined.accept(h);
+              && context.now() >= claim.notBefore
+              && (chunks.containsKey(index) || chunks.size() < maxChunks)
+              && bytesLeft.computeIfAbsent(index, i -> maxBytes - size(claim, chunks, i))
+                  >= Chunk.bytesFor(offer.host())
+              && zones.allowed(claim, offer.host(), startHosts)
+              && agrees(holdStamps, offer.host(), offer.holdStamp());
+      if (!accept) {
+        declined.accept(received);
         continue;
       }
-      Chunk old = c.chunks.get(index);
-      Chunk chunk = next.computeIfAbsent(index, i -> old == null ? new Chunk(0) : old.copy(0));
-      int n = number % Chunk.TASKS;
-      if (chunk.placed.containsKey(n)) {
+      Chunk old = claim.chunks.get(index);
+      Chunk chunk = chunks.computeIfAbsent(index, i -> old == null ? new Chunk(0) : old.copy(0));
+      int offset = number % Chunk.TASKS;
+      if (chunk.placed.containsKey(offset)) {
         context
             .safety()
             .violated(
                 Invariant.TWO_PLACEMENTS,
-                c.id() + "/" + number + " on " + o.host() + ", placed as " + chunk.placed.get(n));
-        declined.accept(h);
+                claim.id()
+                    + "/"
+                    + number
+                    + " on "
+                    + offer.host()
+                    + ", placed as "
+                    + chunk.placed.get(offset));
+        declined.accept(received);
         number++;
         continue;
       }
-      growth.merge(index, -Chunk.bytesFor(o.host()), Integer::sum);
-      Placement p = new Placement(chunk.tries.getOrDefault(n, 0L) + 1, o.host(), o.session());
-      chunk.tries.put(n, p.attempt());
-      chunk.placed.put(n, p);
-      starts.add(new Starting(h, number, p));
-      startHosts.add(o.host());
+      bytesLeft.merge(index, -Chunk.bytesFor(offer.host()), Integer::sum);
+      Placement placement =
+          new Placement(chunk.tries.getOrDefault(offset, 0L) + 1, offer.host(), offer.session());
+      chunk.tries.put(offset, placement.attempt());
+      chunk.placed.put(offset, placement);
+      starts.add(new Starting(received, number, placement));
+      startHosts.add(offer.host());
       number++;
     }
-    c.offers.clear();
-    c.offers.addAll(kept);
-    return new Flight(next, starts, ends, grant(c, quota, placed + starts.size(), ends, returned));
+    claim.offers.clear();
+    claim.offers.addAll(kept);
+    return new Flight(
+        chunks, starts, ends, grant(claim, quota, placed + starts.size(), ends, mustReturn));
   }
 
-  private static int size(Claim c, Map<Integer, Chunk> next, int index) {
-    Chunk chunk = next.getOrDefault(index, c.chunks.get(index));
+  private static int size(Claim claim, Map<Integer, Chunk> chunks, int index) {
+    Chunk chunk = chunks.getOrDefault(index, claim.chunks.get(index));
     return chunk == null ? 0 : chunk.bytes();
   }
 
-  /** Whether a job has been granted more of its team's limit than it is to have. */
-  boolean unused(Claim c, Quotas.Quota quota) {
-    int placed = c.live.size();
-    return quota != null && c.record.granted() > placed + ahead(c, quota, placed, 0);
+  /** Whether a job holds more of its team's limit than it should keep. */
+  boolean unused(Claim claim, Quotas.Quota quota) {
+    int placed = claim.live.size();
+    return quota != null && claim.record.granted() > placed + ahead(claim, quota, placed, 0);
   }
 
-  private int ahead(Claim c, Quotas.Quota quota, int placed, long finished) {
+  /** Number of tasks that may be granted beyond the placed ones. */
+  private int ahead(Claim claim, Quotas.Quota quota, int placed, long finished) {
     int unstarted =
-        (int) Math.max(0, c.spec.tasks() - c.done - finished - placed) * (c.open() ? 1 : 0);
-    return Math.min(unstarted, quota.room(c.size) / (AHEAD * context.settings().controllers()));
+        (int) Math.max(0, claim.spec.tasks() - claim.done - finished - placed)
+            * (claim.open() ? 1 : 0);
+    return Math.min(unstarted, quota.room(claim.size) / (AHEAD * context.settings().controllers()));
   }
 
   /**
-   * How many tasks are to be granted when so many are placed.
+   * The number of tasks to grant to the job, including the placed ones.
    *
-   * @param returned what is not used has to go back, worth a change or not
+   * @param mustReturn whether the unused part must be returned even if it is too small to be worth
+   *     a write
    */
-  private int grant(Claim c, Quotas.Quota quota, int placed, List<Ended> ends, boolean returned) {
+  private int grant(
+      Claim claim, Quotas.Quota quota, int placed, List<Ended> ends, boolean mustReturn) {
     if (quota == null) {
       return 0;
     }
-    int granted = c.record.granted();
-    long finished = ends.stream().filter(e -> e.end() == End.DONE).count();
-    int left = quota.room(c.size);
-    int ahead = ahead(c, quota, placed, finished);
+    int granted = claim.record.granted();
+    long finished = ends.stream().filter(ended -> ended.end() == End.DONE).count();
+    int remaining = quota.room(claim.size);
+    int ahead = ahead(claim, quota, placed, finished);
     if (placed > granted) {
-      return placed + Math.min(ahead, left - (placed - granted));
+      return placed + Math.min(ahead, remaining - (placed - granted));
     }
-    int idle = granted - placed;
-    boolean worth = left < granted || idle >= Math.max(8, granted / 2);
-    return idle > ahead && (worth || returned) ? placed + ahead : granted;
+    int unused = granted - placed;
+    boolean worthWriting = remaining < granted || unused >= Math.max(8, granted / 2);
+    return unused > ahead && (worthWriting || mustReturn) ? placed + ahead : granted;
   }
 
-  /** Two proofs that rest on different records of one hold cannot share a transaction. */
+  /**
+   * Adds the condition on a machine's hold record. False if it contradicts an earlier condition:
+   * two proofs that depend on different versions of one hold record cannot share a transaction.
+   */
   private static boolean agrees(Map<String, Long> stamps, String host, long stamp) {
     if (stamp < 0) {
-      // Of a machine without a record: conditional on the roster as well, which has one stamp.
+      // A machine without a hold record is also conditional on the roster, which has one version.
       Long roster = stamps.putIfAbsent(Holds.ROSTER, stamp);
       if (roster != null && roster != stamp) {
         return false;
--- a/src/main/java/dev/dunefront/claim/Queue.java
+++ b/src/main/java/dev/dunefront/claim/Queue.java
@@ -8,16 +8,19 @@
 import java.util.Map;
 
 /**
- * Which of many jobs look for room. Thousands of small jobs of one class may wait at once, and each
- * that looks walks over all machines; what the first of them does not find the others would not
- * find either. So of jobs alike the first few look, and the others wait behind them, first-come as
- * within any controller.
+ * Limits how many equivalent jobs search for capacity at the same time. Thousands of small jobs of
+ * one class may wait at once, and each search iterates over all machines; capacity that the first
+ * of them do not find the others would not find either. Only the first few of each equivalence
+ * class search; the others wait in order of arrival.
  */
 final class Queue {
-  /** Of jobs alike so many look at once; they are served many times a second. */
+  /**
+   * Maximum number of equivalent jobs that search at once; enough, as they are served many times
+   * per second.
+   */
   private static final int LOOKING = 32;
 
-  /** What makes jobs alike: whoever serves one of them may as well serve any other. */
+  /** Jobs with equal values are interchangeable when capacity is assigned. */
   record Shape(Priority priority, String jobClass, String team, Size size) {
     static Shape of(JobSpec spec) {
       return new Shape(spec.priority(), spec.jobClass(), spec.team(), spec.size());
@@ -26,15 +29,16 @@
 
   private Queue() {}
 
-  /** Says of each claim whether it waits behind others, given in the order in which they go. */
+  /** Sets {@code searchThrottled} of each claim; the claims are given in service order. */
   static void line(List<Claim> claims) {
-    Map<Shape, Integer> looking = new HashMap<>();
+    Map<Shape, Integer> searching = new HashMap<>();
     Map<Shape, Integer> overdue = new HashMap<>();
-    for (Claim c : claims) {
-      boolean waits = c.unstarted() > 0 && c.standing != Begin.Standing.FIRST;
-      // Those that are overdue to begin are a line of their own, or begun ones would fill it.
-      Map<Shape, Integer> line = c.standing == Begin.Standing.AHEAD ? overdue : looking;
-      c.queued = waits && line.merge(c.shape, 1, Integer::sum) > LOOKING;
+    for (Claim claim : claims) {
+      boolean wantsCapacity = claim.unstarted() > 0 && claim.standing != Begin.Standing.FIRST;
+      // Jobs with an overdue start are counted separately; otherwise started jobs could use up the
+      // limit.
+      Map<Shape, Integer> counts = claim.standing == Begin.Standing.AHEAD ? overdue : searching;
+      claim.queued = wantsCapacity && counts.merge(claim.shape, 1, Integer::sum) > LOOKING;
     }
   }
 }
--- a/src/main/java/dev/dunefront/claim/Quotas.java
+++ b/src/main/java/dev/dunefront/claim/Quotas.java
@@ -11,14 +11,15 @@
 import java.util.Map;
 
 /**
- * What is granted of each limited team's limit. Grants are written into the job records, a piece
- * ahead of the placements, in the transaction that changes the team's record; so the record is
- * exact across controllers and crashes, a claim takes its grant along, and few placements touch it.
+ * The granted part of the limit of each limited team. Grants are written into the job records,
+ * somewhat ahead of the placements, in the same transaction that updates the team's record. The
+ * record is therefore exact across controllers and crashes, a grant moves with its claim, and few
+ * placements need to update the team's record.
  */
 final class Quotas {
   private static final String PREFIX = Replica.PREFIX + "q/";
 
-  /** One team's usage; at most one transaction of this controller changes it at a time. */
+  /** One team's usage. At most one transaction of this controller updates it at a time. */
   static final class Quota {
     final Settings.Team team;
     long stamp;
@@ -34,7 +35,7 @@
       return PREFIX + team.name();
     }
 
-    /** How many tasks of the size may still be granted. */
+    /** How many more tasks of this size the limit allows. */
     int room(Size size) {
       long n = Integer.MAX_VALUE;
       if (team.cpusMax() > 0 && size.cpu() > 0) {
@@ -46,6 +47,7 @@
       return (int) Math.max(0, n);
     }
 
+    /** Ends an update and runs waiters until one of them starts the next. */
     void release() {
       busy = false;
       while (!busy && !waiting.isEmpty()) {
@@ -59,21 +61,21 @@
 
   Quotas(Settings settings, Replica replica, Runnable changed) {
     this.replica = replica;
-    for (Settings.Team t : settings.teams()) {
-      if (t.limited()) {
-        byTeam.put(t.name(), new Quota(t));
+    for (Settings.Team team : settings.teams()) {
+      if (team.limited()) {
+        byTeam.put(team.name(), new Quota(team));
       }
     }
     replica.listen(
         PREFIX,
         (team, value, stamp) -> {
-          Quota q = byTeam.get(team);
-          if (q == null || value == null) {
+          Quota quota = byTeam.get(team);
+          if (quota == null || value == null) {
             return;
           }
           try {
-            q.used = new Size(value.count("cpu"), value.count("gpu"), 0);
-            q.stamp = stamp;
+            quota.used = new Size(value.count("cpu"), value.count("gpu"), 0);
+            quota.stamp = stamp;
           } catch (BadMessage e) {
             throw new IllegalStateException("quota record " + team + " cannot be read", e);
           }
@@ -90,7 +92,8 @@
     return Doc.of().put("cpu", used.cpu()).put("gpu", used.gpu()).put(Store.MARK, mark);
   }
 
-  void saw(Quota q, Doc value, long stamp) {
-    replica.apply(q.key(), value, stamp);
+  /** Applies a value of the team's record that was read or written here to the replica. */
+  void saw(Quota quota, Doc value, long stamp) {
+    replica.apply(quota.key(), value, stamp);
   }
 }
--- a/src/main/java/dev/dunefront/claim/Reconciliation.java
+++ b/src/main/java/dev/dunefront/claim/Reconciliation.java
@@ -16,13 +16,13 @@
 import java.util.Set;
 
 /**
- * Compares what is recorded with what holders say, and finds out how attempts ended: by their exit,
- * or by a proof that they are gone.
+ * Compares the records with the views sent by holders and determines how attempts ended: by their
+ * exit, or by a proof that they can no longer run.
  */
 final class Reconciliation {
   private static final System.Logger LOG = System.getLogger(Reconciliation.class.getName());
 
-  /** A holder is asked again for an attempt that it does not show after so long, in seconds. */
+  /** Interval between probes for an attempt that is missing from its holder's views. */
   private static final double REPEAT_S = 1.5;
 
   private final ControllerContext context;
@@ -40,62 +40,66 @@
     this.strays = new StrayControl(context);
   }
 
-  /** A holder has told of a machine: every job with tasks there is compared with what it says. */
+  /** Compares a new view of a machine with every claimed job that has tasks there. */
   void heard(Room.Seen seen, Map<String, Claim> claims) {
-    View v = seen.view();
-    Set<Claim> concerned = new LinkedHashSet<>();
-    for (TaskState t : v.tasks()) {
-      Claim c = claims.get(t.job());
-      if (c != null) {
-        concerned.add(c);
+    View view = seen.view();
+    Set<Claim> affected = new LinkedHashSet<>();
+    for (TaskState task : view.tasks()) {
+      Claim claim = claims.get(task.job());
+      if (claim != null) {
+        affected.add(claim);
       } else {
-        unclaimed.shown(t.job(), v.host(), context.now());
+        unclaimed.shown(task.job(), view.host(), context.now());
       }
     }
-    for (Claim c : claims.values()) {
-      if (!c.liveOn(v.host()).isEmpty()
-          || !c.strays.isEmpty() && !c.strays.on(v.host()).isEmpty()) {
-        concerned.add(c);
+    for (Claim claim : claims.values()) {
+      if (!claim.liveOn(view.host()).isEmpty()
+          || !claim.strays.isEmpty() && !claim.strays.on(view.host()).isEmpty()) {
+        affected.add(claim);
       }
     }
-    for (Claim c : concerned) {
-      compare(c, seen);
+    for (Claim claim : affected) {
+      compare(claim, seen);
     }
   }
 
-  /** A claim begins: it has yet to read which machines have shown its tasks. */
-  void began(Claim c) {
-    c.unread.addAll(unclaimed.take(c.id()));
+  /** Marks the machines that showed tasks of a newly claimed job for comparison. */
+  void began(Claim claim) {
+    claim.unread.addAll(unclaimed.take(claim.id()));
   }
 
-  /** A claim is given up or over; whoever takes the job is shown what no record names. */
-  void ended(Claim c) {
-    strays.ended(c);
+  /** Stops tracking the strays of a released claim; the next claim owner sees them in its views. */
+  void ended(Claim claim) {
+    strays.ended(claim);
   }
 
-  /** Called several times a second. */
+  /** Runs periodic work; called several times per second. */
   void tick() {
     unclaimed.tidy(context.now());
   }
 
-  /** Compares what is recorded of a job on a machine with what the machine's holder says. */
-  void compare(Claim c, Room.Seen seen) {
+  /**
+   * Compares the recorded attempts of a job on a machine with the machine's latest view.
+   *
+   * @param seen null if no view of the machine is known
+   */
+  void compare(Claim claim, Room.Seen seen) {
     if (seen == null) {
       return;
     }
-    if (c.loading) {
-      c.unread.add(seen.view().host());
+    if (claim.loading) {
+      claim.unread.add(seen.view().host());
       return;
     }
-    c.unread.remove(seen.view().host());
-    Map<Integer, Live> placed = c.liveOn(seen.view().host());
-    Map<Integer, TaskState> shown = new HashMap<>();
+    claim.unread.remove(seen.view().host());
+    Map<Integer, Live> placed = claim.liveOn(seen.view().host());
+    Map<Integer, TaskState> reported = new HashMap<>();
     List<TaskState> unrecorded = new ArrayList<>();
     for (TaskState task : seen.view().tasks()) {
-      if (task.job().equals(c.id())) {
+      if (task.job().equals(claim.id())) {
         Live live = placed.get(task.number());
         if (live != null && live.placement.attempt() == task.attempt()) {
-          shown.put(task.number(), task);
+          reported.put(task.number(), task);
         } else {
           unrecorded.add(task);
         }
@@ -104,25 +108,29 @@
     placed.forEach(
         (number, live) -> {
           if (!live.ending) {
-            compare(c, number, live, shown.get(number), seen);
+            compare(claim, number, live, reported.get(number), seen);
           }
         });
-    strays.reject(c, unrecorded, seen);
-    if (!c.ends.isEmpty()) {
-      recorder.flush(c);
+    strays.reject(claim, unrecorded, seen);
+    if (!claim.ends.isEmpty()) {
+      recorder.flush(claim);
     }
   }
 
-  /** Compares one placed task; {@code shown} is null if the view does not show its attempt. */
-  private void compare(Claim c, int number, Live live, TaskState shown, Room.Seen seen) {
+  /**
+   * Compares one placed task with the view.
+   *
+   * @param reported the attempt's state; null if the view does not include it
+   */
+  private void compare(Claim claim, int number, Live live, TaskState reported, Room.Seen seen) {
     View view = seen.view();
-    live.shown = shown != null;
+    live.shown = reported != null;
     Basis basis = Basis.of(seen.holder(), view, context.now() - seen.at());
-    EndProof proof = EndProof.find(live.placement.asAttempt(), shown, view, basis);
+    EndProof proof = EndProof.find(live.placement.asAttempt(), reported, view, basis);
     if (proof != null) {
-      ends.end(c, number, live, proof);
-    } else if (shown != null) {
-      progressed(c, number, live, shown, view.host());
+      ends.end(claim, number, live, proof);
+    } else if (reported != null) {
+      progressed(claim, number, live, reported, view.host());
     } else if (view.settled() && context.now() - live.probedAt > REPEAT_S) {
       live.probedAt = context.now();
       long attempt = live.placement.attempt();
@@ -130,67 +138,70 @@
           .peers()
           .send(
               seen.holder(),
-              new Message.Probe(view.host(), c.record.term(), c.id(), number, attempt));
+              new Message.Probe(view.host(), claim.record.term(), claim.id(), number, attempt));
     }
   }
 
-  private void progressed(Claim c, int number, Live live, TaskState shown, String host) {
-    if (live.state != shown.state()) {
-      LOG.log(Level.DEBUG, "{0}/{1} is {2} on {3}", c.id(), number, shown.state(), host);
+  /** Updates the state of a live attempt from the view. */
+  private void progressed(Claim claim, int number, Live live, TaskState reported, String host) {
+    if (live.state != reported.state()) {
+      LOG.log(
+          Level.DEBUG, "task {0}/{1} is {2} on {3}", claim.id(), number, reported.state(), host);
     }
-    if (shown.state() == Message.State.RUNNING
+    if (reported.state() == Message.State.RUNNING
         && (live.state == Message.State.PENDING || live.state == Message.State.FETCHING)) {
       live.runningSince = context.now();
     }
-    live.state = shown.state();
+    live.state = reported.state();
   }
 
-  /** A holder denies a placed attempt. */
-  void denied(String holder, Message.Absent absent, Claim c, Live live) {
+  /** Ends a placed attempt that its holder does not have and will never start. */
+  void denied(String holder, Message.Absent absent, Claim claim, Live live) {
     Basis basis =
         new Basis(holder, absent.token(), live.placement.session(), absent.holdStamp(), 0);
-    ends.end(c, absent.number(), live, EndProof.denied(basis));
-    recorder.flush(c);
+    ends.end(claim, absent.number(), live, EndProof.denied(basis));
+    recorder.flush(claim);
   }
 
-  /** Looks again where the last view did not show a placed task, or showed one too many. */
-  void lookAgain(Claim c) {
-    for (Live l : c.live.values()) {
-      if (!l.shown && !l.ending) {
-        c.unread.add(l.placement.host());
+  /** Rechecks machines whose latest view lacked a placed attempt or showed a stray one. */
+  void lookAgain(Claim claim) {
+    for (Live attempt : claim.live.values()) {
+      if (!attempt.shown && !attempt.ending) {
+        claim.unread.add(attempt.placement.host());
       }
     }
-    c.unread.addAll(c.strays.hosts());
-    readAgain(c);
+    claim.unread.addAll(claim.strays.hosts());
+    readAgain(claim);
   }
 
-  /** Compares what has not been compared yet. */
-  void readAgain(Claim c) {
-    if (c.unread.isEmpty() || c.loading) {
+  /** Compares the machines that are marked for comparison. */
+  void readAgain(Claim claim) {
+    if (claim.unread.isEmpty() || claim.loading) {
       return;
     }
-    List<String> hosts = List.copyOf(c.unread);
-    c.unread.clear();
+    List<String> hosts = List.copyOf(claim.unread);
+    claim.unread.clear();
     for (String host : hosts) {
       Holds.Hold hold = context.holds().get(host);
       if (hold != null && hold.dead()) {
-        endAllOn(c, host);
+        endAllOn(claim, host);
       } else {
-        compare(c, room.get(host));
+        compare(claim, room.get(host));
       }
     }
   }
 
-  /** The cloud has confirmed the machine's end. */
-  void endAllOn(Claim c, String host) {
-    strays.machineGone(c, host);
-    c.liveOn(host)
+  /** Ends all attempts on a machine whose deletion the cloud has confirmed. */
+  void endAllOn(Claim claim, String host) {
+    strays.machineGone(claim, host);
+    claim
+        .liveOn(host)
         .forEach(
-            (number, l) -> {
-              if (!l.ending) {
-                ends.end(c, number, l, EndProof.machineDeleted());
+            (number, attempt) -> {
+              if (!attempt.ending) {
+                ends.end(claim, number, attempt, EndProof.machineDeleted());
               }
             });
-    recorder.flush(c);
+    recorder.flush(claim);
   }
 }
--- a/src/main/java/dev/dunefront/claim/Recorder.java
+++ b/src/main/java/dev/dunefront/claim/Recorder.java
@@ -22,42 +22,43 @@
 import java.util.Set;
 
 /**
- * Writes placements and ends. A job has one transaction under way at a time, which carries all that
- * has gathered; a placement is written before its start is sent, an end before its clear.
+ * Records placements and ends of attempts. Each job has one transaction in flight at a time, which
+ * contains all changes collected until then. A placement is recorded before its start message is
+ * sent, and an end before its clear message.
  */
 final class Recorder {
   private static final System.Logger LOG = System.getLogger(Recorder.class.getName());
 
-  /** Offers from several holders come close together; the best are taken, not the first. */
+  /** Offers of several holders arrive close together; collects them to accept the cheapest. */
   private static final double CHOOSE_S = 0.012;
 
   /**
-   * Ends wait this long for others to share their transaction, and under pressure up to as much
-   * again for each second that a change has to wait: the worker keeps what has ended, its room is
-   * dealt already, and the last end of a job is written at once.
+   * Delay of ends, so that several share a transaction; grows by the same amount for each second
+   * that writes are delayed by the rate limit (up to {@link #MAX_PRESSURE_DELAY_S}). The delay is
+   * harmless: the worker keeps the ended attempt, its capacity is already offered again, and the
+   * last end of a job is written immediately.
    */
   private static final double GATHER_S = 2;
 
   /**
-   * While changes have to wait for the budget anyway, what is to be recorded gathers before its
-   * transaction is made, so that each carries the more; but no longer than this.
+   * Maximum time for which changes are collected while the write budget is exhausted. They would
+   * wait anyway, and each transaction then contains more of them.
    */
   private static final double PRESSED_S = 1;
 
+  /** Write delays below this are treated as none. */
   private static final double NO_PRESSURE_S = 0.05;
 
-  /** Changes of a transaction that places some tasks: the job, its team, two chunks. */
+  /** Number of changes in a typical placement: the job, its team and two chunks. */
   private static final int TYPICAL_CHANGES = 4;
 
-  /** By then other controllers have answered whether they lend changes, in seconds. */
+  /** Time within which other controllers answer a request to lend write budget. */
   private static final double LENT_S = 0.05;
 
-  /**
-   * What a job has been granted and does not use for so long it gives back; sooner where its team
-   * has less left than that job has been granted.
-   */
+  /** A job returns granted quota that it has not used for this time. */
   private static final double UNUSED_S = 30;
 
+  /** The same if the team has less quota left than the job has been granted. */
   private static final double UNUSED_TIGHT_S = 5;
 
   private final ControllerContext context;
@@ -82,185 +83,203 @@
     this.planning = new Planning(context, zones, wantPlacement);
   }
 
-  void chooseSoon(Claim c) {
-    if (c.choosing) {
+  /** Schedules a flush once offers of several holders have been collected. */
+  void chooseSoon(Claim claim) {
+    if (claim.choosing) {
       return;
     }
-    c.choosing = true;
+    claim.choosing = true;
     context.later(
         CHOOSE_S,
         () -> {
-          c.choosing = false;
-          flush(c);
+          claim.choosing = false;
+          flush(claim);
         });
   }
 
-  void declineAll(Claim c) {
-    c.offers.forEach(this::decline);
-    c.offers.clear();
+  /** Declines all received offers of a claim. */
+  void declineAll(Claim claim) {
+    claim.offers.forEach(this::decline);
+    claim.offers.clear();
   }
 
-  private void decline(Held h) {
-    context.peers().send(h.holder(), new Message.Decline(h.offer().offer(), h.offer().host()));
+  private void decline(Held received) {
+    context
+        .peers()
+        .send(
+            received.holder(),
+            new Message.Decline(received.offer().offer(), received.offer().host()));
   }
 
-  /** Whether what there is to record can wait for more. */
-  private boolean canGather(Claim c, Quotas.Quota quota) {
-    if (!c.offers.isEmpty() || !c.open()) {
+  /** Whether the pending changes may wait for others to share their transaction. */
+  private boolean canGather(Claim claim, Quotas.Quota quota) {
+    if (!claim.offers.isEmpty() || !claim.open()) {
       return false;
     }
-    int done = c.done;
-    for (Ended e : c.ends) {
-      if (e.end() != End.DONE) {
+    int done = claim.done;
+    for (Ended ended : claim.ends) {
+      if (ended.end() != End.DONE) {
         return false;
       }
       done++;
     }
-    // With little left of the team's limit others wait for what these give back.
-    return done < c.spec.tasks() && (quota == null || quota.room(c.size) > c.live.size());
+    // With little of the team's limit left, other jobs wait for the quota that these ends return.
+    return done < claim.spec.tasks()
+        && (quota == null || quota.room(claim.size) > claim.live.size());
   }
 
+  /** Delay of writes by the rate limit, at most {@link #MAX_PRESSURE_DELAY_S}; 0 if small. */
   private double pressureS() {
     double delay = context.store().writeDelayS();
     return delay < NO_PRESSURE_S ? 0 : Math.min(PRESSED_S, delay);
   }
 
-  /** Whether what there is has waited long enough; if not, it is looked at again in time. */
-  private boolean due(Claim c, double waitS) {
+  /** Whether the pending changes have waited long enough; if not, schedules another flush. */
+  private boolean due(Claim claim, double waitS) {
     double now = context.now();
-    if (waitS > 0 && now + 0.002 < c.flushDue) {
-      if (now + waitS < c.flushDue) {
-        c.flushDue = now + waitS;
-        context.later(waitS, () -> flush(c));
-        if (!c.offers.isEmpty() && waitS > LENT_S) {
-          context.later(LENT_S, () -> flush(c));
+    if (waitS > 0 && now + 0.002 < claim.flushDue) {
+      if (now + waitS < claim.flushDue) {
+        claim.flushDue = now + waitS;
+        context.later(waitS, () -> flush(claim));
+        if (!claim.offers.isEmpty() && waitS > LENT_S) {
+          context.later(LENT_S, () -> flush(claim));
         }
       }
       return false;
     }
-    c.flushDue = Double.POSITIVE_INFINITY;
+    claim.flushDue = Double.POSITIVE_INFINITY;
     return true;
   }
 
-  void flush(Claim c) {
-    if (c.flying || c.loading || c.dropped) {
+  /** Records the pending changes of a claim if they are due and no transaction is in flight. */
+  void flush(Claim claim) {
+    if (claim.flying || claim.loading || claim.dropped) {
       return;
     }
-    if (!c.starts()) {
-      declineAll(c);
+    if (!claim.starts()) {
+      declineAll(claim);
     }
-    boolean over = !c.open() && c.live.isEmpty();
-    Quotas.Quota quota = quotas.of(c.spec.team());
-    boolean returns = returns(c, quota);
-    if (c.offers.isEmpty() && c.ends.isEmpty() && !over && !returns) {
+    boolean finishing = !claim.open() && claim.live.isEmpty();
+    Quotas.Quota quota = quotas.of(claim.spec.team());
+    boolean returns = returns(claim, quota);
+    if (claim.offers.isEmpty() && claim.ends.isEmpty() && !finishing && !returns) {
       return;
     }
-    if (!c.offers.isEmpty()) {
+    if (!claim.offers.isEmpty()) {
       context.store().anticipate(TYPICAL_CHANGES);
     }
     double pressure = pressureS();
-    if (!over && !returns && !due(c, canGather(c, quota) ? GATHER_S * (1 + pressure) : pressure)) {
+    if (!finishing
+        && !returns
+        && !due(claim, canGather(claim, quota) ? GATHER_S * (1 + pressure) : pressure)) {
       return;
     }
     if (quota != null && quota.busy) {
-      quota.waiting.add(() -> flush(c));
+      quota.waiting.add(() -> flush(claim));
       return;
     }
-    Flight f = planning.plan(c, quota, returns, this::decline);
-    if (f.starts().isEmpty() && f.ends().isEmpty() && !over && f.granted() == c.record.granted()) {
+    Flight plan = planning.plan(claim, quota, returns, this::decline);
+    if (plan.starts().isEmpty()
+        && plan.ends().isEmpty()
+        && !finishing
+        && plan.granted() == claim.record.granted()) {
       return;
     }
-    write(c, f, quota);
+    write(claim, plan, quota);
   }
 
   /**
-   * Whether the job is to give back what it was granted of its team's limit and has not used for a
-   * while. Its next end may do so, but that may be minutes away, and until then other jobs of the
-   * team would wait beside room, with the team below its limit; how large their tasks are is not
-   * known here, so little is much to some of them.
+   * Whether the job must return granted quota that it has not used for a while. Its next recorded
+   * end could return it, but that may be minutes away, and until then other jobs of the team would
+   * wait although capacity is free and the team is below its limit. Even a small amount is
+   * returned, because the task sizes of the other jobs are not known here.
    */
-  private boolean returns(Claim c, Quotas.Quota quota) {
-    if (!planning.unused(c, quota)) {
-      c.unusedSince = Double.POSITIVE_INFINITY;
+  private boolean returns(Claim claim, Quotas.Quota quota) {
+    if (!planning.unused(claim, quota)) {
+      claim.unusedSince = Double.POSITIVE_INFINITY;
       return false;
     }
     double now = context.now();
-    c.unusedSince = Math.min(c.unusedSince, now);
-    boolean tight = quota.room(c.size) < c.record.granted();
-    return now - c.unusedSince >= (tight ? UNUSED_TIGHT_S : UNUSED_S);
+    claim.unusedSince = Math.min(claim.unusedSince, now);
+    boolean tight = quota.room(claim.size) < claim.record.granted();
+    return now - claim.unusedSince >= (tight ? UNUSED_TIGHT_S : UNUSED_S);
   }
 
-  private void write(Claim c, Flight f, Quotas.Quota quota) {
+  private void write(Claim claim, Flight plan, Quotas.Quota quota) {
     String mark = context.store().newMark();
     int txnOps = context.settings().stateLimits().txnOps();
-    Txn txn = new Txn().when(JobRecord.key(c.id()), c.stamp);
-    int doneAfter = c.done;
+    Txn txn = new Txn().when(JobRecord.key(claim.id()), claim.stamp);
+    int doneAfter = claim.done;
     boolean anyPlaced = false;
-    for (var e : f.next().entrySet()) {
-      Chunk old = c.chunks.get(e.getKey());
-      txn.when(Chunk.key(c.id(), e.getKey()), old == null ? 0 : old.stamp);
-      doneAfter += e.getValue().done.cardinality() - (old == null ? 0 : old.done.cardinality());
+    for (var entry : plan.next().entrySet()) {
+      Chunk old = claim.chunks.get(entry.getKey());
+      txn.when(Chunk.key(claim.id(), entry.getKey()), old == null ? 0 : old.stamp);
+      doneAfter += entry.getValue().done.cardinality() - (old == null ? 0 : old.done.cardinality());
     }
-    for (var e : c.chunks.entrySet()) {
-      anyPlaced |= !f.next().getOrDefault(e.getKey(), e.getValue()).placed.isEmpty();
+    for (var entry : claim.chunks.entrySet()) {
+      anyPlaced |= !plan.next().getOrDefault(entry.getKey(), entry.getValue()).placed.isEmpty();
     }
     Status last = null;
-    if (c.open() && doneAfter == c.spec.tasks() && !c.spec.service()) {
+    if (claim.open() && doneAfter == claim.spec.tasks() && !claim.spec.service()) {
       last = Status.DONE;
-    } else if (!c.open() && !anyPlaced) {
-      last = c.record.status();
+    } else if (!claim.open() && !anyPlaced) {
+      last = claim.record.status();
     }
-    // A job in more chunks than a transaction takes is emptied first, a few chunks at a time.
-    boolean fits = c.chunks.size() + f.next().size() + 4 <= txnOps;
+    // A job with more chunks than one transaction can remove is emptied first, a few chunks at a
+    // time.
+    boolean fitsOneTransaction = claim.chunks.size() + plan.next().size() + 4 <= txnOps;
     Set<String> hosts = new HashSet<>();
-    for (Starting s : f.starts()) {
-      if (hosts.add(s.placement().host())) {
-        Holds.condition(txn, s.placement().host(), s.held().offer().holdStamp());
+    for (Starting start : plan.starts()) {
+      if (hosts.add(start.placement().host())) {
+        Holds.condition(txn, start.placement().host(), start.held().offer().holdStamp());
       }
     }
-    for (Ended e : f.ends()) {
-      if (e.conditional() && hosts.add(e.placement().host())) {
-        Holds.condition(txn, e.placement().host(), e.holdStamp());
+    for (Ended ended : plan.ends()) {
+      if (ended.conditional() && hosts.add(ended.placement().host())) {
+        Holds.condition(txn, ended.placement().host(), ended.holdStamp());
       }
     }
     JobRecord rewritten = null;
     List<Integer> emptied = new ArrayList<>();
-    int granted = last == null ? f.granted() : 0;
-    if (last != null && fits) {
-      txn.put(JobRecord.finalKey(c.id()), JobRecord.writeFinal(last, mark));
-      txn.remove(JobRecord.key(c.id()));
-      c.chunks.keySet().forEach(i -> txn.remove(Chunk.key(c.id(), i)));
+    int granted = last == null ? plan.granted() : 0;
+    if (last != null && fitsOneTransaction) {
+      txn.put(JobRecord.finalKey(claim.id()), JobRecord.writeFinal(last, mark));
+      txn.remove(JobRecord.key(claim.id()));
+      claim.chunks.keySet().forEach(i -> txn.remove(Chunk.key(claim.id(), i)));
     } else if (last != null) {
-      rewritten = c.record.with(last).granting(0);
-      txn.put(JobRecord.key(c.id()), rewritten.write(mark));
-      for (int i : c.chunks.keySet()) {
+      rewritten = claim.record.with(last).granting(0);
+      txn.put(JobRecord.key(claim.id()), rewritten.write(mark));
+      for (int i : claim.chunks.keySet()) {
         if (emptied.size() + 4 < txnOps) {
           emptied.add(i);
-          txn.remove(Chunk.key(c.id(), i));
+          txn.remove(Chunk.key(claim.id(), i));
         }
       }
     } else {
-      f.next().forEach((i, chunk) -> txn.put(Chunk.key(c.id(), i), chunk.write(mark)));
-      if (granted != c.record.granted()) {
-        rewritten = c.record.granting(granted);
-        txn.put(JobRecord.key(c.id()), rewritten.write(mark));
+      plan.next().forEach((i, chunk) -> txn.put(Chunk.key(claim.id(), i), chunk.write(mark)));
+      if (granted != claim.record.granted()) {
+        rewritten = claim.record.granting(granted);
+        txn.put(JobRecord.key(claim.id()), rewritten.write(mark));
       }
     }
-    boolean regrant = quota != null && granted != c.record.granted();
-    Size used = regrant ? quota.used.plus(c.size.times(granted - c.record.granted())) : Size.NONE;
+    boolean regrant = quota != null && granted != claim.record.granted();
+    Size used =
+        regrant ? quota.used.plus(claim.size.times(granted - claim.record.granted())) : Size.NONE;
     if (regrant) {
       quota.busy = true;
       txn.when(quota.key(), quota.stamp).put(quota.key(), Quotas.write(used, mark));
     }
     if (context.store().writeDelayS() > NO_PRESSURE_S) {
-      // The record may come later than offers live: their holders hear that they are answered.
-      for (Starting s : f.starts()) {
-        Message.Offer o = s.held().offer();
-        context.peers().send(s.held().holder(), new Message.Taking(o.offer(), o.host()));
+      // The write may take longer than offers are valid, so holders are notified to keep them.
+      for (Starting start : plan.starts()) {
+        Message.Offer offer = start.held().offer();
+        context
+            .peers()
+            .send(start.held().holder(), new Message.Taking(offer.offer(), offer.host()));
       }
     }
-    c.flying = true;
-    c.starting = f.starts().size();
+    claim.flying = true;
+    claim.starting = plan.starts().size();
     Status finalStatus = last;
     JobRecord record = rewritten;
     context
@@ -268,25 +287,34 @@
         .commit(
             txn,
             mark,
-            urgency(c),
-            done -> {
-              c.flying = false;
-              c.starting = 0;
-              if (done.ok()) {
+            urgency(claim),
+            result -> {
+              claim.flying = false;
+              claim.starting = 0;
+              if (result.ok()) {
                 if (regrant) {
-                  quotas.saw(quota, Quotas.write(used, mark), done.revision());
+                  quotas.saw(quota, Quotas.write(used, mark), result.revision());
                 }
-                // Whatever comes of it, the team's record is free for others again.
+                // The decision lock contains failures, so that the quota is released in any case.
                 context
                     .decisionLock()
-                    .run(() -> written(c, f, finalStatus, record, emptied, mark, done.revision()));
-              } else if (!c.dropped) {
-                refused(c, f, done);
+                    .run(
+                        () ->
+                            written(
+                                claim,
+                                plan,
+                                finalStatus,
+                                record,
+                                emptied,
+                                mark,
+                                result.revision()));
+              } else if (!claim.dropped) {
+                refused(claim, plan, result);
               } else {
-                f.starts().forEach(s -> decline(s.held()));
+                plan.starts().forEach(start -> decline(start.held()));
               }
-              if (regrant && !done.ok() && done.failed().contains(quota.key())) {
-                refresh(quota, c);
+              if (regrant && !result.ok() && result.failed().contains(quota.key())) {
+                refresh(quota, claim);
               } else if (regrant) {
                 quota.release();
               }
@@ -294,127 +322,138 @@
   }
 
   /**
-   * What the lowest priority has to record waits behind all else: a swarm of small jobs would use
-   * up the budget, and the others' starts would wait for room that they have.
+   * Writes of best-effort jobs have the lowest urgency: many small jobs could otherwise use up the
+   * write budget and delay the starts of other jobs that already have capacity.
    */
-  private static Store.Urgency urgency(Claim c) {
-    return c.spec.priority() == Priority.BEST_EFFORT && c.standing == Begin.Standing.ORDINARY
+  private static Store.Urgency urgency(Claim claim) {
+    return claim.spec.priority() == Priority.BEST_EFFORT
+            && claim.standing == Begin.Standing.ORDINARY
         ? Store.Urgency.BACKGROUND
         : Store.Urgency.CORE;
   }
 
-  /** Whether the hold of a machine is not any more what it was at that stamp. */
+  /** Whether the condition that a machine's hold is unchanged since this version has failed. */
   private static boolean holdFailed(Set<String> failed, String host, long stamp) {
     return failed.contains(Holds.key(host)) || stamp < 0 && failed.contains(Holds.ROSTER);
   }
 
   private void written(
-      Claim c,
-      Flight f,
+      Claim claim,
+      Flight plan,
       Status last,
       JobRecord rewritten,
       List<Integer> emptied,
       String mark,
       long revision) {
-    for (Ended e : f.ends()) {
-      if (e.end() == End.GONE) {
-        // While this was written the machine may have shown the attempt, which counted as placed.
-        c.unread.add(e.placement().host());
+    for (Ended ended : plan.ends()) {
+      if (ended.end() == End.GONE) {
+        // A view that arrived during the write may show this attempt, which still counted as placed
+        // then; it is compared again.
+        claim.unread.add(ended.placement().host());
       } else {
-        Room.Seen s = room.get(e.placement().host());
-        if (s != null) {
+        Room.Seen machine = room.get(ended.placement().host());
+        if (machine != null) {
           context
               .peers()
               .send(
-                  s.holder(),
+                  machine.holder(),
                   new Message.Clear(
-                      e.placement().host(),
-                      c.record.term(),
-                      c.id(),
-                      e.number(),
-                      e.placement().attempt()));
+                      ended.placement().host(),
+                      claim.record.term(),
+                      claim.id(),
+                      ended.number(),
+                      ended.placement().attempt()));
         }
       }
     }
     if (last != null && rewritten == null) {
-      // The replica may have shown the end before the answer came.
-      claims.finished(c, last, revision);
+      // The replica may have applied the end before the response arrived.
+      claims.finished(claim, last, revision);
       return;
     }
-    if (c.dropped) {
-      // Written just before the claim went to another controller, which will find it.
+    if (claim.dropped) {
+      // Recorded just before another controller took over the claim; that one reads it.
       return;
     }
-    for (Starting s : f.starts()) {
-      Message.Offer o = s.held().offer();
-      if (!c.starts()) {
-        // Cancelled while it was recorded: it is never started, and its holder soon says so.
-        decline(s.held());
+    for (Starting start : plan.starts()) {
+      Message.Offer offer = start.held().offer();
+      if (!claim.starts()) {
+        // The job was cancelled during the write: the attempt is never started, and its holder will
+        // deny it when probed.
+        decline(start.held());
         continue;
       }
-      if (c.strays.blocks(s.number())) {
-        // It is recorded; never started, its holder denies it when asked, and it is placed anew.
+      if (claim.strays.blocks(start.number())) {
+        // The placement is recorded but never started; its holder denies the attempt when probed,
+        // and the task is placed again.
         context
             .safety()
             .violated(
                 Invariant.STARTED_BESIDE_ANOTHER_ATTEMPT,
-                c.id() + "/" + s.number() + " on " + o.host() + " as " + s.placement());
-        decline(s.held());
+                claim.id()
+                    + "/"
+                    + start.number()
+                    + " on "
+                    + offer.host()
+                    + " as "
+                    + start.placement());
+        decline(start.held());
         continue;
       }
       LOG.log(
           Level.DEBUG,
-          "placed {0}/{1} on {2}: attempt {3}, term {4}, offer of {5}, token {6}, session {7},"
+          "placed task {0}/{1} on {2}: attempt {3}, term {4}, offer from {5}, token {6}, session {7},"
               + " hold stamp {8}",
-          c.id(),
-          s.number(),
-          o.host(),
-          s.placement().attempt(),
-          c.record.term(),
-          s.held().holder(),
-          o.token(),
-          o.session(),
-          o.holdStamp());
+          claim.id(),
+          start.number(),
+          offer.host(),
+          start.placement().attempt(),
+          claim.record.term(),
+          start.held().holder(),
+          offer.token(),
+          offer.session(),
+          offer.holdStamp());
       context
           .peers()
           .send(
-              s.held().holder(),
+              start.held().holder(),
               new Message.Start(
-                  o.offer(),
-                  o.host(),
-                  o.token(),
-                  s.placement().session(),
-                  c.record.term(),
-                  c.id(),
-                  s.number(),
-                  s.placement().attempt()));
+                  offer.offer(),
+                  offer.host(),
+                  offer.token(),
+                  start.placement().session(),
+                  claim.record.term(),
+                  claim.id(),
+                  start.number(),
+                  start.placement().attempt()));
     }
     if (rewritten != null) {
-      if (revision > c.stamp) {
-        // Otherwise somebody has cancelled the job since, and the replica has shown that before
-        // the answer came: taken for open again, the job would never end.
-        c.record = rewritten;
-        c.stamp = revision;
+      if (revision > claim.stamp) {
+        // Otherwise another controller has cancelled the job since, and the replica has applied
+        // that before the response arrived. Replacing it with the older open record would keep the
+        // job from ever ending.
+        claim.record = rewritten;
+        claim.stamp = revision;
       }
-      context.jobs().wrote(c.id(), rewritten, mark, revision);
+      context.jobs().wrote(claim.id(), rewritten, mark, revision);
     }
     if (last != null) {
-      emptied.forEach(c.chunks::remove);
-      c.forgetAllLive();
-      flush(c);
+      emptied.forEach(claim.chunks::remove);
+      claim.forgetAllLive();
+      flush(claim);
       return;
     }
-    f.next().forEach((i, chunk) -> c.install(i, chunk.copy(revision)));
+    plan.next().forEach((i, chunk) -> claim.install(i, chunk.copy(revision)));
     double now = context.now();
-    f.starts().forEach(s -> c.live.get(s.number()).probedAt = now);
-    if (!f.starts().isEmpty()) {
-      wantPlacement.served(c, now);
+    plan.starts().forEach(start -> claim.live.get(start.number()).probedAt = now);
+    if (!plan.starts().isEmpty()) {
+      wantPlacement.served(claim, now);
     }
-    claims.review(c);
+    claims.review(claim);
   }
 
-  /** Another controller has changed the team's record: it is read before it is changed again. */
-  private void refresh(Quotas.Quota quota, Claim c) {
+  /** Reads the team's record again after another controller has changed it, then retries. */
+  private void refresh(Quotas.Quota quota, Claim claim) {
     context
         .store()
         .get(
@@ -425,42 +464,46 @@
                 quotas.saw(quota, got.value(), got.stamp());
               }
               quota.release();
-              flush(c);
+              flush(claim);
             });
   }
 
-  private void refused(Claim c, Flight f, Store.Done done) {
-    Set<String> failed = new HashSet<>(done.failed());
-    LOG.log(Level.DEBUG, "recording of {0} refused: {1}", c.id(), failed);
-    boolean jobFailed = failed.contains(JobRecord.key(c.id()));
-    boolean chunkFailed = failed.stream().anyMatch(k -> k.startsWith(Chunk.prefix(c.id())));
-    for (Starting s : f.starts()) {
+  private void refused(Claim claim, Flight plan, Store.Done result) {
+    Set<String> failed = new HashSet<>(result.failed());
+    LOG.log(
+        Level.DEBUG,
+        "transaction for job {0} rejected, failed conditions: {1}",
+        claim.id(),
+        failed);
+    boolean jobFailed = failed.contains(JobRecord.key(claim.id()));
+    boolean chunkFailed = failed.stream().anyMatch(k -> k.startsWith(Chunk.prefix(claim.id())));
+    for (Starting start : plan.starts()) {
       if (jobFailed
           || chunkFailed
-          || holdFailed(failed, s.placement().host(), s.held().offer().holdStamp())) {
-        decline(s.held());
+          || holdFailed(failed, start.placement().host(), start.held().offer().holdStamp())) {
+        decline(start.held());
       } else {
-        c.offers.add(s.held());
+        claim.offers.add(start.held());
       }
     }
-    for (Ended e : f.ends()) {
-      boolean proofGone =
-          e.conditional() && holdFailed(failed, e.placement().host(), e.holdStamp());
-      Live l = c.live.get(e.number());
-      if (proofGone && l != null) {
-        // Looked at again, for what has changed the hold may prove it as well: the machine's end,
-        // confirmed while this was believed, is not told of a second time.
-        l.ending = false;
-        l.shown = false;
+    for (Ended ended : plan.ends()) {
+      boolean proofInvalid =
+          ended.conditional() && holdFailed(failed, ended.placement().host(), ended.holdStamp());
+      Live attempt = claim.live.get(ended.number());
+      if (proofInvalid && attempt != null) {
+        // Checks the attempt again, because the change of the hold may prove its end as well: a
+        // machine deletion that was confirmed while this proof was pending is not reported twice.
+        attempt.ending = false;
+        attempt.shown = false;
       } else {
-        c.ends.add(e);
+        claim.ends.add(ended);
       }
     }
     if (jobFailed || chunkFailed || failed.isEmpty()) {
-      declineAll(c);
-      claims.reload(c);
+      declineAll(claim);
+      claims.reload(claim);
       return;
     }
-    context.later(0.05, () -> flush(c));
+    context.later(0.05, () -> flush(claim));
   }
 }
--- a/src/main/java/dev/dunefront/claim/Room.java
+++ b/src/main/java/dev/dunefront/claim/Room.java
@@ -9,16 +9,25 @@
 import java.util.Map;
 
 /**
- * All held machines as their holders describe them. Machines are kept by kind as well, and those
- * with room apart, so that no decision has to walk over all of them.
+ * All held machines with the latest view received from their holders. Also counts machines by kind
+ * and indexes those with free capacity, so that decisions need not iterate over all machines.
  */
 public final class Room {
-  /** What a job may be allowed or not: type, zone, spot. Each kind has a dense index. */
+  /**
+   * The machine properties that job constraints refer to.
+   *
+   * @param index dense index of the kind
+   */
   public record Kind(int index, String type, String zone, boolean spot) {}
 
-  /** A machine as told at a time; {@code mix} spreads equal choices over machines. */
+  /**
+   * A machine and its latest view.
+   *
+   * @param mix hash that spreads equal choices over machines
+   * @param at time at which the view was received
+   */
   public record Seen(String holder, View view, Kind kind, int mix, double at) {
-    /** Whether anything may fit right now. */
+    /** Whether the machine is open and has free capacity. */
     public boolean roomy() {
       return view.roomy();
     }
@@ -31,21 +40,22 @@
   private final List<Integer> counts = new ArrayList<>();
   private long openings;
 
+  /** Stores a view unless it is older than the known one; returns the previous entry or null. */
   Seen put(String holder, View view, double now) {
     Seen old = machines.get(view.host());
     if (old != null && old.view.token() > view.token()) {
-      // A former holder's last words.
+      // An outdated view from a former holder.
       return old;
     }
     Kind kind = old != null ? old.kind : kind(view);
-    int mix = old != null ? old.mix : view.host().hashCode() * 0x9E3779B9;
-    Seen seen = new Seen(holder, view, kind, mix, now);
-    machines.put(view.host(), seen);
+    int tieBreaker = old != null ? old.mix : view.host().hashCode() * 0x9E3779B9;
+    Seen current = new Seen(holder, view, kind, tieBreaker, now);
+    machines.put(view.host(), current);
     if (old == null) {
       counts.set(kind.index, counts.get(kind.index) + 1);
     }
-    if (seen.roomy()) {
-      Seen before = roomy.put(view.host(), seen);
+    if (current.roomy()) {
+      Seen before = roomy.put(view.host(), current);
       if (before == null
           || view.free().cpu() > before.view.free().cpu()
           || view.free().ram() > before.view.free().ram()) {
@@ -57,17 +67,18 @@
     return old;
   }
 
-  private Kind kind(View v) {
+  private Kind kind(View view) {
     return kindsByName.computeIfAbsent(
-        v.type() + "/" + v.zone() + (v.spot() ? "/spot" : ""),
-        name -> {
-          Kind k = new Kind(kinds.size(), v.type(), v.zone(), v.spot());
-          kinds.add(k);
+        view.type() + "/" + view.zone() + (view.spot() ? "/spot" : ""),
+        key -> {
+          Kind kind = new Kind(kinds.size(), view.type(), view.zone(), view.spot());
+          kinds.add(kind);
           counts.add(0);
-          return k;
+          return kind;
         });
   }
 
+  /** Removes a machine if it is held by this holder; returns whether it was. */
   boolean remove(String holder, String host) {
     Seen old = machines.get(host);
     if (old == null || !old.holder.equals(holder)) {
@@ -79,17 +90,19 @@
     return true;
   }
 
+  /** Removes all machines of a holder and returns their names. */
   List<String> removeAll(String holder) {
     List<String> gone = new ArrayList<>();
-    for (Seen s : machines.values()) {
-      if (s.holder.equals(holder)) {
-        gone.add(s.view.host());
+    for (Seen machine : machines.values()) {
+      if (machine.holder.equals(holder)) {
+        gone.add(machine.view.host());
       }
     }
     gone.forEach(host -> remove(holder, host));
     return gone;
   }
 
+  /** The entry of a machine; null if unknown. */
   public Seen get(String host) {
     return machines.get(host);
   }
@@ -98,22 +111,22 @@
     return machines.values();
   }
 
-  /** Machines with room of any size. */
+  /** Open machines with any free capacity. */
   Collection<Seen> roomy() {
     return roomy.values();
   }
 
-  /** Every kind that was ever seen, by index. */
+  /** All kinds seen so far, by index. */
   List<Kind> kinds() {
     return kinds;
   }
 
-  /** How many machines of the kind there are. */
+  /** Number of known machines of the kind. */
   int count(Kind kind) {
     return counts.get(kind.index);
   }
 
-  /** Rises whenever room has opened somewhere. */
+  /** A counter that increases whenever the free capacity of a machine grows. */
   long openings() {
     return openings;
   }
--- a/src/main/java/dev/dunefront/claim/RoomInterest.java
+++ b/src/main/java/dev/dunefront/claim/RoomInterest.java
@@ -6,19 +6,19 @@
 import dev.dunefront.peer.Peers;
 
 /**
- * Subscribes to what the other controllers tell of their machines: to room while a job here looks
- * for it, to everything while that is needed. A need lapses by itself; a rise is declared at once,
- * a fall with the next tick, and whatever holds is declared again and again, so that a declaration
- * that is lost is missed for a moment only.
+ * Subscribes to the other controllers' views of their machines: to free capacity while a job here
+ * searches for it, and to full detail while that is required. A requirement expires on its own. An
+ * increase of the level is sent immediately, a decrease with the next tick, and the present level
+ * is resent periodically, so that a lost message has only a short effect.
  */
 public final class RoomInterest {
-  /** A need that is not expressed again is over after so long, in seconds. */
+  /** A requirement that is not renewed expires after this time. */
   static final double LINGER_S = 1;
 
-  /** What holds is declared again so often, in seconds. */
+  /** Interval at which the present level is resent. */
   static final double REPEAT_S = 2;
 
-  /** So long after a rise holders will have told what was missed, in seconds. */
+  /** Time after an increase within which holders send the views that were withheld. */
   static final double SETTLE_S = 0.04;
 
   private final Peers peers;
@@ -29,7 +29,9 @@
   private double declaredAt = Double.NEGATIVE_INFINITY;
   private double settledAt = Double.NEGATIVE_INFINITY;
 
-  /** {@code settled} is run some time after a rise, when it is time to look again. */
+  /**
+   * @param settled run once the views requested by an increase of the level should have arrived
+   */
   RoomInterest(Peers peers, Timers timers, Runnable settled) {
     this.peers = peers;
     this.timers = timers;
@@ -37,9 +39,9 @@
   }
 
   /**
-   * As much as this is needed from now on for a while.
+   * Requires at least this level of detail for the next {@link #NEED_EXPIRY_S} seconds.
    *
-   * @return when what is known can be relied on: a time past, or shortly after now
+   * @return time from which the known views are reliable; past, or shortly after now
    */
   public double need(Detail detail) {
     double now = timers.now();
@@ -52,7 +54,7 @@
     return settledAt;
   }
 
-  /** Called several times a second. */
+  /** Sends a decrease or a periodic renewal if due; called several times per second. */
   void tick() {
     double now = timers.now();
     Detail needed = Detail.STANDING;
@@ -66,7 +68,7 @@
     }
   }
 
-  /** A controller can be reached again, perhaps in another life. */
+  /** Sends the present level to a controller that is reachable again, perhaps after a restart. */
   void reached(String node) {
     peers.send(node, new Message.Interest(declared));
   }
--- a/src/main/java/dev/dunefront/claim/Strays.java
+++ b/src/main/java/dev/dunefront/claim/Strays.java
@@ -7,11 +7,12 @@
 import java.util.function.IntPredicate;
 
 /**
- * Attempts of one job that holders show as alive and that no record names. They must not run: each
- * is stopped again and again until it is seen gone, and until then its task is not placed anew.
+ * The stray attempts of one job: holders report them as alive, but no record lists them. They must
+ * not run: stop requests are repeated until a view confirms that the attempt is gone, and its task
+ * is not placed again before that.
  */
 final class Strays {
-  /** One such attempt. */
+  /** One stray attempt. */
   static final class Stray {
     final int number;
     final long attempt;
@@ -25,80 +26,80 @@
     }
   }
 
-  /** By machine and number of the task. */
+  /** Stray attempts by machine and task number. */
   private final Map<String, Map<Integer, Stray>> alive = new HashMap<>();
 
   boolean isEmpty() {
     return alive.isEmpty();
   }
 
-  /** The machines that show such attempts. */
+  /** The machines with stray attempts. */
   Set<String> hosts() {
     return alive.keySet();
   }
 
-  /** The attempts that a machine shows, by number of the task. */
+  /** The stray attempts on a machine, by task number. */
   Map<Integer, Stray> on(String host) {
     return alive.getOrDefault(host, Map.of());
   }
 
   /**
-   * A machine shows such an attempt.
+   * Records a stray attempt.
    *
-   * @return whether it was not known before
+   * @return whether no stray attempt of this task on this machine was known before
    */
   boolean shown(String host, int number, long attempt, long session) {
-    Map<Integer, Stray> here = alive.computeIfAbsent(host, h -> new HashMap<>());
-    Stray known = here.get(number);
+    Map<Integer, Stray> onMachine = alive.computeIfAbsent(host, h -> new HashMap<>());
+    Stray known = onMachine.get(number);
     if (known != null && known.attempt == attempt && known.session == session) {
       return false;
     }
-    here.put(number, new Stray(number, attempt, session));
+    onMachine.put(number, new Stray(number, attempt, session));
     return known == null;
   }
 
   /**
-   * Forgets attempts on a machine.
+   * Removes stray attempts on a machine.
    *
    * @param gone whether the attempt of the task with this number is gone
-   * @return how many were forgotten
+   * @return the number of removed attempts
    */
   int forget(String host, IntPredicate gone) {
-    Map<Integer, Stray> here = alive.get(host);
-    if (here == null) {
+    Map<Integer, Stray> onMachine = alive.get(host);
+    if (onMachine == null) {
       return 0;
     }
-    int before = here.size();
-    here.keySet().removeIf(gone::test);
-    if (here.isEmpty()) {
+    int before = onMachine.size();
+    onMachine.keySet().removeIf(gone::test);
+    if (onMachine.isEmpty()) {
       alive.remove(host);
     }
-    return before - here.size();
+    return before - onMachine.size();
   }
 
-  /** How many there are. */
+  /** Total number of stray attempts. */
   int count() {
-    int n = 0;
-    for (Map<Integer, Stray> here : alive.values()) {
-      n += here.size();
+    int total = 0;
+    for (Map<Integer, Stray> onMachine : alive.values()) {
+      total += onMachine.size();
     }
-    return n;
+    return total;
   }
 
-  /** Whether the task with this number must not be placed, for another attempt of it may run. */
+  /** Whether the task must not be placed because a stray attempt of it may still run. */
   boolean blocks(int number) {
-    for (Map<Integer, Stray> here : alive.values()) {
-      if (here.containsKey(number)) {
+    for (Map<Integer, Stray> onMachine : alive.values()) {
+      if (onMachine.containsKey(number)) {
         return true;
       }
     }
     return false;
   }
 
-  /** How many tasks are blocked that are not among the given ones. */
+  /** Number of blocked tasks that are not in the given set. */
   int blockedOutside(BitSet busy) {
     BitSet blocked = new BitSet();
-    alive.values().forEach(here -> here.keySet().forEach(blocked::set));
+    alive.values().forEach(onMachine -> onMachine.keySet().forEach(blocked::set));
     blocked.andNot(busy);
     return blocked.cardinality();
   }
--- a/src/main/java/dev/dunefront/claim/Takeover.java
+++ b/src/main/java/dev/dunefront/claim/Takeover.java
@@ -17,32 +17,35 @@
 import java.util.Set;
 
 /**
- * Takes jobs that nobody has claimed, or whose claimant is gone. All living controllers work out
- * alike, from a job's name and who lives, in which order they may take it; so hundreds of claims
- * that lapse at once are dealt out without anybody who deals, and without a write for it. Whoever
- * comes first takes its part at once, the most urgent first, many in one transaction; whoever comes
- * next waits for as long as those before it are seen to get on with theirs.
+ * Claims jobs that have no claim or whose claim owner is no longer alive. All live controllers
+ * compute the same order of preference for a job from its id and the set of live nodes (rendezvous
+ * hashing), so hundreds of claims that lapse at once are distributed without a coordinator and
+ * without additional writes. The first node in the order claims the job immediately, by priority
+ * and in batches. Each following node waits as long as the nodes before it are seen to make
+ * progress.
  */
 final class Takeover {
   private static final System.Logger LOG = System.getLogger(Takeover.class.getName());
 
-  /** How long whoever comes next waits for each before it that does not get on. */
+  /** How long a node waits for each preferred node before it that makes no progress. */
   static final double RANK_WAIT_S = 0.4;
 
-  /** So many records are written in one transaction at most; they are small, but not tiny. */
+  /** Maximum number of job records per transaction, which keeps its size within limits. */
   private static final int BATCH = 12;
 
-  /** The answer to a write comes sooner than this, if it ever does. */
+  /** A response to a write that has not arrived within this time is considered lost. */
   private static final double UNADOPTED_S = 2;
 
   private final ControllerContext context;
   private final Claims claims;
+
+  /** Jobs with a claiming write in flight. */
   private final Set<String> claiming = new HashSet<>();
 
-  /** Since when a job without a live claim has been seen. */
+  /** When a job was first seen without a live claim, or with an own claim that is not adopted. */
   private final Map<String, Double> orphans = new HashMap<>();
 
-  /** When a controller was last seen to have taken a job from another. */
+  /** When each controller was last seen to take over a job from another one. */
   private final Map<String, Double> progress = new HashMap<>();
 
   Takeover(ControllerContext context, Claims claims) {
@@ -53,9 +56,9 @@
   /**
    * A job without a live claim.
    *
-   * @param fresh nobody has claimed it yet
-   * @param sinceS time at which that was first seen
-   * @param before controllers that may take it before this one
+   * @param fresh whether the job has never been claimed
+   * @param sinceS time at which the lack of a live claim was first seen
+   * @param before controllers that precede this one in the job's order of preference
    */
   record Lapsed(
       String id,
@@ -66,48 +69,50 @@
       List<String> before) {}
 
   /**
-   * Those that this controller may take now, in the order of need.
+   * The ids of the jobs that this controller may claim now, by priority, then oldest record first.
    *
-   * @param progress when a controller was last seen to take a job
+   * @param progress when each controller was last seen to take over a job
    */
   static List<String> due(List<Lapsed> lapsed, Map<String, Double> progress, double now) {
     return lapsed.stream()
-        .filter(l -> now >= from(l, progress))
+        .filter(job -> now >= from(job, progress))
         .sorted(Comparator.comparing(Lapsed::priority).thenComparing(Lapsed::stamp))
         .map(Lapsed::id)
         .toList();
   }
 
-  private static double from(Lapsed l, Map<String, Double> progress) {
-    double from = l.sinceS;
-    if (!l.fresh) {
-      // A job that nobody has claimed yet may be too large for the share of those before.
-      for (String node : l.before) {
-        from = Math.max(from, progress.getOrDefault(node, from));
+  private static double from(Lapsed job, Map<String, Double> progress) {
+    double claimableAt = job.sinceS;
+    if (!job.fresh) {
+      // Does not apply to a job that was never claimed: it may exceed the share of the preferred
+      // nodes, which then never claim it.
+      for (String node : job.before) {
+        claimableAt = Math.max(claimableAt, progress.getOrDefault(node, claimableAt));
       }
     }
-    return from + l.before.size() * RANK_WAIT_S;
+    return claimableAt + job.before.size() * RANK_WAIT_S;
   }
 
-  /** This controller has become another incarnation. */
+  /** Discards pending writes because this controller has become a new incarnation. */
   void reborn() {
     claiming.clear();
   }
 
+  /** Handles the adoption of a job by this controller. */
   void adopted(String id) {
     orphans.remove(id);
   }
 
-  /** A record shows another claimant than before. */
+  /** Records the progress of a controller that has taken over a job from another one. */
   void jobChanged(JobTable.Entry before, JobTable.Entry entry) {
-    String from = before == null ? null : before.record().claim();
-    String claim = entry == null ? null : entry.record().claim();
-    if (from != null && claim != null && !claim.equals(from)) {
-      progress.put(Membership.nodeOf(claim), context.now());
+    String previousClaim = before == null ? null : before.record().claim();
+    String newClaim = entry == null ? null : entry.record().claim();
+    if (previousClaim != null && newClaim != null && !newClaim.equals(previousClaim)) {
+      progress.put(Membership.nodeOf(newClaim), context.now());
     }
   }
 
-  /** Called several times a second. */
+  /** Claims jobs that are due; called several times per second. */
   void tick(double now) {
     String self = context.membership().self();
     if (self == null
@@ -117,130 +122,133 @@
         || context.store().down()) {
       return;
     }
-    Map<String, JobTable.Entry> lapsed = new LinkedHashMap<>();
-    List<JobTable.Entry> ours = new ArrayList<>();
-    Set<String> seen = new HashSet<>();
-    for (JobTable.Entry e : context.jobs().all()) {
-      String claim = e.record().claim();
-      String id = e.record().spec().id();
+    Map<String, JobTable.Entry> unowned = new LinkedHashMap<>();
+    List<JobTable.Entry> unadopted = new ArrayList<>();
+    Set<String> found = new HashSet<>();
+    for (JobTable.Entry entry : context.jobs().all()) {
+      String claim = entry.record().claim();
+      String id = entry.record().spec().id();
       if (claim == null || !context.membership().alive(claim)) {
-        lapsed.put(id, e);
-        seen.add(id);
-      } else if (e.record().heldBy(self) && !claims.has(id) && !claiming.contains(id)) {
-        ours.add(e);
-        seen.add(id);
+        unowned.put(id, entry);
+        found.add(id);
+      } else if (entry.record().heldBy(self) && !claims.has(id) && !claiming.contains(id)) {
+        unadopted.add(entry);
+        found.add(id);
       }
     }
-    orphans.keySet().retainAll(seen);
-    for (JobTable.Entry e : ours) {
-      // Accepted and claimed in one write whose answer was lost: to all others it has a living
-      // claimant, and were it not taken up here it would wait for ever.
-      if (now - orphans.computeIfAbsent(e.record().spec().id(), k -> now) > UNADOPTED_S) {
-        LOG.log(Level.INFO, "takes up {0}, whose acceptance was unclear", e.record().spec().id());
-        claims.adopt(e.record().spec().id(), false);
+    orphans.keySet().retainAll(found);
+    for (JobTable.Entry entry : unadopted) {
+      // The job was accepted and claimed in one write whose response was lost. For all other
+      // controllers it has a live claim, so without adoption here it would wait forever.
+      if (now - orphans.computeIfAbsent(entry.record().spec().id(), k -> now) > UNADOPTED_S) {
+        LOG.log(
+            Level.INFO,
+            "adopting job {0}: the response to its accepting write was lost",
+            entry.record().spec().id());
+        claims.adopt(entry.record().spec().id(), false);
       }
     }
-    if (!lapsed.isEmpty()) {
-      take(lapsed, now);
+    if (!unowned.isEmpty()) {
+      take(unowned, now);
     }
   }
 
-  private void take(Map<String, JobTable.Entry> lapsed, double now) {
-    List<Lapsed> all = new ArrayList<>();
-    lapsed.forEach(
-        (id, e) -> {
+  private void take(Map<String, JobTable.Entry> unowned, double now) {
+    List<Lapsed> jobs = new ArrayList<>();
+    unowned.forEach(
+        (id, entry) -> {
           double since = orphans.computeIfAbsent(id, k -> now);
           if (!claiming.contains(id) && !claims.has(id)) {
-            Priority priority = e.record().spec().priority();
-            all.add(new Lapsed(id, priority, e.stamp(), fresh(e), since, before(id)));
+            Priority priority = entry.record().spec().priority();
+            jobs.add(new Lapsed(id, priority, entry.stamp(), fresh(entry), since, before(id)));
           }
         });
-    boolean batched = !claiming.isEmpty();
-    List<JobTable.Entry> taken = new ArrayList<>();
-    // What was refused once is refused to all like it: each question looks at all claims.
+    boolean writeInFlight = !claiming.isEmpty();
+    List<JobTable.Entry> batch = new ArrayList<>();
+    // Admission iterates over all claims, so a refusal is reused for equivalent jobs.
     Set<Queue.Shape> refused = new HashSet<>();
-    for (String id : due(all, progress, now)) {
-      JobTable.Entry e = lapsed.get(id);
-      if (fresh(e)) {
-        // Never claimed: only as far as this controller's share goes, unless it is overdue to
-        // begin, for one huge job may fill the shares of all. Behind one like it that waits here
-        // it would only wait as well.
-        Queue.Shape shape = Queue.Shape.of(e.record().spec());
-        if (!refused.contains(shape) && claims.admits(e.record().spec())
-            || overdue(e) && !claims.waitsAlike(shape)) {
-          write(List.of(e));
+    for (String id : due(jobs, progress, now)) {
+      JobTable.Entry entry = unowned.get(id);
+      if (fresh(entry)) {
+        // A job that was never claimed is claimed only within this controller's share, unless its
+        // start is overdue: one huge job may fill the shares of all controllers. An overdue job is
+        // not claimed behind an equivalent one that waits here, as it would have to wait as well.
+        Queue.Shape shape = Queue.Shape.of(entry.record().spec());
+        if (!refused.contains(shape) && claims.admits(entry.record().spec())
+            || overdue(entry) && !claims.waitsAlike(shape)) {
+          write(List.of(entry));
         } else {
           refused.add(shape);
         }
-      } else if (!batched && taken.size() < BATCH) {
-        // One batch at a time: what others have taken by then is left out of the next.
-        taken.add(e);
+      } else if (!writeInFlight && batch.size() < BATCH) {
+        // One batch at a time, so that the next one excludes jobs claimed by others meanwhile.
+        batch.add(entry);
       }
     }
-    if (!taken.isEmpty()) {
-      write(taken);
+    if (!batch.isEmpty()) {
+      write(batch);
     }
   }
 
-  private boolean overdue(JobTable.Entry e) {
-    double ageS = (context.timers().timeOfDayMs() - e.record().acceptedMs()) / 1000.0;
+  private boolean overdue(JobTable.Entry entry) {
+    double ageS = (context.timers().timeOfDayMs() - entry.record().acceptedMs()) / 1000.0;
     return Begin.of(false, ageS, context.tunables().beginS()) != Begin.Standing.ORDINARY;
   }
 
-  private static boolean fresh(JobTable.Entry e) {
-    return e.record().term() == 0 && e.record().status() == Status.OPEN;
+  private static boolean fresh(JobTable.Entry entry) {
+    return entry.record().term() == 0 && entry.record().status() == Status.OPEN;
   }
 
-  /** The controllers that may take the job before this one. */
+  /** The live controllers that precede this one in the job's order of preference. */
   private List<String> before(String id) {
-    int mine = draw(id, context.settings().node());
-    List<String> before = new ArrayList<>();
+    int ownOrder = draw(id, context.settings().node());
+    List<String> preferred = new ArrayList<>();
     for (String node : context.membership().liveNodes()) {
-      if (draw(id, node) < mine) {
-        before.add(node);
+      if (draw(id, node) < ownOrder) {
+        preferred.add(node);
       }
     }
-    return before;
+    return preferred;
   }
 
   private static int draw(String id, String node) {
     return (id + "@" + node).hashCode() * 0x9E3779B9 >>> 1;
   }
 
-  private void write(List<JobTable.Entry> taken) {
+  private void write(List<JobTable.Entry> batch) {
     String self = context.membership().self();
     String mark = context.store().newMark();
     Txn txn = new Txn();
     Map<String, JobRecord> next = new HashMap<>();
-    for (JobTable.Entry e : taken) {
-      JobRecord record = e.record().claimedBy(self);
+    for (JobTable.Entry entry : batch) {
+      JobRecord record = entry.record().claimedBy(self);
       String id = record.spec().id();
       next.put(id, record);
       claiming.add(id);
-      txn.when(JobRecord.key(id), e.stamp()).put(JobRecord.key(id), record.write(mark));
+      txn.when(JobRecord.key(id), entry.stamp()).put(JobRecord.key(id), record.write(mark));
     }
     context
         .store()
         .commit(
             txn,
             mark,
-            done -> {
+            result -> {
               if (!self.equals(context.membership().self())) {
                 return;
               }
               claiming.removeAll(next.keySet());
-              if (!done.ok()) {
+              if (!result.ok()) {
                 return;
               }
               next.forEach(
                   (id, record) -> {
                     LOG.log(
                         Level.INFO,
-                        "claimed {0} in term {1}, written at revision {2}",
+                        "claimed job {0} in term {1}, written at revision {2}",
                         id,
                         record.term(),
-                        done.revision());
-                    context.jobs().wrote(id, record, mark, done.revision());
+                        result.revision());
+                    context.jobs().wrote(id, record, mark, result.revision());
                     claims.adopt(id, false);
                   });
             });
--- a/src/main/java/dev/dunefront/claim/Turnover.java
+++ b/src/main/java/dev/dunefront/claim/Turnover.java
@@ -11,21 +11,21 @@
 import java.util.function.IntPredicate;
 
 /**
- * How much room becomes free by itself, as tasks end, and how many urgent tasks wait for it. Every
- * controller sees the ends of its own jobs' tasks; jobs fall to all controllers alike, so all ends
- * are about as many times more as there are controllers.
+ * Estimates how much capacity completing tasks free, and how many urgent tasks wait for it. Each
+ * controller sees the completions of its own jobs only; as jobs are spread evenly over the
+ * controllers, the total is estimated as that number times the number of controllers.
  */
 final class Turnover {
-  /** Over how many seconds ends are counted; at some tens a second that is enough of them. */
+  /** Averaging period; at tens of completions per second it contains enough of them. */
   private static final double SPAN_S = 5;
 
-  /** So many standard deviations fewer ends than are to be expected are counted on. */
+  /** The estimate is reduced by this many standard deviations of the expected completions. */
   private static final double DOUBT = 1.5;
 
-  /** How long a count of what waits is good for. */
+  /** How long a count of waiting tasks is reused. */
   private static final double FRESH_S = 0.25;
 
-  /** Processors set free on machines of a kind, weighted by how long ago that was. */
+  /** CPU freed on machines of one kind, with exponential decay over time. */
   private static final class Flow {
     double cpu;
     double at;
@@ -48,21 +48,21 @@
     this.claims = claims;
   }
 
-  /** A task of this size has run to its end on a machine. */
+  /** Counts a task of this size that has completed on a machine. */
   void ended(String host, Size size, double now) {
-    Room.Seen seen = room.get(host);
-    if (seen == null) {
+    Room.Seen machine = room.get(host);
+    if (machine == null) {
       return;
     }
-    while (flows.size() <= seen.kind().index()) {
+    while (flows.size() <= machine.kind().index()) {
       flows.add(new Flow());
     }
-    Flow f = flows.get(seen.kind().index());
-    f.cpu = f.at(now) + size.cpu();
-    f.at = now;
+    Flow freed = flows.get(machine.kind().index());
+    freed.cpu = freed.at(now) + size.cpu();
+    freed.at = now;
   }
 
-  /** Tasks of this size that find room in a second on machines of the kinds that fit. */
+  /** Number of tasks of this size for which fitting machines free capacity per second. */
   double slotsPerS(Size size, IntPredicate fits) {
     double cpu = 0;
     for (int kind = 0; kind < flows.size(); kind++) {
@@ -74,43 +74,43 @@
     return size.cpu() <= 0 ? 0 : cpu / SPAN_S * controllers / size.cpu();
   }
 
-  /** Tasks of this or a greater priority that wait for room, at all controllers together. */
+  /** Unstarted tasks of this or a higher priority, over all controllers. */
   long waiting(Priority priority) {
     double now = context.now();
     if (now - waitingAt > FRESH_S) {
       waitingAt = now;
       Arrays.fill(waiting, 0);
-      for (JobTable.Entry e : context.jobs().all()) {
-        if (e.record().status() == Status.OPEN) {
-          JobSpec spec = e.record().spec();
+      for (JobTable.Entry entry : context.jobs().all()) {
+        if (entry.record().status() == Status.OPEN) {
+          JobSpec spec = entry.record().spec();
           waiting[spec.priority().ordinal()] += claims.account().unstarted(spec);
         }
       }
     }
-    long all = 0;
+    long total = 0;
     for (int p = 0; p <= priority.ordinal(); p++) {
-      all += waiting[p];
+      total += waiting[p];
     }
-    return all;
+    return total;
   }
 
   /**
-   * How many tasks would still wait when it is too late for them: what is quite sure to end by
-   * itself until then is counted first, and goes to all that wait in the proportion of their
-   * numbers. Where few tasks end, how many do in a few seconds is a matter of chance.
+   * How many tasks would still wait at their latest start time. Completions that are nearly certain
+   * until then are subtracted first, shared among all waiting tasks in proportion to their number.
+   * At low completion rates the number within a few seconds varies widely, so less of it counts.
    *
-   * @param need tasks that wait here
-   * @param needOfAll tasks that wait everywhere, these among them
-   * @param slotsPerS room for such tasks that becomes free in a second
-   * @param leftS seconds until it is too late; infinite if it is so already
+   * @param need tasks that wait at this controller
+   * @param needOfAll tasks that wait at all controllers, including these
+   * @param slotsPerS task slots that become free per second
+   * @param leftS seconds until the latest start time; infinite if it can no longer be met
    */
   static int shortage(int need, long needOfAll, double slotsPerS, double leftS) {
     if (need <= 0 || leftS == Double.POSITIVE_INFINITY) {
       return 0;
     }
-    double ends = slotsPerS * Math.max(0, leftS);
-    double surely = Math.max(0, ends - DOUBT * Math.sqrt(ends));
-    double mine = surely * need / Math.max(need, needOfAll);
-    return Math.max(0, (int) Math.ceil(need - mine - 1e-9));
+    double expected = slotsPerS * Math.max(0, leftS);
+    double certain = Math.max(0, expected - DOUBT * Math.sqrt(expected));
+    double share = certain * need / Math.max(need, needOfAll);
+    return Math.max(0, (int) Math.ceil(need - share - 1e-9));
   }
 }
--- a/src/main/java/dev/dunefront/claim/UnclaimedViews.java
+++ b/src/main/java/dev/dunefront/claim/UnclaimedViews.java
@@ -6,30 +6,31 @@
 import java.util.Set;
 
 /**
- * Machines that were said to show tasks of a job that is not claimed here: a holder may know sooner
- * than the claimant itself who has claimed a job, and tells of a machine only when it changes.
+ * Machines whose views showed tasks of jobs that this controller has not claimed yet. A holder may
+ * learn of a claim before the claiming controller itself does, and it sends a view only when the
+ * machine changes, so the view would otherwise be missed.
  */
 final class UnclaimedViews {
-  /** A claim that a holder knows of is known here within this time, in seconds. */
+  /** Entries expire after this time; by then a claim that a holder knows is known here. */
   private static final double KEPT_S = 30;
 
   private record Shown(Set<String> hosts, double since) {}
 
   private final Map<String, Shown> byJob = new HashMap<>();
 
-  /** A machine shows tasks of the job. */
+  /** Records that a machine's view showed tasks of the job. */
   void shown(String job, String host, double now) {
-    byJob.computeIfAbsent(job, j -> new Shown(new HashSet<>(), now)).hosts.add(host);
+    byJob.computeIfAbsent(job, id -> new Shown(new HashSet<>(), now)).hosts.add(host);
   }
 
-  /** The machines that have shown tasks of a job that is claimed now. */
+  /** Removes and returns the machines recorded for a job that has just been claimed. */
   Set<String> take(String job) {
-    Shown shown = byJob.remove(job);
-    return shown == null ? Set.of() : shown.hosts;
+    Shown entry = byJob.remove(job);
+    return entry == null ? Set.of() : entry.hosts;
   }
 
-  /** Forgets jobs that have not been claimed in time: most of them are over. */
+  /** Removes expired entries; most belong to jobs that have ended. */
   void tidy(double now) {
-    byJob.values().removeIf(shown -> now - shown.since > KEPT_S);
+    byJob.values().removeIf(entry -> now - entry.since > KEPT_S);
   }
 }
--- a/src/main/java/dev/dunefront/claim/Urgencies.java
+++ b/src/main/java/dev/dunefront/claim/Urgencies.java
@@ -8,17 +8,19 @@
 import java.util.Map;
 
 /**
- * Ranks jobs of one priority by what is still to be won: those that would miss their aim if they
- * waited, those that have time, those that have missed their first aim, those that have missed all.
- * Where there is too little room for all, jobs with much left to start come after those with
- * little: a few large ones would make many late. How long tasks run, and how many a job of a class
- * has, is learned, for owners' estimates are biased.
+ * Ranks jobs of one priority by the objectives that they can still meet: first those that would
+ * miss their first objective if they waited, then those with time left, those that have missed the
+ * first objective, and those that have missed all. Under scarcity, jobs with many tasks left to
+ * start rank after those with few, because a few large jobs would make many others late. Run times
+ * and numbers of tasks are learned per job class, because the owners' estimates are biased.
  */
 public final class Urgencies {
+  /** Would miss its first objective by waiting {@link #AT_RISK_SLACK_S} longer. */
   static final int PRESSING = 0;
+
   static final int IN_TIME = 1;
 
-  /** What is added to the two above for a job with much left to start. */
+  /** Added to the two ranks above for a job with many tasks left to start. */
   private static final int LARGE = 2;
 
   static final int LATE = 4;
@@ -26,46 +28,54 @@
   static final int LOST = 6;
 
   private static final double PRESSING_S = 15;
+
+  /** Weight of a new observation in the moving averages. */
   private static final double LEARN = 0.1;
 
-  /** A job has much left if it is this many times what a job of its class has in all. */
+  /** A job is large if its unstarted tasks exceed its class's mean task count by this factor. */
   private static final double MUCH = 1.4;
 
+  /** Bounds of a single observed ratio of run time to estimate. */
   private static final double LEAST = 0.3;
+
   private static final double MOST = 3;
 
   private final Settings settings;
 
-  /** By class: how long tasks ran, as a multiple of their estimate. */
+  /** Moving average of run time divided by estimate, by job class. */
   private final Map<String, Double> bias = new HashMap<>();
 
-  /** By class: how many tasks a job has. */
+  /** Moving average of the number of tasks per job, by job class. */
   private final Map<String, Double> tasks = new HashMap<>();
 
   Urgencies(Settings settings) {
     this.settings = settings;
   }
 
-  /** A task of the job has run to its end in this time. */
+  /** Learns from the run time of a completed task. */
   void ran(JobSpec spec, double seconds) {
     if (spec.estimateS() > 0) {
       double ratio = Math.max(LEAST, Math.min(MOST, seconds / spec.estimateS()));
-      bias.merge(spec.jobClass(), ratio, (old, now) -> old + LEARN * (now - old));
+      bias.merge(spec.jobClass(), ratio, (mean, observed) -> mean + LEARN * (observed - mean));
     }
   }
 
-  /** A job has been seen, which tells how large jobs of its class are. */
+  /** Learns from the number of tasks of a new job. */
   void seen(JobSpec spec) {
-    tasks.merge(spec.jobClass(), (double) spec.tasks(), (old, now) -> old + LEARN * (now - old));
+    tasks.merge(
+        spec.jobClass(),
+        (double) spec.tasks(),
+        (mean, observed) -> mean + LEARN * (observed - mean));
   }
 
+  /** The rank of a job of this age; lower ranks are served first. */
   int rank(JobSpec spec, int unstarted, double ageS, double fetchS) {
     boolean large = unstarted > MUCH * tasks.getOrDefault(spec.jobClass(), 1e9);
 
-    List<Double> aims = aims(spec);
-    double needs = runS(spec) + fetchS;
-    for (int i = 0; i < aims.size(); i++) {
-      double slack = aims.get(i) - ageS - needs;
+    List<Double> objectives = aims(spec);
+    double neededS = runS(spec) + fetchS;
+    for (int i = 0; i < objectives.size(); i++) {
+      double slack = objectives.get(i) - ageS - neededS;
       if (slack >= 0) {
         if (i > 0) {
           return large ? LATE_LARGE : LATE;
@@ -73,44 +83,44 @@
         return (slack < PRESSING_S ? PRESSING : IN_TIME) + (large ? LARGE : 0);
       }
     }
-    return aims.isEmpty() ? IN_TIME + (large ? LARGE : 0) : LOST;
+    return objectives.isEmpty() ? IN_TIME + (large ? LARGE : 0) : LOST;
   }
 
-  /** How long the job's tasks are expected to run. */
+  /** The expected run time of the job's tasks, in seconds: the estimate times the learned bias. */
   public double runS(JobSpec spec) {
     return spec.estimateS() * bias.getOrDefault(spec.jobClass(), 1.0);
   }
 
   /**
-   * How long a job of this age may still wait if its tasks then need so long: by the first aim that
-   * can still be met; null if there is none.
+   * How long a job of this age may still wait, by the first objective that it can still meet if its
+   * tasks then take {@code needsS}; null if there is none.
    */
   public Double slackS(JobSpec spec, double ageS, double needsS) {
-    for (double aim : aims(spec)) {
-      if (aim - ageS - needsS >= 0) {
-        return aim - ageS - needsS;
+    for (double objectiveS : aims(spec)) {
+      if (objectiveS - ageS - needsS >= 0) {
+        return objectiveS - ageS - needsS;
       }
     }
     return null;
   }
 
   /**
-   * How long tasks of a job of this age may still wait until they start, by the next aim that is
-   * not passed: first those for their start, then those for the job's end, which leave its run time
-   * less. Infinite if all are passed; 0 if nothing is said, and for replicas, which are missed
-   * every second.
+   * How long tasks of a job of this age may still wait before they start, by the next objective
+   * that can be met: first start objectives, then finish objectives less the expected run time.
+   * Infinite if all are missed; 0 if there are none, and for service replicas, whose absence
+   * matters at once.
    */
   public double startSlackS(JobSpec spec, double ageS) {
     if (spec.service()) {
       return 0;
     }
-    boolean any = false;
+    boolean anyObjective = false;
     double slack = Double.POSITIVE_INFINITY;
-    for (Settings.StartAim a : settings.startAims()) {
-      if (a.jobClass() == null || a.jobClass().equals(spec.jobClass())) {
-        any = true;
-        if (a.withinS() > ageS) {
-          slack = Math.min(slack, a.withinS() - ageS);
+    for (Settings.StartAim objective : settings.startAims()) {
+      if (objective.jobClass() == null || objective.jobClass().equals(spec.jobClass())) {
+        anyObjective = true;
+        if (objective.withinS() > ageS) {
+          slack = Math.min(slack, objective.withinS() - ageS);
         }
       }
     }
@@ -118,25 +128,25 @@
       return slack;
     }
     Double left = slackS(spec, ageS, runS(spec));
-    return left != null ? left : any || !aims(spec).isEmpty() ? slack : 0;
+    return left != null ? left : anyObjective || !aims(spec).isEmpty() ? slack : 0;
   }
 
-  /** The ages at which a job should be done, soonest first. */
+  /** The ages in seconds at which the job's finish objectives and deadline expire, ascending. */
   private List<Double> aims(JobSpec spec) {
-    List<Double> aims = new ArrayList<>();
-    for (Settings.Objective o : settings.objectives()) {
-      if (o.jobClass().equals(spec.jobClass())) {
-        if (o.withinS() != null) {
-          aims.add(o.withinS());
+    List<Double> objectives = new ArrayList<>();
+    for (Settings.Objective objective : settings.objectives()) {
+      if (objective.jobClass().equals(spec.jobClass())) {
+        if (objective.withinS() != null) {
+          objectives.add(objective.withinS());
         } else if (spec.deadlineS() != null) {
-          aims.add(o.deadlineTimes() * spec.deadlineS());
+          objectives.add(objective.deadlineTimes() * spec.deadlineS());
         }
       }
     }
-    if (aims.isEmpty() && spec.deadlineS() != null) {
-      aims.add(spec.deadlineS());
+    if (objectives.isEmpty() && spec.deadlineS() != null) {
+      objectives.add(spec.deadlineS());
     }
-    aims.sort(null);
-    return aims;
+    objectives.sort(null);
+    return objectives;
   }
 }
