--- a/src/main/java/dev/dunefront/claim/WantPlacement.java
+++ b/src/main/java/dev/dunefront/claim/WantPlacement.java
@@ -13,18 +13,21 @@
 import java.util.Set;
 
 /**
- * Where the wants of claimed jobs are parked. A job that has just come, or whose wants have grown,
- * looks over all machines; after that it looks again at growing intervals up to the design's tick,
- * and in between only at machines where room has opened.
+ * Decides at which machines the wants of claimed jobs are queued. A new job, or one that wants more
+ * tasks than before, scans all machines. After that it scans them at growing intervals of up to one
+ * tick, and in between only the machines whose free capacity has increased.
  */
 final class WantPlacement {
-  /** How soon an unserved job looks over all machines again; doubled up to the tick. */
+  /** First interval between scans of all machines for an unserved job; doubles up to a tick. */
   static final double LOOK_AGAIN_S = 0.25;
 
-  /** At most this often a job looks at the machines where room has opened. */
+  /** Minimum interval between a job's scans of machines with freed capacity. */
   private static final double OPENINGS_S = 0.1;
 
-  /** Wants parked where there is room now, as a multiple of what is wanted: others want it too. */
+  /**
+   * Wants queued at machines with free capacity, as a multiple of the wanted tasks, because other
+   * jobs compete for the same capacity.
+   */
   private static final double SURPLUS = 1.5;
 
   private final ControllerContext context;
@@ -56,226 +59,232 @@
     this.givingWay = new GivingWay(context, interest, urgencies, choosing, turnover);
   }
 
-  /** Brings a job's parked wants up to date. */
-  void review(Claim c) {
+  /** Brings a job's queued wants up to date. */
+  void review(Claim claim) {
     double now = context.now();
     double settledAt = now;
-    double ageS = c.ageS(context.timers().timeOfDayMs());
-    Begin.Standing before = c.standing;
-    c.standing = begin.standing(c, ageS, context.tunables().beginS(), now);
-    if (c.standing != before) {
-      c.lookAgain = now;
+    double ageS = claim.ageS(context.timers().timeOfDayMs());
+    Begin.Standing previous = claim.standing;
+    claim.standing = begin.standing(claim, ageS, context.tunables().beginS(), now);
+    if (claim.standing != previous) {
+      claim.lookAgain = now;
     }
-    if (c.queued && c.standing != Begin.Standing.FIRST) {
-      withdraw(c);
-      served(c, now);
+    if (claim.queued && claim.standing != Begin.Standing.FIRST) {
+      withdraw(claim);
+      served(claim, now);
       return;
     }
-    if (now >= c.notBefore && unstarted(c) > 0) {
-      // Before it is looked how much room is idle, or nobody would ever be asked.
+    if (now >= claim.notBefore && unstarted(claim) > 0) {
+      // Subscribes before idle capacity is counted: without views it would be counted as zero, and
+      // views would never be requested.
       settledAt = interest.need(Detail.ROOM);
     }
-    int wanted = wanted(c);
-    if (wanted <= 0 || now < c.notBefore) {
-      withdraw(c);
+    int wanted = wanted(claim);
+    if (wanted <= 0 || now < claim.notBefore) {
+      withdraw(claim);
       if (wanted <= 0) {
-        served(c, now);
-        c.lookPause = LOOK_AGAIN_S;
+        served(claim, now);
+        claim.lookPause = LOOK_AGAIN_S;
       }
       return;
     }
-    if (now - c.unservedSince > context.tunables().waitS()) {
-      served(c, now);
-      c.notBefore = now + context.tunables().requeueDelayS();
-      withdraw(c);
+    if (now - claim.unservedSince > context.tunables().waitS()) {
+      served(claim, now);
+      claim.notBefore = now + context.tunables().requeueDelayS();
+      withdraw(claim);
       return;
     }
-    if (now >= c.nextTick) {
-      c.nextTick = now + context.tunables().tickS();
-      c.reach = Math.min(context.tunables().reachCap(), c.reach + 1);
+    if (now >= claim.nextTick) {
+      claim.nextTick = now + context.tunables().tickS();
+      claim.reach = Math.min(context.tunables().reachCap(), claim.reach + 1);
     }
-    if (wanted > c.parkedFor || now >= c.lookAgain) {
-      c.parkedFor = wanted;
-      c.lookAgain = now + c.lookPause;
-      double longest = context.tunables().tickS() / (c.spec.priority().urgent() ? 4 : 1);
-      c.lookPause = Math.min(longest, c.lookPause * 2);
-      c.openings = room.openings();
-      c.openingsAt = now;
-      parkAnew(c, wanted, now);
+    if (wanted > claim.parkedFor || now >= claim.lookAgain) {
+      claim.parkedFor = wanted;
+      claim.lookAgain = now + claim.lookPause;
+      double maxIntervalS = context.tunables().tickS() / (claim.spec.priority().urgent() ? 4 : 1);
+      claim.lookPause = Math.min(maxIntervalS, claim.lookPause * 2);
+      claim.openings = room.openings();
+      claim.openingsAt = now;
+      parkAnew(claim, wanted, now);
       if (now < settledAt) {
-        // What is known of room is old; what has changed is on its way here.
-        c.lookAgain = Math.min(c.lookAgain, settledAt);
+        // The known views are outdated; scans again once the current ones have arrived.
+        claim.lookAgain = Math.min(claim.lookAgain, settledAt);
       }
-    } else if (c.openings != room.openings() && now - c.openingsAt >= OPENINGS_S) {
-      c.openings = room.openings();
-      c.openingsAt = now;
-      parkInOpenings(c, wanted, now);
+    } else if (claim.openings != room.openings() && now - claim.openingsAt >= OPENINGS_S) {
+      claim.openings = room.openings();
+      claim.openingsAt = now;
+      parkInOpenings(claim, wanted, now);
     }
   }
 
-  /** Tasks for which room is wanted; of a job that is overdue to begin the first alone. */
-  private int wanted(Claim c) {
-    int wanted = unstarted(c);
-    return c.standing == Begin.Standing.ORDINARY
-        ? Math.min(wanted, idle.tasks(c.spec))
+  /** Number of tasks to queue wants for; at most one for a job with an overdue start. */
+  private int wanted(Claim claim) {
+    int wanted = unstarted(claim);
+    return claim.standing == Begin.Standing.ORDINARY
+        ? Math.min(wanted, idle.tasks(claim.spec))
         : Math.min(1, wanted);
   }
 
-  private int unstarted(Claim c) {
-    int wanted = c.unstarted() - c.offers.size() - c.starting;
-    Quotas.Quota quota = quotas.of(c.spec.team());
+  /** Unstarted tasks that the quota and the failure backoff allow to place now. */
+  private int unstarted(Claim claim) {
+    int wanted = claim.unstarted() - claim.offers.size() - claim.starting;
+    Quotas.Quota quota = quotas.of(claim.spec.team());
     if (quota != null) {
-      wanted = Math.min(wanted, c.allowed(quota) - c.offers.size());
+      wanted = Math.min(wanted, claim.allowed(quota) - claim.offers.size());
     }
-    return c.suspect() ? Math.min(wanted, 1 - c.live.size()) : wanted;
+    return claim.suspect() ? Math.min(wanted, 1 - claim.live.size()) : wanted;
   }
 
-  /** The job waits no longer, or has just been served: its reach starts from the least again. */
-  void served(Claim c, double now) {
-    c.unservedSince = now;
-    c.nextTick = now + context.tunables().tickS();
-    c.reach = context.tunables().reach();
-    c.parkedFor = Math.min(c.parkedFor, Math.max(0, c.unstarted()));
+  /** Resets the reach to its minimum, for a job that has been served or has stopped waiting. */
+  void served(Claim claim, double now) {
+    claim.unservedSince = now;
+    claim.nextTick = now + context.tunables().tickS();
+    claim.reach = context.tunables().reach();
+    claim.parkedFor = Math.min(claim.parkedFor, Math.max(0, claim.unstarted()));
   }
 
-  private void parkAnew(Claim c, int wanted, double now) {
+  private void parkAnew(Claim claim, int wanted, double now) {
     long surplus = (long) Math.ceil(wanted * SURPLUS);
-    c.slowFetchS = choosing.slowFetchS(c);
-    List<Choice> choices = choices(c, wanted, surplus, now);
+    claim.slowFetchS = choosing.slowFetchS(claim);
+    List<Choice> candidates = choices(claim, wanted, surplus, now);
     int fitting = 0;
-    for (Choice ch : choices) {
-      fitting += ch.here() ? ch.fits() : 0;
+    for (Choice candidate : candidates) {
+      fitting += candidate.here() ? candidate.fits() : 0;
     }
-    givingWay.ask(c, choices, wanted, now);
-    // Of the many only the first few are looked at, so they are not sorted as a whole.
-    Queue<Choice> best = new PriorityQueue<>(choices);
-    // Where there is room enough right now, nothing need wait for room elsewhere.
-    long left = fitting >= surplus ? surplus : (long) wanted * c.reach;
-    long here = surplus;
-    int machines = 0;
-    Map<String, Integer> target = new HashMap<>();
-    double fetchS = choices.isEmpty() ? 0 : best.peek().costS();
-    for (Choice ch = best.poll(); ch != null; ch = best.poll()) {
-      if (left <= 0 && (machines >= c.reach || !ch.here())) {
+    givingWay.ask(claim, candidates, wanted, now);
+    // A heap avoids sorting all candidates, as only the best few are used.
+    Queue<Choice> best = new PriorityQueue<>(candidates);
+    // If enough capacity is free now, no wants are queued at full machines.
+    long left = fitting >= surplus ? surplus : (long) wanted * claim.reach;
+    long leftAtFree = surplus;
+    int machineCount = 0;
+    Map<String, Integer> targetCounts = new HashMap<>();
+    double fetchS = candidates.isEmpty() ? 0 : best.peek().costS();
+    for (Choice candidate = best.poll(); candidate != null; candidate = best.poll()) {
+      if (left <= 0 && (machineCount >= claim.reach || !candidate.here())) {
         break;
       }
-      if (ch.fits() > 0 && here <= 0 && machines >= c.reach) {
+      if (candidate.fits() > 0 && leftAtFree <= 0 && machineCount >= claim.reach) {
         continue;
       }
-      int n = Math.min(wanted, ch.fits() > 0 ? ch.fits() : ch.ever());
-      target.put(ch.seen().view().host(), n);
-      left -= n;
-      here -= ch.fits() > 0 ? n : 0;
-      machines++;
+      int count = Math.min(wanted, candidate.fits() > 0 ? candidate.fits() : candidate.ever());
+      targetCounts.put(candidate.seen().view().host(), count);
+      left -= count;
+      leftAtFree -= candidate.fits() > 0 ? count : 0;
+      machineCount++;
     }
-    for (String host : Set.copyOf(c.parked.keySet())) {
-      if (!target.containsKey(host)) {
-        want(c, host, 0);
+    for (String host : Set.copyOf(claim.parked.keySet())) {
+      if (!targetCounts.containsKey(host)) {
+        want(claim, host, 0);
       }
     }
-    double ageS = c.ageS(context.timers().timeOfDayMs());
-    int rank = urgencies.rank(c.spec, c.unstarted(), ageS, fetchS);
-    if (c.standing != Begin.Standing.ORDINARY) {
+    double ageS = claim.ageS(context.timers().timeOfDayMs());
+    int rank = urgencies.rank(claim.spec, claim.unstarted(), ageS, fetchS);
+    if (claim.standing != Begin.Standing.ORDINARY) {
       rank = Urgencies.PRESSING;
     }
     int priority =
-        c.standing == Begin.Standing.FIRST
+        claim.standing == Begin.Standing.FIRST
             ? Priority.CRITICAL.ordinal()
-            : c.spec.priority().ordinal();
-    boolean moved = rank != c.rank || priority != c.priority;
-    c.rank = rank;
-    c.priority = priority;
-    target.forEach(
-        (host, n) -> {
-          if (moved || !n.equals(c.parked.get(host))) {
-            want(c, host, n);
+            : claim.spec.priority().ordinal();
+    boolean orderChanged = rank != claim.rank || priority != claim.priority;
+    claim.rank = rank;
+    claim.priority = priority;
+    targetCounts.forEach(
+        (host, count) -> {
+          if (orderChanged || !count.equals(claim.parked.get(host))) {
+            want(claim, host, count);
           }
         });
   }
 
   /**
-   * The machines on which the job could park. Where there is so much room that nothing would be
-   * parked at full ones, those are not looked at: in a fleet they are many, and each job that comes
-   * would walk over all of them.
+   * The machines at which the job could queue wants. Full machines are skipped if there is so much
+   * free capacity that no wants would be queued at them: a fleet has many, and every new job would
+   * iterate over all of them.
    */
-  private List<Choice> choices(Claim c, int wanted, long surplus, double now) {
-    List<Choice> choices = new ArrayList<>();
-    long here = 0;
-    for (Room.Seen s : room.roomy()) {
-      Choice choice = choosing.choice(c, s, now);
-      if (choice != null) {
-        choices.add(choice);
-        here += choice.here() ? Math.min(wanted, choice.fits()) : 0;
+  private List<Choice> choices(Claim claim, int wanted, long surplus, double now) {
+    List<Choice> candidates = new ArrayList<>();
+    long freeSlots = 0;
+    for (Room.Seen machine : room.roomy()) {
+      Choice candidate = choosing.choice(claim, machine, now);
+      if (candidate != null) {
+        candidates.add(candidate);
+        freeSlots += candidate.here() ? Math.min(wanted, candidate.fits()) : 0;
       }
     }
-    if (here < surplus) {
-      for (Room.Seen s : room.all()) {
-        Choice choice = s.roomy() ? null : choosing.choice(c, s, now);
-        if (choice != null) {
-          choices.add(choice);
+    if (freeSlots < surplus) {
+      for (Room.Seen machine : room.all()) {
+        Choice candidate = machine.roomy() ? null : choosing.choice(claim, machine, now);
+        if (candidate != null) {
+          candidates.add(candidate);
         }
       }
     }
-    return choices;
+    return candidates;
   }
 
-  /** Parks beside what is parked already, where there is room now. */
-  private void parkInOpenings(Claim c, int wanted, double now) {
-    List<Choice> choices = new ArrayList<>();
+  /** Queues additional wants at machines that have free capacity now, keeping the existing ones. */
+  private void parkInOpenings(Claim claim, int wanted, double now) {
+    List<Choice> candidates = new ArrayList<>();
     int covered = 0;
-    for (Room.Seen s : room.roomy()) {
-      Integer parked = c.parked.get(s.view().host());
+    for (Room.Seen machine : room.roomy()) {
+      Integer parked = claim.parked.get(machine.view().host());
       if (parked != null) {
-        covered += Math.min(parked, c.size.timesIn(s.view().free()));
+        covered += Math.min(parked, claim.size.timesIn(machine.view().free()));
         continue;
       }
-      Choice choice = choosing.choice(c, s, now);
-      if (choice != null && choice.fits() > 0 && choice.here()) {
-        choices.add(choice);
+      Choice candidate = choosing.choice(claim, machine, now);
+      if (candidate != null && candidate.fits() > 0 && candidate.here()) {
+        candidates.add(candidate);
       }
     }
-    Queue<Choice> best = new PriorityQueue<>(choices);
+    Queue<Choice> best = new PriorityQueue<>(candidates);
     long left = (long) Math.ceil(wanted * SURPLUS) - covered;
     while (left > 0 && !best.isEmpty()) {
-      Choice ch = best.poll();
-      int n = Math.min(wanted, ch.fits());
-      want(c, ch.seen().view().host(), n);
-      left -= n;
+      Choice candidate = best.poll();
+      int count = Math.min(wanted, candidate.fits());
+      want(claim, candidate.seen().view().host(), count);
+      left -= count;
     }
   }
 
-  private void want(Claim c, String host, int count) {
+  /** Sets the number of wants queued at a machine; 0 withdraws them. */
+  private void want(Claim claim, String host, int count) {
     if (count > 0) {
-      c.parked.put(host, count);
+      claim.parked.put(host, count);
     } else {
-      c.parked.remove(host);
+      claim.parked.remove(host);
     }
-    Room.Seen s = room.get(host);
-    if (s != null) {
+    Room.Seen machine = room.get(host);
+    if (machine != null) {
       context
           .peers()
-          .send(s.holder(), new Message.Want(host, c.id(), c.priority, c.rank, c.size, count));
+          .send(
+              machine.holder(),
+              new Message.Want(host, claim.id(), claim.priority, claim.rank, claim.size, count));
     }
   }
 
-  /** Puts the best of several offers first. */
-  void sortOffers(Claim c) {
-    choosing.sortOffers(c);
+  /** Sorts the claim's offers by cost, cheapest first. */
+  void sortOffers(Claim claim) {
+    choosing.sortOffers(claim);
   }
 
-  void withdraw(Claim c) {
-    c.parkedFor = 0;
-    if (!c.parked.isEmpty()) {
-      for (String host : Set.copyOf(c.parked.keySet())) {
-        want(c, host, 0);
+  /** Withdraws all queued wants of a job. */
+  void withdraw(Claim claim) {
+    claim.parkedFor = 0;
+    if (!claim.parked.isEmpty()) {
+      for (String host : Set.copyOf(claim.parked.keySet())) {
+        want(claim, host, 0);
       }
     }
   }
 
-  /** The machine's book has lost the job's wants, or there is no such book any more. */
-  void lostBook(Claim c, String host) {
-    if (c.parked.remove(host) != null) {
-      c.lookAgain = Math.min(c.lookAgain, context.now() + LOOK_AGAIN_S);
+  /** Handles the loss of a job's wants at a machine whose book was reset or no longer exists. */
+  void lostBook(Claim claim, String host) {
+    if (claim.parked.remove(host) != null) {
+      claim.lookAgain = Math.min(claim.lookAgain, context.now() + LOOK_AGAIN_S);
     }
   }
 }
--- a/src/main/java/dev/dunefront/claim/Zones.java
+++ b/src/main/java/dev/dunefront/claim/Zones.java
@@ -6,78 +6,83 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Whether a task may be placed in a zone, given the job's other tasks. */
+/** Checks the zone constraints of a job (all tasks in one zone, or spread over zones). */
 final class Zones {
   private final Room room;
 
-  /** The zone of a machine with placed tasks, remembered beyond its holder's link. */
+  /** Zones of machines with placed tasks; kept when the connection to the holder is lost. */
   private final Map<String, String> zones = new HashMap<>();
 
   Zones(Room room) {
     this.room = room;
   }
 
-  /** {@code starts} are the machines of tasks that are about to be placed beside the recorded. */
-  boolean allowed(Claim c, String host, List<String> starts) {
-    Room.Seen seen = room.get(host);
-    if (seen == null
-        || !c.spec.allows(seen.view().type(), seen.view().zone(), seen.view().spot())) {
+  /**
+   * Whether a task of the job may be placed on a machine.
+   *
+   * @param starts machines of the tasks that the same transaction places
+   */
+  boolean allowed(Claim claim, String host, List<String> starts) {
+    Room.Seen machine = room.get(host);
+    if (machine == null
+        || !claim.spec.allows(
+            machine.view().type(), machine.view().zone(), machine.view().spot())) {
       return false;
     }
-    if (!c.spec.oneZone() && !c.spec.spread()) {
+    if (!claim.spec.oneZone() && !claim.spec.spread()) {
       return true;
     }
-    String zone = seen.view().zone();
-    int same = 0;
-    int other = 0;
-    boolean unknown = false;
-    for (Live l : c.live.values()) {
-      String its = zoneOf(l.placement.host());
-      unknown |= its == null;
-      if (zone.equals(its)) {
-        same++;
+    String zone = machine.view().zone();
+    int sameZone = 0;
+    int otherZones = 0;
+    boolean unknownZone = false;
+    for (Live attempt : claim.live.values()) {
+      String attemptZone = zoneOf(attempt.placement.host());
+      unknownZone |= attemptZone == null;
+      if (zone.equals(attemptZone)) {
+        sameZone++;
       } else {
-        other++;
+        otherZones++;
       }
     }
-    for (String s : starts) {
-      if (zone.equals(zoneOf(s))) {
-        same++;
+    for (String startHost : starts) {
+      if (zone.equals(zoneOf(startHost))) {
+        sameZone++;
       } else {
-        other++;
+        otherZones++;
       }
     }
-    if (c.spec.oneZone()) {
-      return other == 0;
+    if (claim.spec.oneZone()) {
+      return otherZones == 0;
     }
-    return same + 1 <= c.spec.mostInOneZone() && !unknown;
+    return sameZone + 1 <= claim.spec.mostInOneZone() && !unknownZone;
   }
 
-  /** How many tasks more each zone may take, if the job's tasks must be together or apart. */
-  Map<String, Integer> left(Claim c, Set<String> all) {
-    if (!c.spec.oneZone() && !c.spec.spread()) {
+  /** How many more tasks each zone may take; empty if the job has no zone constraint. */
+  Map<String, Integer> left(Claim claim, Set<String> zoneNames) {
+    if (!claim.spec.oneZone() && !claim.spec.spread()) {
       return Map.of();
     }
     Map<String, Integer> placed = new HashMap<>();
-    for (Live l : c.live.values()) {
-      String zone = zoneOf(l.placement.host());
+    for (Live attempt : claim.live.values()) {
+      String zone = zoneOf(attempt.placement.host());
       if (zone != null) {
         placed.merge(zone, 1, Integer::sum);
       }
     }
-    int most = c.spec.oneZone() ? c.spec.tasks() : c.spec.mostInOneZone();
+    int most = claim.spec.oneZone() ? claim.spec.tasks() : claim.spec.mostInOneZone();
     Map<String, Integer> left = new HashMap<>();
-    for (String zone : all) {
-      boolean elsewhere = c.spec.oneZone() && !placed.isEmpty() && !placed.containsKey(zone);
+    for (String zone : zoneNames) {
+      boolean elsewhere = claim.spec.oneZone() && !placed.isEmpty() && !placed.containsKey(zone);
       left.put(zone, elsewhere ? 0 : Math.max(0, most - placed.getOrDefault(zone, 0)));
     }
     return left;
   }
 
   private String zoneOf(String host) {
-    Room.Seen s = room.get(host);
-    if (s != null) {
-      zones.put(host, s.view().zone());
+    Room.Seen machine = room.get(host);
+    if (machine != null) {
+      zones.put(host, machine.view().zone());
     }
     return zones.get(host);
   }
--- a/src/main/java/dev/dunefront/claim/package-info.java
+++ b/src/main/java/dev/dunefront/claim/package-info.java
@@ -1,2 +1,5 @@
-/** Claimed jobs: their wants, placements and ends, and the teams' quotas. */
+/**
+ * The jobs that this controller has claimed: queueing their wants, recording where tasks are placed
+ * and how attempts end, and accounting for the teams' quotas.
+ */
 package dev.dunefront.claim;
--- a/src/test/java/dev/dunefront/claim/RoomInterestTest.java
+++ b/src/test/java/dev/dunefront/claim/RoomInterestTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a controller asks the others to tell it of their machines, and when. */
+/** Which level of detail a controller requests from the others, and when it is sent. */
 class RoomInterestTest {
   private final FakeClock clock = new FakeClock();
   private final List<String> said = new ArrayList<>();
@@ -45,11 +45,11 @@
     said.clear();
     double reliableAt = interest.need(Detail.ROOM);
     assertEquals(List.of("all ROOM"), said);
-    assertTrue(reliableAt > clock.now(), "what is known is old");
+    assertTrue(reliableAt > clock.now(), "the known views are outdated");
     clock.pass(RoomInterest.SETTLE_S + 0.01);
-    assertEquals(1, settled, "and is looked at again");
-    assertTrue(interest.need(Detail.ROOM) <= clock.now(), "it is not any more");
-    assertEquals(1, said.size(), "nothing new is declared");
+    assertEquals(1, settled, "the callback runs once the views are reliable");
+    assertTrue(interest.need(Detail.ROOM) <= clock.now(), "the views are reliable now");
+    assertEquals(1, said.size(), "an unchanged level is not sent again");
     ticks(RoomInterest.LINGER_S + 0.5);
     assertEquals(List.of("all ROOM", "all STANDING"), said);
   }
@@ -74,6 +74,6 @@
     said.clear();
     interest.need(Detail.LOAD);
     interest.reached("node-1");
-    assertEquals(List.of("all LOAD", "node-1 LOAD"), said, "and to whoever is reached anew");
+    assertEquals(List.of("all LOAD", "node-1 LOAD"), said, "also sent to a reconnected controller");
   }
 }
--- a/src/test/java/dev/dunefront/claim/TakeoverTest.java
+++ b/src/test/java/dev/dunefront/claim/TakeoverTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Which lapsed claims a controller takes when. */
+/** Which jobs without a live claim a controller claims, and when. */
 class TakeoverTest {
   private static final double WAIT_S = Takeover.RANK_WAIT_S;
 
@@ -39,20 +39,29 @@
     assertEquals(3, Takeover.due(all, Map.of(), 10 + WAIT_S * 2.01).size());
   }
 
-  /** Otherwise all take what others are about to take, and every such write is lost. */
+  /**
+   * Guards against wasted writes: without the wait, nodes would claim jobs that a preferred node is
+   * about to claim, and each such write would fail.
+   */
   @Test
   void whoeverComesNextWaitsWhileThoseBeforeItGetOn() {
     List<Lapsed> all = List.of(lapsed("next", Priority.NORMAL, 2, "x"));
     assertEquals(List.of(), Takeover.due(all, Map.of("x", 11.0), 11 + WAIT_S * 0.9));
     assertEquals(List.of("next"), Takeover.due(all, Map.of("x", 11.0), 11 + WAIT_S * 1.01));
-    assertEquals(List.of("next"), Takeover.due(all, Map.of("z", 11.0), 11), "not before it");
+    assertEquals(
+        List.of("next"),
+        Takeover.due(all, Map.of("z", 11.0), 11),
+        "node z does not precede this one");
   }
 
-  /** Those before it may have no share left for it, and go on taking other jobs for ever. */
+  /**
+   * Guards against starvation: the preferred nodes may have no share left for the job and keep
+   * claiming other jobs forever.
+   */
   @Test
   void aJobThatNobodyHasClaimedYetDoesNotWaitForOthersWork() {
-    Lapsed fresh = new Lapsed("new", Priority.NORMAL, 2, true, 10, List.of("x"));
+    Lapsed neverClaimed = new Lapsed("new", Priority.NORMAL, 2, true, 10, List.of("x"));
     assertEquals(
-        List.of("new"), Takeover.due(List.of(fresh), Map.of("x", 11.0), 10 + WAIT_S * 1.01));
+        List.of("new"), Takeover.due(List.of(neverClaimed), Map.of("x", 11.0), 10 + WAIT_S * 1.01));
   }
 }
--- a/src/test/java/dev/dunefront/claim/TurnoverTest.java
+++ b/src/test/java/dev/dunefront/claim/TurnoverTest.java
@@ -4,16 +4,16 @@
 
 import org.junit.jupiter.api.Test;
 
-/** For how many urgent tasks others are to give way. */
+/** For how many urgent tasks preemption is necessary. */
 class TurnoverTest {
   private static final double LATE = Double.POSITIVE_INFINITY;
 
-  /** Of 20 tasks that wait here, what would still wait when it is too late. */
+  /** Checks how many of the waiting tasks would not have started at their latest start time. */
   private static void asks(int expected, int need, long needOfAll, double slotsPerS, double leftS) {
     assertEquals(
         expected,
         Turnover.shortage(need, needOfAll, slotsPerS, leftS),
-        need + " of " + needOfAll + ", " + slotsPerS + " a second, " + leftS + " s left");
+        need + " of " + needOfAll + ", " + slotsPerS + " slots per second, " + leftS + " s left");
   }
 
   @Test
@@ -27,7 +27,7 @@
     asks(20, 20, 20, 10, -2);
   }
 
-  /** One or two ends in a second: whether they come in time is chance. */
+  /** At one or two completions per second, it is uncertain whether they occur in time. */
   @Test
   void whereFewTasksEndLessOfItIsCountedOn() {
     asks(3, 4, 4, 1, 5);
@@ -35,7 +35,7 @@
     asks(136, 400, 400, 60, 4.83);
   }
 
-  /** All that wait share it, or each would count on all of it. */
+  /** Guards against double counting: each controller would otherwise expect all completions. */
   @Test
   void itGoesToAllThatWaitInTheProportionOfTheirNumbers() {
     asks(0, 20, 100, 30, 5);
--- a/src/test/java/dev/dunefront/claim/UrgenciesTest.java
+++ b/src/test/java/dev/dunefront/claim/UrgenciesTest.java
@@ -10,7 +10,7 @@
 import dev.dunefront.wire.JobSpec;
 import org.junit.jupiter.api.Test;
 
-/** What is served first within a priority. */
+/** The order in which jobs of one priority are served. */
 class UrgenciesTest {
   private static JobSpec job(int tasks) throws BadMessage {
     return JobSpec.read(
@@ -26,7 +26,7 @@
             .put("expect_s", 30.0));
   }
 
-  /** What users expect of the jobs. */
+  /** The objectives of the jobs, as in the settings file. */
   private static final String AIMS =
       """
       [[facts.objectives]]
@@ -50,7 +50,7 @@
       within_s = 20.0
       """;
 
-  private static Settings settings(String aims) throws BadSetting {
+  private static Settings settings(String objectives) throws BadSetting {
     return Settings.parse(
         """
         host_name = "n"
@@ -78,45 +78,53 @@
         memory_mb = 256.0
         fd_limit = 500
         """
-            .formatted(aims));
+            .formatted(objectives));
   }
 
   @Test
   void whatCanStillBeWonComesFirstAndLargeJobsAfterSmallOnes() throws Exception {
-    Urgencies u = new Urgencies(settings(AIMS));
+    Urgencies ranking = new Urgencies(settings(AIMS));
     for (int i = 0; i < 20; i++) {
-      u.seen(job(40));
+      ranking.seen(job(40));
     }
-    int fresh = u.rank(job(40), 40, 0, 0);
-    int pressing = u.rank(job(40), 40, 65, 0);
-    int late = u.rank(job(40), 40, 90, 0);
-    int lost = u.rank(job(40), 40, 170, 0);
-    assertTrue(pressing < fresh && fresh < late && late < lost);
-    int large = u.rank(job(200), 200, 0, 0);
-    assertTrue(large > fresh && large < late, "a large job makes many small ones late");
-    assertEquals(fresh, u.rank(job(200), 30, 0, 0), "what is left of it is small in the end");
+    int onTime = ranking.rank(job(40), 40, 0, 0);
+    int atRisk = ranking.rank(job(40), 40, 65, 0);
+    int late = ranking.rank(job(40), 40, 90, 0);
+    int missedAll = ranking.rank(job(40), 40, 170, 0);
+    assertTrue(atRisk < onTime && onTime < late && late < missedAll);
+    int large = ranking.rank(job(200), 200, 0, 0);
+    assertTrue(large > onTime && large < late, "a large job would delay many small ones");
+    assertEquals(
+        onTime,
+        ranking.rank(job(200), 30, 0, 0),
+        "a large job with few tasks left ranks as a small one");
   }
 
   @Test
   void howLongTasksRunIsLearned() throws Exception {
-    Urgencies u = new Urgencies(settings(AIMS));
-    assertEquals(Urgencies.IN_TIME, u.rank(job(40), 1, 40, 0));
+    Urgencies ranking = new Urgencies(settings(AIMS));
+    assertEquals(Urgencies.IN_TIME, ranking.rank(job(40), 1, 40, 0));
     for (int i = 0; i < 60; i++) {
-      u.ran(job(40), 75);
+      ranking.ran(job(40), 75);
     }
-    assertEquals(Urgencies.LATE, u.rank(job(40), 1, 40, 0));
+    assertEquals(Urgencies.LATE, ranking.rank(job(40), 1, 40, 0));
   }
 
-  /** The next aim that can still be met counts, whatever was missed before. */
+  /** The next objective that can still be met counts, regardless of missed ones. */
   @Test
   void tasksMayWaitUntilTheNextAimForTheirStart() throws BadSetting, BadMessage {
-    Urgencies u = new Urgencies(settings(AIMS));
-    assertEquals(4.5, u.startSlackS(job(1), 0.5), 0.001);
-    assertEquals(15, u.startSlackS(job(1), 5), 0.001);
-    assertEquals(100 - 30 - 25, u.startSlackS(job(1), 25), 0.001, "then for the end");
-    assertEquals(180 - 30 - 80, u.startSlackS(job(1), 80), 0.001);
-    assertEquals(Double.POSITIVE_INFINITY, u.startSlackS(job(1), 170), "nothing can be won");
+    Urgencies ranking = new Urgencies(settings(AIMS));
+    assertEquals(4.5, ranking.startSlackS(job(1), 0.5), 0.001);
+    assertEquals(15, ranking.startSlackS(job(1), 5), 0.001);
+    assertEquals(
+        100 - 30 - 25,
+        ranking.startSlackS(job(1), 25),
+        0.001,
+        "finish objectives follow start objectives");
+    assertEquals(180 - 30 - 80, ranking.startSlackS(job(1), 80), 0.001);
+    assertEquals(
+        Double.POSITIVE_INFINITY, ranking.startSlackS(job(1), 170), "all objectives are missed");
     assertEquals(
-        0, new Urgencies(settings("")).startSlackS(job(1), 0.5), "nothing is said of starts");
+        0, new Urgencies(settings("")).startSlackS(job(1), 0.5), "there are no objectives");
   }
 }
