--- a/src/main/java/dev/dunefront/claim/Account.java
+++ b/src/main/java/dev/dunefront/claim/Account.java
@@ -136,8 +136,8 @@
    */
   public Message.Demand demand() {
     List<Message.Waiting> waiting = new ArrayList<>();
-    Map<Queue.Shape, Integer> heads = new HashMap<>();
-    Map<Queue.Shape, Integer> behind = new HashMap<>();
+    Map<Queue.Shape, Integer> firstIndexes = new HashMap<>();
+    Map<Queue.Shape, Integer> throttledTasks = new HashMap<>();
     double now = context.now();
     for (Claim claim : claims.values()) {
       int tasks = claim.unstarted();
@@ -149,20 +149,20 @@
         Map<String, Integer> remainingByZone = zones.left(claim, context.catalog().zones());
         if (claim.queued && remainingByZone.isEmpty()) {
           // Added below to the first equivalent job that is listed.
-          behind.merge(claim.shape, tasks, Integer::sum);
+          throttledTasks.merge(claim.shape, tasks, Integer::sum);
         } else {
           waiting.add(new Message.Waiting(claim.id(), tasks, remainingByZone));
-          heads.putIfAbsent(claim.shape, waiting.size() - 1);
+          firstIndexes.putIfAbsent(claim.shape, waiting.size() - 1);
         }
       }
     }
-    behind.forEach(
+    throttledTasks.forEach(
         (shape, tasks) -> {
-          Integer head = heads.get(shape);
-          if (head != null) {
-            Message.Waiting first = waiting.get(head);
+          Integer firstIndex = firstIndexes.get(shape);
+          if (firstIndex != null) {
+            Message.Waiting first = waiting.get(firstIndex);
             waiting.set(
-                head, new Message.Waiting(first.job(), first.tasks() + tasks, first.zones()));
+                firstIndex, new Message.Waiting(first.job(), first.tasks() + tasks, first.zones()));
           }
         });
     Set<String> hostsWithoutView = new HashSet<>();
--- a/src/main/java/dev/dunefront/claim/Begin.java
+++ b/src/main/java/dev/dunefront/claim/Begin.java
@@ -11,8 +11,11 @@
 final class Begin {
   /** The escalation stage of a job. */
   enum Standing {
+    /** Served by priority and rank. */
     ORDINARY,
+    /** Ranks first within its priority. */
     AHEAD,
+    /** Capacity is collected for it across all priorities. */
     FIRST
   }
 
--- a/src/main/java/dev/dunefront/claim/Claim.java
+++ b/src/main/java/dev/dunefront/claim/Claim.java
@@ -119,6 +119,7 @@
   /** When all machines are scanned again. */
   double lookAgain;
 
+  /** Interval until the scan after the next one; see {@link WantPlacement}. */
   double lookPause = WantPlacement.LOOK_AGAIN_S;
 
   /** Value of {@link MachineTable#capacityIncreases} at the last scan for freed capacity. */
@@ -138,7 +139,13 @@
 
   int toldRunning;
   int toldPlaced;
+
+  /**
+   * Under scarcity, the number of machines and, as a multiple of the wanted tasks, the number of
+   * wants that a scan covers; grows by one per tick.
+   */
   int reach;
+
   int rank = Urgencies.IN_TIME;
 
   /** Priority of the queued wants: the job's own, or a higher one while its start is overdue. */
@@ -151,8 +158,14 @@
   boolean queued;
 
   Begin.Standing standing = Begin.Standing.ORDINARY;
+
+  /** When the reach grows next. */
   double nextTick;
+
+  /** Since when the job has waited for capacity without being served. */
   double unservedSince;
+
+  /** No task is placed before this time, after failures or as a requeue delay. */
   double notBefore;
 
   /** Image fetches longer than this lose to waiting for a machine with a faster fetch. */
--- a/src/main/java/dev/dunefront/claim/GivingWay.java
+++ b/src/main/java/dev/dunefront/claim/GivingWay.java
@@ -96,9 +96,9 @@
     need -= claim.preempted;
     if (need > 0 && priority.urgent()) {
       // Counts of recently started tasks are only sent to subscribers of the LOAD level.
-      double settledAt = interest.need(Detail.LOAD);
-      if (now < settledAt) {
-        claim.lookAgain = Math.min(claim.lookAgain, settledAt);
+      double reliableAt = interest.need(Detail.LOAD);
+      if (now < reliableAt) {
+        claim.lookAgain = Math.min(claim.lookAgain, reliableAt);
         return;
       }
     }
--- a/src/main/java/dev/dunefront/claim/Reconciliation.java
+++ b/src/main/java/dev/dunefront/claim/Reconciliation.java
@@ -41,8 +41,8 @@
   }
 
   /** Compares a new view of a machine with every claimed job that has tasks there. */
-  void heard(Room.Seen seen, Map<String, Claim> claims) {
-    View view = seen.view();
+  void heard(Room.Seen machine, Map<String, Claim> claims) {
+    View view = machine.view();
     Set<Claim> affected = new LinkedHashSet<>();
     for (TaskState task : view.tasks()) {
       Claim claim = claims.get(task.job());
@@ -59,7 +59,7 @@
       }
     }
     for (Claim claim : affected) {
-      compare(claim, seen);
+      compare(claim, machine);
     }
   }
 
@@ -81,21 +81,21 @@
   /**
    * Compares the recorded attempts of a job on a machine with the machine's latest view.
    *
-   * @param seen null if no view of the machine is known
+   * @param machine null if no view of the machine is known
    */
-  void compare(Claim claim, Room.Seen seen) {
-    if (seen == null) {
+  void compare(Claim claim, Room.Seen machine) {
+    if (machine == null) {
       return;
     }
     if (claim.loading) {
-      claim.unread.add(seen.view().host());
+      claim.unread.add(machine.view().host());
       return;
     }
-    claim.unread.remove(seen.view().host());
-    Map<Integer, Live> placed = claim.liveOn(seen.view().host());
+    claim.unread.remove(machine.view().host());
+    Map<Integer, Live> placed = claim.liveOn(machine.view().host());
     Map<Integer, TaskState> reported = new HashMap<>();
     List<TaskState> unrecorded = new ArrayList<>();
-    for (TaskState task : seen.view().tasks()) {
+    for (TaskState task : machine.view().tasks()) {
       if (task.job().equals(claim.id())) {
         Live live = placed.get(task.number());
         if (live != null && live.placement.attempt() == task.attempt()) {
@@ -108,10 +108,10 @@
     placed.forEach(
         (number, live) -> {
           if (!live.ending) {
-            compare(claim, number, live, reported.get(number), seen);
+            compare(claim, number, live, reported.get(number), machine);
           }
         });
-    strays.reject(claim, unrecorded, seen);
+    strays.reject(claim, unrecorded, machine);
     if (!claim.ends.isEmpty()) {
       recorder.flush(claim);
     }
@@ -122,10 +122,10 @@
    *
    * @param reported the attempt's state; null if the view does not include it
    */
-  private void compare(Claim claim, int number, Live live, TaskState reported, Room.Seen seen) {
-    View view = seen.view();
+  private void compare(Claim claim, int number, Live live, TaskState reported, Room.Seen machine) {
+    View view = machine.view();
     live.shown = reported != null;
-    Basis basis = Basis.of(seen.holder(), view, context.now() - seen.at());
+    Basis basis = Basis.of(machine.holder(), view, context.now() - machine.at());
     EndProof proof = EndProof.find(live.placement.asAttempt(), reported, view, basis);
     if (proof != null) {
       ends.end(claim, number, live, proof);
@@ -137,7 +137,7 @@
       context
           .peers()
           .send(
-              seen.holder(),
+              machine.holder(),
               new Message.Probe(view.host(), claim.record.term(), claim.id(), number, attempt));
     }
   }
--- a/src/main/java/dev/dunefront/claim/Recorder.java
+++ b/src/main/java/dev/dunefront/claim/Recorder.java
@@ -161,8 +161,8 @@
     }
     boolean finishing = !claim.open() && claim.live.isEmpty();
     Quotas.Quota quota = quotas.of(claim.spec.team());
-    boolean returns = returns(claim, quota);
-    if (claim.offers.isEmpty() && claim.ends.isEmpty() && !finishing && !returns) {
+    boolean returnsGrant = returns(claim, quota);
+    if (claim.offers.isEmpty() && claim.ends.isEmpty() && !finishing && !returnsGrant) {
       return;
     }
     if (!claim.offers.isEmpty()) {
@@ -170,7 +170,7 @@
     }
     double pressure = pressureS();
     if (!finishing
-        && !returns
+        && !returnsGrant
         && !due(claim, canGather(claim, quota) ? GATHER_S * (1 + pressure) : pressure)) {
       return;
     }
@@ -178,7 +178,7 @@
       quota.waiting.add(() -> flush(claim));
       return;
     }
-    Flight plan = planning.plan(claim, quota, returns, this::decline);
+    Flight plan = planning.plan(claim, quota, returnsGrant, this::decline);
     if (plan.starts().isEmpty()
         && plan.ends().isEmpty()
         && !finishing
@@ -201,8 +201,8 @@
     }
     double now = context.now();
     claim.unusedSince = Math.min(claim.unusedSince, now);
-    boolean tight = quota.room(claim.size) < claim.record.granted();
-    return now - claim.unusedSince >= (tight ? UNUSED_TIGHT_S : UNUSED_S);
+    boolean scarce = quota.room(claim.size) < claim.record.granted();
+    return now - claim.unusedSince >= (scarce ? UNUSED_TIGHT_S : UNUSED_S);
   }
 
   private void write(Claim claim, Flight plan, Quotas.Quota quota) {
@@ -239,33 +239,35 @@
         Holds.condition(txn, ended.placement().host(), ended.holdStamp());
       }
     }
-    JobRecord rewritten = null;
-    List<Integer> emptied = new ArrayList<>();
+    JobRecord newRecord = null;
+    List<Integer> removedChunks = new ArrayList<>();
     int granted = last == null ? plan.granted() : 0;
     if (last != null && fitsOneTransaction) {
       txn.put(JobRecord.finalKey(claim.id()), JobRecord.writeFinal(last, mark));
       txn.remove(JobRecord.key(claim.id()));
       claim.chunks.keySet().forEach(i -> txn.remove(Chunk.key(claim.id(), i)));
     } else if (last != null) {
-      rewritten = claim.record.with(last).granting(0);
-      txn.put(JobRecord.key(claim.id()), rewritten.write(mark));
+      newRecord = claim.record.with(last).granting(0);
+      txn.put(JobRecord.key(claim.id()), newRecord.write(mark));
       for (int i : claim.chunks.keySet()) {
-        if (emptied.size() + 4 < txnOps) {
-          emptied.add(i);
+        if (removedChunks.size() + 4 < txnOps) {
+          removedChunks.add(i);
           txn.remove(Chunk.key(claim.id(), i));
         }
       }
     } else {
       plan.next().forEach((i, chunk) -> txn.put(Chunk.key(claim.id(), i), chunk.write(mark)));
       if (granted != claim.record.granted()) {
-        rewritten = claim.record.granting(granted);
-        txn.put(JobRecord.key(claim.id()), rewritten.write(mark));
+        newRecord = claim.record.granting(granted);
+        txn.put(JobRecord.key(claim.id()), newRecord.write(mark));
       }
     }
-    boolean regrant = quota != null && granted != claim.record.granted();
+    boolean grantChanged = quota != null && granted != claim.record.granted();
     Size used =
-        regrant ? quota.used.plus(claim.size.times(granted - claim.record.granted())) : Size.NONE;
-    if (regrant) {
+        grantChanged
+            ? quota.used.plus(claim.size.times(granted - claim.record.granted()))
+            : Size.NONE;
+    if (grantChanged) {
       quota.busy = true;
       txn.when(quota.key(), quota.stamp).put(quota.key(), Quotas.write(used, mark));
     }
@@ -281,7 +283,7 @@
     claim.flying = true;
     claim.starting = plan.starts().size();
     Status finalStatus = last;
-    JobRecord record = rewritten;
+    JobRecord record = newRecord;
     context
         .store()
         .commit(
@@ -292,7 +294,7 @@
               claim.flying = false;
               claim.starting = 0;
               if (result.ok()) {
-                if (regrant) {
+                if (grantChanged) {
                   quotas.saw(quota, Quotas.write(used, mark), result.revision());
                 }
                 // The decision lock contains failures, so that the quota is released in any case.
@@ -305,7 +307,7 @@
                                 plan,
                                 finalStatus,
                                 record,
-                                emptied,
+                                removedChunks,
                                 mark,
                                 result.revision()));
               } else if (!claim.dropped) {
@@ -313,9 +315,9 @@
               } else {
                 plan.starts().forEach(start -> decline(start.held()));
               }
-              if (regrant && !result.ok() && result.failed().contains(quota.key())) {
+              if (grantChanged && !result.ok() && result.failed().contains(quota.key())) {
                 refresh(quota, claim);
-              } else if (regrant) {
+              } else if (grantChanged) {
                 quota.release();
               }
             });
@@ -341,8 +343,8 @@
       Claim claim,
       Flight plan,
       Status last,
-      JobRecord rewritten,
-      List<Integer> emptied,
+      JobRecord newRecord,
+      List<Integer> removedChunks,
       String mark,
       long revision) {
     for (Ended ended : plan.ends()) {
@@ -366,7 +368,7 @@
         }
       }
     }
-    if (last != null && rewritten == null) {
+    if (last != null && newRecord == null) {
       // The replica may have applied the end before the response arrived.
       claims.finished(claim, last, revision);
       return;
@@ -427,18 +429,18 @@
                   start.number(),
                   start.placement().attempt()));
     }
-    if (rewritten != null) {
+    if (newRecord != null) {
       if (revision > claim.stamp) {
         // Otherwise another controller has cancelled the job since, and the replica has applied
         // that before the response arrived. Replacing it with the older open record would keep the
         // job from ever ending.
-        claim.record = rewritten;
+        claim.record = newRecord;
         claim.stamp = revision;
       }
-      context.jobs().wrote(claim.id(), rewritten, mark, revision);
+      context.jobs().wrote(claim.id(), newRecord, mark, revision);
     }
     if (last != null) {
-      emptied.forEach(claim.chunks::remove);
+      removedChunks.forEach(claim.chunks::remove);
       claim.forgetAllLive();
       flush(claim);
       return;
@@ -459,9 +461,9 @@
         .get(
             quota.key(),
             Store.Urgency.CORE,
-            got -> {
-              if (got.outcome() == Store.Outcome.OK) {
-                quotas.saw(quota, got.value(), got.stamp());
+            result -> {
+              if (result.outcome() == Store.Outcome.OK) {
+                quotas.saw(quota, result.value(), result.stamp());
               }
               quota.release();
               flush(claim);
--- a/src/main/java/dev/dunefront/claim/Room.java
+++ b/src/main/java/dev/dunefront/claim/Room.java
@@ -55,10 +55,10 @@
       counts.set(kind.index, counts.get(kind.index) + 1);
     }
     if (current.roomy()) {
-      Seen before = roomy.put(view.host(), current);
-      if (before == null
-          || view.free().cpu() > before.view.free().cpu()
-          || view.free().ram() > before.view.free().ram()) {
+      Seen previous = roomy.put(view.host(), current);
+      if (previous == null
+          || view.free().cpu() > previous.view.free().cpu()
+          || view.free().ram() > previous.view.free().ram()) {
         openings++;
       }
     } else {
--- a/src/main/java/dev/dunefront/claim/StrayControl.java
+++ b/src/main/java/dev/dunefront/claim/StrayControl.java
@@ -27,15 +27,15 @@
   }
 
   /** Stops the unrecorded attempts in a view and clears those that have exited. */
-  void reject(Claim claim, List<TaskState> unrecorded, Room.Seen seen) {
-    View view = seen.view();
+  void reject(Claim claim, List<TaskState> unrecorded, Room.Seen machine) {
+    View view = machine.view();
     if (unrecorded.isEmpty() && claim.strays.isEmpty()) {
       return;
     }
     Set<Integer> alive = new HashSet<>();
     for (TaskState task : unrecorded) {
       if (task.exited()) {
-        clear(claim, task, seen);
+        clear(claim, task, machine);
       } else if (!view.lost()) {
         alive.add(task.number());
         if (claim.strays.shown(view.host(), task.number(), task.attempt(), view.session())) {
@@ -54,22 +54,22 @@
     if ((view.settled() || view.lost()) && isCurrent(view)) {
       forget(claim, view.host(), number -> !alive.contains(number));
     }
-    stop(claim, seen);
+    stop(claim, machine);
   }
 
-  /** Whether the view was sent under the machine's currently recorded hold. */
+  /** Whether the view was sent under the machine's present hold, as far as known here. */
   private boolean isCurrent(View view) {
     Holds.Hold hold = context.holds().of(view.host(), view.zone());
     return hold != null && hold.stamp() == view.holdStamp();
   }
 
-  private void clear(Claim claim, TaskState task, Room.Seen seen) {
-    String host = seen.view().host();
+  private void clear(Claim claim, TaskState task, Room.Seen machine) {
+    String host = machine.view().host();
     long term = claim.record.term();
     context
         .peers()
         .send(
-            seen.holder(),
+            machine.holder(),
             new Message.Clear(host, term, claim.id(), task.number(), task.attempt()));
   }
 
@@ -83,8 +83,8 @@
   }
 
   /** Sends stop requests for the stray attempts on a machine, unless sent recently. */
-  private void stop(Claim claim, Room.Seen seen) {
-    String host = seen.view().host();
+  private void stop(Claim claim, Room.Seen machine) {
+    String host = machine.view().host();
     for (Strays.Stray stray : claim.strays.on(host).values()) {
       if (context.now() - stray.stoppedAt > REPEAT_S) {
         stray.stoppedAt = context.now();
@@ -92,7 +92,7 @@
         context
             .peers()
             .send(
-                seen.holder(),
+                machine.holder(),
                 new Message.Stop(host, term, claim.id(), stray.number, stray.attempt, 0));
       }
     }
--- a/src/main/java/dev/dunefront/claim/Takeover.java
+++ b/src/main/java/dev/dunefront/claim/Takeover.java
@@ -84,8 +84,8 @@
   private static double from(Lapsed job, Map<String, Double> progress) {
     double claimableAt = job.sinceS;
     if (!job.fresh) {
-      // Does not apply to a job that was never claimed: it may exceed the share of the preferred
-      // nodes, which then never claim it.
+      // Progress of the preferred nodes is ignored for a job that was never claimed: it may exceed
+      // their shares, so that they never claim it.
       for (String node : job.before) {
         claimableAt = Math.max(claimableAt, progress.getOrDefault(node, claimableAt));
       }
--- a/src/main/java/dev/dunefront/claim/Urgencies.java
+++ b/src/main/java/dev/dunefront/claim/Urgencies.java
@@ -18,13 +18,18 @@
   /** Would miss its first objective by waiting {@link #AT_RISK_SLACK_S} longer. */
   static final int PRESSING = 0;
 
+  /** Has time left, or no objective. */
   static final int IN_TIME = 1;
 
   /** Added to the two ranks above for a job with many tasks left to start. */
   private static final int LARGE = 2;
 
+  /** Has missed its first objective, but can still meet a later one. */
   static final int LATE = 4;
+
   private static final int LATE_LARGE = 5;
+
+  /** Can no longer meet any objective. */
   static final int LOST = 6;
 
   private static final double PRESSING_S = 15;
--- a/src/main/java/dev/dunefront/claim/WantPlacement.java
+++ b/src/main/java/dev/dunefront/claim/WantPlacement.java
@@ -62,7 +62,7 @@
   /** Brings a job's queued wants up to date. */
   void review(Claim claim) {
     double now = context.now();
-    double settledAt = now;
+    double reliableAt = now;
     double ageS = claim.ageS(context.timers().timeOfDayMs());
     Begin.Standing previous = claim.standing;
     claim.standing = begin.standing(claim, ageS, context.tunables().beginS(), now);
@@ -77,7 +77,7 @@
     if (now >= claim.notBefore && unstarted(claim) > 0) {
       // Subscribes before idle capacity is counted: without views it would be counted as zero, and
       // views would never be requested.
-      settledAt = interest.need(Detail.ROOM);
+      reliableAt = interest.need(Detail.ROOM);
     }
     int wanted = wanted(claim);
     if (wanted <= 0 || now < claim.notBefore) {
@@ -106,9 +106,9 @@
       claim.openings = room.openings();
       claim.openingsAt = now;
       parkAnew(claim, wanted, now);
-      if (now < settledAt) {
+      if (now < reliableAt) {
         // The known views are outdated; scans again once the current ones have arrived.
-        claim.lookAgain = Math.min(claim.lookAgain, settledAt);
+        claim.lookAgain = Math.min(claim.lookAgain, reliableAt);
       }
     } else if (claim.openings != room.openings() && now - claim.openingsAt >= OPENINGS_S) {
       claim.openings = room.openings();
@@ -155,13 +155,13 @@
     // A heap avoids sorting all candidates, as only the best few are used.
     Queue<Choice> best = new PriorityQueue<>(candidates);
     // If enough capacity is free now, no wants are queued at full machines.
-    long left = fitting >= surplus ? surplus : (long) wanted * claim.reach;
+    long wantsLeft = fitting >= surplus ? surplus : (long) wanted * claim.reach;
     long leftAtFree = surplus;
     int machineCount = 0;
     Map<String, Integer> targetCounts = new HashMap<>();
     double fetchS = candidates.isEmpty() ? 0 : best.peek().costS();
     for (Choice candidate = best.poll(); candidate != null; candidate = best.poll()) {
-      if (left <= 0 && (machineCount >= claim.reach || !candidate.here())) {
+      if (wantsLeft <= 0 && (machineCount >= claim.reach || !candidate.here())) {
         break;
       }
       if (candidate.fits() > 0 && leftAtFree <= 0 && machineCount >= claim.reach) {
@@ -169,7 +169,7 @@
       }
       int count = Math.min(wanted, candidate.fits() > 0 ? candidate.fits() : candidate.ever());
       targetCounts.put(candidate.seen().view().host(), count);
-      left -= count;
+      wantsLeft -= count;
       leftAtFree -= candidate.fits() > 0 ? count : 0;
       machineCount++;
     }
@@ -240,12 +240,12 @@
       }
     }
     Queue<Choice> best = new PriorityQueue<>(candidates);
-    long left = (long) Math.ceil(wanted * SURPLUS) - covered;
-    while (left > 0 && !best.isEmpty()) {
+    long wantsLeft = (long) Math.ceil(wanted * SURPLUS) - covered;
+    while (wantsLeft > 0 && !best.isEmpty()) {
       Choice candidate = best.poll();
       int count = Math.min(wanted, candidate.fits());
       want(claim, candidate.seen().view().host(), count);
-      left -= count;
+      wantsLeft -= count;
     }
   }
 
--- a/src/main/java/dev/dunefront/claim/Zones.java
+++ b/src/main/java/dev/dunefront/claim/Zones.java
@@ -70,13 +70,13 @@
         placed.merge(zone, 1, Integer::sum);
       }
     }
-    int most = claim.spec.oneZone() ? claim.spec.tasks() : claim.spec.mostInOneZone();
-    Map<String, Integer> left = new HashMap<>();
+    int maxPerZone = claim.spec.oneZone() ? claim.spec.tasks() : claim.spec.mostInOneZone();
+    Map<String, Integer> remaining = new HashMap<>();
     for (String zone : zoneNames) {
       boolean elsewhere = claim.spec.oneZone() && !placed.isEmpty() && !placed.containsKey(zone);
-      left.put(zone, elsewhere ? 0 : Math.max(0, most - placed.getOrDefault(zone, 0)));
+      remaining.put(zone, elsewhere ? 0 : Math.max(0, maxPerZone - placed.getOrDefault(zone, 0)));
     }
-    return left;
+    return remaining;
   }
 
   private String zoneOf(String host) {
