--- a/src/main/java/dev/dunefront/claim/Chunk.java
+++ b/src/main/java/dev/dunefront/claim/Chunk.java
@@ -1,9 +1,9 @@
 package dev.dunefront.claim;
 
 import dev.dunefront.evidence.EndProof;
-import dev.dunefront.store.Store;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.store.StateStore;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
@@ -22,16 +22,16 @@
    * Tasks per chunk. A placement takes about 12 bytes and a machine name about 15, so the value
    * usually stays below 16 KiB even if every task is on a different machine.
    */
-  static final int TASKS = 512;
+  static final int TASKS_PER_CHUNK = 512;
 
   /** Maximum encoded size of the numbers of one placement. */
   private static final int PLACEMENT_BYTES = 16;
 
   /** Maximum encoded size of one range of done tasks. */
-  private static final int RUN_BYTES = 8;
+  private static final int RANGE_BYTES = 8;
 
   /** Maximum encoded size of the field names and delimiters. */
-  private static final int FRAME_BYTES = 200;
+  private static final int OVERHEAD_BYTES = 200;
 
   static String prefix(String job) {
     return "t/" + job + "/";
@@ -44,7 +44,7 @@
   /** Where and in which worker session an attempt of a task is placed. */
   record Placement(long attempt, String host, long session) {
     /** The attempt in the form that {@link EndProof} checks. */
-    EndProof.Attempt asAttempt() {
+    EndProof.Attempt toAttempt() {
       return new EndProof.Attempt(attempt, host, session);
     }
 
@@ -62,15 +62,15 @@
     }
   }
 
-  final long stamp;
+  final long revision;
   final BitSet done = new BitSet();
   final Map<Integer, Placement> placed = new HashMap<>();
 
   /** Number of the latest attempt of each task, by task number within the chunk. */
-  final Map<Integer, Long> tries = new HashMap<>();
+  final Map<Integer, Long> lastAttempts = new HashMap<>();
 
   Chunk(long stamp) {
-    this.stamp = stamp;
+    this.revision = stamp;
   }
 
   /** A mutable copy; it replaces the original only after it has been written. */
@@ -78,12 +78,12 @@
     Chunk chunk = new Chunk(newStamp);
     chunk.done.or(done);
     chunk.placed.putAll(placed);
-    chunk.tries.putAll(tries);
+    chunk.lastAttempts.putAll(lastAttempts);
     return chunk;
   }
 
   /** Upper estimate of the encoded size, which the state service limits. */
-  int bytes() {
+  int estimatedBytes() {
     int ranges = 0;
     for (int from = done.nextSetBit(0);
         from >= 0;
@@ -95,18 +95,18 @@
     for (Placement placement : placed.values()) {
       nameBytes += hosts.add(placement.host) ? placement.host.length() + 3 : 0;
     }
-    return FRAME_BYTES
+    return OVERHEAD_BYTES
         + nameBytes
-        + RUN_BYTES * ranges
-        + PLACEMENT_BYTES * Math.max(placed.size(), tries.size());
+        + RANGE_BYTES * ranges
+        + PLACEMENT_BYTES * Math.max(placed.size(), lastAttempts.size());
   }
 
   /** Maximum number of bytes that a placement on this machine adds. */
-  static int bytesFor(String host) {
+  static int placementBytes(String host) {
     return PLACEMENT_BYTES + host.length() + 3;
   }
 
-  static Chunk read(Doc doc, long stamp) throws BadMessage {
+  static Chunk read(Document doc, long stamp) throws MalformedMessageException {
     Chunk chunk = new Chunk(stamp);
     List<Long> done = doc.counts("done");
     for (int i = 0; i + 1 < done.size(); i += 2) {
@@ -118,16 +118,16 @@
     for (int i = 0; i + 3 < placed.size(); i += 4) {
       int host = placed.get(i + 2).intValue();
       if (host < 0 || host >= hosts.size()) {
-        throw new BadMessage("placement refers to a host index that is not listed");
+        throw new MalformedMessageException("placement refers to a host index that is not listed");
       }
       int offset = placed.get(i).intValue();
       Placement placement = new Placement(placed.get(i + 1), hosts.get(host), placed.get(i + 3));
       chunk.placed.put(offset, placement);
-      chunk.tries.put(offset, placement.attempt);
+      chunk.lastAttempts.put(offset, placement.attempt);
     }
     List<Long> tries = doc.counts("tries");
     for (int i = 0; i + 1 < tries.size(); i += 2) {
-      chunk.tries.put(tries.get(i).intValue(), tries.get(i + 1));
+      chunk.lastAttempts.put(tries.get(i).intValue(), tries.get(i + 1));
     }
     return chunk;
   }
@@ -136,7 +136,7 @@
    * Encodes done tasks as ranges (first, length) and placements as (task, attempt, host index,
    * session).
    */
-  Doc write(String mark) {
+  Document write(String mark) {
     List<Object> ranges = new ArrayList<>();
     for (int from = done.nextSetBit(0); from >= 0; ) {
       int to = done.nextClearBit(from);
@@ -161,15 +161,15 @@
           placements.add(placement.session);
         });
     List<Object> attempts = new ArrayList<>();
-    tries.forEach(
+    lastAttempts.forEach(
         (offset, attempt) -> {
           if (!placed.containsKey(offset) && !done.get(offset)) {
             attempts.add((long) offset);
             attempts.add(attempt);
           }
         });
-    return Doc.of()
-        .put(Store.MARK, mark)
+    return Document.create()
+        .put(StateStore.WRITE_ID_FIELD, mark)
         .put("done", ranges)
         .put("hosts", hosts)
         .put("placed", placements)
--- a/src/main/java/dev/dunefront/claim/Claim.java
+++ b/src/main/java/dev/dunefront/claim/Claim.java
@@ -5,7 +5,7 @@
 import dev.dunefront.job.JobRecord;
 import dev.dunefront.peer.Message;
 import dev.dunefront.wire.JobSpec;
-import dev.dunefront.wire.Size;
+import dev.dunefront.wire.Resources;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
@@ -18,127 +18,127 @@
 /** The in-memory state of a job that this controller has claimed. */
 final class Claim {
   /** An offer that has not been accepted or declined yet. */
-  record Held(String holder, Message.Offer offer, double at) {}
+  record ReceivedOffer(String holder, Message.Offer offer, double receivedAt) {}
 
   /** How an attempt ended. */
-  enum End {
+  enum AttemptOutcome {
     DONE,
     STOPPED,
     FAILED,
     REFUSED,
-    GONE
+    LOST
   }
 
   /** The end of an attempt that is still to be recorded, with its proof. */
-  record Ended(int number, Placement placement, End end, EndProof proof) {
+  record EndedAttempt(int number, Placement placement, AttemptOutcome outcome, EndProof proof) {
     /** Whether the proof is valid only while the machine's hold record is unchanged. */
     boolean conditional() {
       return proof.conditional();
     }
 
     /** The version of the hold record that the proof depends on. */
-    long holdStamp() {
-      return proof.basis().holdStamp();
+    long holdRevision() {
+      return proof.basis().holdRevision();
     }
   }
 
   /** A placed attempt with the runtime state that is not part of its record. */
-  static final class Live {
+  static final class LiveAttempt {
     final Placement placement;
     Message.State state = Message.State.PENDING;
     double runningSince;
     double probedAt;
-    double stoppedAt;
-    boolean ending;
+    double stopSentAt;
+    boolean ended;
 
     /** Whether the latest view of the machine included this attempt. */
-    boolean shown;
+    boolean reported;
 
-    Live(Placement placement) {
+    LiveAttempt(Placement placement) {
       this.placement = placement;
     }
   }
 
   final JobSpec spec;
-  final Size size;
+  final Resources size;
   JobRecord record;
-  long stamp;
+  long revision;
   boolean loading;
-  boolean flying;
-  boolean choosing;
-  boolean dropped;
+  boolean committing;
+  boolean flushScheduled;
+  boolean released;
 
   /**
    * The job's record says that it is to end, but this claim has not read that version yet: the
    * state service may be refusing only this controller's requests. No task of the job is placed or
    * started meanwhile.
    */
-  boolean halted;
+  boolean endRequested;
 
   final TreeMap<Integer, Chunk> chunks = new TreeMap<>();
 
   /** Numbers of the tasks that are done or placed. */
-  final BitSet busy = new BitSet();
+  final BitSet doneOrPlaced = new BitSet();
 
   int done;
-  final Map<Integer, Live> live = new HashMap<>();
+  final Map<Integer, LiveAttempt> liveAttempts = new HashMap<>();
 
   /** The live attempts by machine, because each view covers one machine. */
-  private final Map<String, Map<Integer, Live>> liveOn = new HashMap<>();
+  private final Map<String, Map<Integer, LiveAttempt>> liveAttemptsOn = new HashMap<>();
 
-  final List<Held> offers = new ArrayList<>();
-  final List<Ended> ends = new ArrayList<>();
+  final List<ReceivedOffer> offers = new ArrayList<>();
+  final List<EndedAttempt> unrecordedEnds = new ArrayList<>();
 
   /** Attempts that appear in views but are not recorded. */
   final Strays strays = new Strays();
 
   /** Machines whose latest view has not been compared with the current records. */
-  final Set<String> unread = new HashSet<>();
+  final Set<String> hostsToCompare = new HashSet<>();
 
   /** Number of wants queued, by machine. */
-  final Map<String, Integer> parked = new HashMap<>();
+  final Map<String, Integer> queuedWants = new HashMap<>();
 
   /** Until when each machine is not considered, after it refused or failed a task. */
-  final Map<String, Double> avoid = new HashMap<>();
+  final Map<String, Double> avoidUntil = new HashMap<>();
 
   /** When a task of the job first failed on each machine. */
   final Map<String, Double> failedOn = new HashMap<>();
 
   /** How well each kind of machine suits this job, by index of the kind. */
-  final List<Choosing.Fit> fits = new ArrayList<>();
+  final List<CandidateSelection.MachineFit> machineFits = new ArrayList<>();
 
   /** Spreads jobs over machines of equal cost. */
-  final int mix;
+  final int tieBreaker;
 
   /** Number of starts in the transaction in flight. */
-  int starting;
+  int startsInFlight;
 
   /** Number of tasks that wants were queued for in the last scan of all machines. */
-  int parkedFor;
+  int tasksAtLastScan;
 
   /** When all machines are scanned again. */
-  double lookAgain;
+  double nextFullScanAt;
 
   /** Interval until the scan after the next one; see {@link WantPlacement}. */
-  double lookPause = WantPlacement.LOOK_AGAIN_S;
+  double fullScanIntervalS = WantPlacement.MIN_FULL_SCAN_INTERVAL_S;
 
   /** Value of {@link MachineTable#capacityIncreases} at the last scan for freed capacity. */
-  long openings;
+  long capacityIncreasesSeen;
 
   /** When freed capacity was last scanned for. */
-  double openingsAt;
+  double freedCapacityScanAt;
 
   /** Latest time at which pending changes are written; infinite if no flush is scheduled. */
-  double flushDue = Double.POSITIVE_INFINITY;
+  double flushDueAt = Double.POSITIVE_INFINITY;
 
   /** Since when more of the team's limit is granted than the job should keep; infinite if not. */
-  double unusedSince = Double.POSITIVE_INFINITY;
+  double grantUnusedSince = Double.POSITIVE_INFINITY;
 
   /** Task counts last published to the other controllers. */
-  int toldDone;
+  int publishedDone;
 
-  int toldRunning;
-  int toldPlaced;
+  int publishedRunning;
+  int publishedPlaced;
 
   /**
    * Under scarcity, the number of machines and, as a multiple of the wanted tasks, the number of
@@ -146,18 +146,18 @@
    */
   int reach;
 
-  int rank = Urgencies.IN_TIME;
+  int rank = DeadlineRanking.ON_TIME;
 
   /** Priority of the queued wants: the job's own, or a higher one while its start is overdue. */
   int priority;
 
   /** Jobs of the same class are interchangeable when they search for capacity. */
-  final Queue.Shape shape;
+  final SearchThrottle.EquivalenceClass equivalenceClass;
 
   /** Whether the job does not search because enough equivalent jobs before it do. */
-  boolean queued;
+  boolean searchThrottled;
 
-  Begin.Standing standing = Begin.Standing.ORDINARY;
+  StartEscalation.Stage startStage = StartEscalation.Stage.NONE;
 
   /** When the reach grows next. */
   double nextTick;
@@ -169,29 +169,29 @@
   double notBefore;
 
   /** Image fetches longer than this lose to waiting for a machine with a faster fetch. */
-  double slowFetchS = Double.POSITIVE_INFINITY;
+  double maxFetchS = Double.POSITIVE_INFINITY;
 
   double preemptedAt = Double.NEGATIVE_INFINITY;
-  int preempted;
+  int preemptionsRequested;
   int failures;
 
   /** Whether the log already has a line that the job's start is overdue. */
-  boolean saidLate;
+  boolean overdueLogged;
 
   /** Whether this claim has seen a task complete; that may not be recorded yet. */
-  boolean ran;
+  boolean completedTaskSeen;
 
   Claim(JobRecord record, long stamp, int reach, double now) {
     this.record = record;
     this.spec = record.spec();
-    this.size = spec.size();
-    this.stamp = stamp;
+    this.size = spec.taskResources();
+    this.revision = stamp;
     this.reach = reach;
     this.unservedSince = now;
     this.nextTick = now;
-    this.shape = Queue.Shape.of(spec);
+    this.equivalenceClass = SearchThrottle.EquivalenceClass.of(spec);
     this.priority = spec.priority().ordinal();
-    this.mix = spec.id().hashCode() * 0x85EBCA6B;
+    this.tieBreaker = spec.id().hashCode() * 0x85EBCA6B;
   }
 
   String id() {
@@ -203,8 +203,8 @@
   }
 
   /** Whether tasks of the job may be placed and started. */
-  boolean starts() {
-    return open() && !halted;
+  boolean startable() {
+    return open() && !endRequested;
   }
 
   /** How long ago the job was accepted, in seconds. */
@@ -214,11 +214,11 @@
 
   /** Tasks that are neither done nor placed. */
   int unstarted() {
-    if (!starts()) {
+    if (!startable()) {
       return 0;
     }
-    int blocked = strays.isEmpty() ? 0 : strays.blockedOutside(busy);
-    return spec.tasks() - busy.cardinality() - blocked;
+    int blocked = strays.isEmpty() ? 0 : strays.blockedOutside(doneOrPlaced);
+    return spec.tasks() - doneOrPlaced.cardinality() - blocked;
   }
 
   /**
@@ -226,57 +226,57 @@
    * task number.
    */
   int nextUnplaced(int from) {
-    int number = busy.nextClearBit(from);
+    int number = doneOrPlaced.nextClearBit(from);
     while (!strays.isEmpty() && strays.blocks(number)) {
-      number = busy.nextClearBit(number + 1);
+      number = doneOrPlaced.nextClearBit(number + 1);
     }
     return number;
   }
 
   /** How many more tasks the team's limit allows: unused grants plus the remaining quota. */
-  int allowed(Quotas.Quota quota) {
-    long granted = Math.max(0, record.granted() - live.size() - starting);
-    return (int) Math.min(Integer.MAX_VALUE, granted + quota.room(size));
+  int startsAllowed(Quotas.Quota quota) {
+    long granted = Math.max(0, record.granted() - liveAttempts.size() - startsInFlight);
+    return (int) Math.min(Integer.MAX_VALUE, granted + quota.remainingTasks(size));
   }
 
   /** Whether tasks have failed on at least two machines and none has ever completed. */
-  boolean suspect() {
-    return failedOn.size() >= 2 && !runs();
+  boolean suspectedFaulty() {
+    return failedOn.size() >= 2 && !hasCompletedTask();
   }
 
   /** Whether any task has completed, recorded or about to be. */
-  boolean runs() {
-    return ran || done > 0;
+  boolean hasCompletedTask() {
+    return completedTaskSeen || done > 0;
   }
 
   /** Replaces a chunk and brings the derived task and attempt state up to date. */
-  void install(int index, Chunk chunk) {
+  void installChunk(int index, Chunk chunk) {
     Chunk old = chunks.put(index, chunk);
-    int base = index * Chunk.TASKS;
+    int base = index * Chunk.TASKS_PER_CHUNK;
     done += chunk.done.cardinality() - (old == null ? 0 : old.done.cardinality());
-    busy.clear(base, base + Chunk.TASKS);
-    chunk.done.stream().forEach(n -> busy.set(base + n));
-    for (int n = base; n < base + Chunk.TASKS && n < spec.tasks(); n++) {
+    doneOrPlaced.clear(base, base + Chunk.TASKS_PER_CHUNK);
+    chunk.done.stream().forEach(n -> doneOrPlaced.set(base + n));
+    for (int n = base; n < base + Chunk.TASKS_PER_CHUNK && n < spec.tasks(); n++) {
       Placement placement = chunk.placed.get(n - base);
-      Live known = live.get(n);
+      LiveAttempt known = liveAttempts.get(n);
       if (placement == null) {
-        forgetLive(n);
+        removeLiveAttempt(n);
       } else {
-        busy.set(n);
+        doneOrPlaced.set(n);
         if (known == null || !known.placement.equals(placement)) {
-          forgetLive(n);
-          Live attempt = new Live(placement);
-          live.put(n, attempt);
-          liveOn.computeIfAbsent(placement.host(), host -> new HashMap<>()).put(n, attempt);
+          removeLiveAttempt(n);
+          LiveAttempt attempt = new LiveAttempt(placement);
+          liveAttempts.put(n, attempt);
+          liveAttemptsOn.computeIfAbsent(placement.host(), host -> new HashMap<>()).put(n, attempt);
         }
       }
     }
   }
 
-  private void forgetLive(int number) {
-    Live old = live.remove(number);
+  private void removeLiveAttempt(int number) {
+    LiveAttempt old = liveAttempts.remove(number);
     if (old != null) {
-      liveOn.computeIfPresent(
+      liveAttemptsOn.computeIfPresent(
           old.placement.host(),
           (host, attempts) -> {
             attempts.remove(number);
@@ -286,25 +286,25 @@
   }
 
   /** The live attempts on a machine, by task number. */
-  Map<Integer, Live> liveOn(String host) {
-    return liveOn.getOrDefault(host, Map.of());
+  Map<Integer, LiveAttempt> liveAttemptsOn(String host) {
+    return liveAttemptsOn.getOrDefault(host, Map.of());
   }
 
   /** The machines with live attempts. */
   Set<String> hosts() {
-    return liveOn.keySet();
+    return liveAttemptsOn.keySet();
   }
 
-  void forgetAllLive() {
-    live.clear();
-    liveOn.clear();
+  void clearLiveAttempts() {
+    liveAttempts.clear();
+    liveAttemptsOn.clear();
   }
 
-  void forgetChunks() {
+  void clearChunks() {
     chunks.clear();
-    busy.clear();
-    forgetAllLive();
-    ends.clear();
+    doneOrPlaced.clear();
+    clearLiveAttempts();
+    unrecordedEnds.clear();
     done = 0;
   }
 }
--- a/src/main/java/dev/dunefront/claim/ClaimShare.java
+++ b/src/main/java/dev/dunefront/claim/ClaimAdmission.java
@@ -9,13 +9,13 @@
 /**
  * Limits how much work a controller claims: its share of the fitting capacity plus some headroom.
  */
-final class ClaimShare {
+final class ClaimAdmission {
   private final ControllerContext context;
-  private final Room room;
+  private final MachineTable machineTable;
 
-  ClaimShare(ControllerContext context, Room room) {
+  ClaimAdmission(ControllerContext context, MachineTable room) {
     this.context = context;
-    this.room = room;
+    this.machineTable = room;
   }
 
   /**
@@ -24,7 +24,7 @@
    * a few dozen small ones would keep a large one unclaimed that needs different machines.
    */
   boolean admits(JobSpec spec, Collection<Claim> claims) {
-    if (context.membership().self() == null) {
+    if (context.membership().ownIncarnation() == null) {
       return false;
     }
     boolean anyUnstarted = false;
@@ -34,13 +34,13 @@
       anyUnstarted |= unstarted > 0;
       // Only work of the same or a higher priority counts, as it is served first anyway.
       if (unstarted > 0 && claim.spec.priority().compareTo(spec.priority()) <= 0) {
-        load += (double) unstarted / Math.max(1, fittingRoom(claim.spec));
+        load += (double) unstarted / Math.max(1, fittingTasks(claim.spec));
       }
     }
     if (!anyUnstarted) {
       return true;
     }
-    long fitting = fittingRoom(spec);
+    long fitting = fittingTasks(spec);
     int controllers = Math.max(1, context.membership().liveNodes().size());
     long share = (fitting + controllers - 1) / controllers + context.tunables().headroom();
     return load * fitting + Math.min(spec.tasks(), share) <= share;
@@ -52,7 +52,7 @@
    */
   boolean admitsAtOnce(JobSpec spec, Collection<Claim> claims) {
     for (JobTable.Entry entry : context.jobs().all()) {
-      if (entry.record().claim() == null
+      if (entry.record().claimant() == null
           && entry.record().status() == Status.OPEN
           && entry.record().spec().priority().compareTo(spec.priority()) <= 0) {
         return false;
@@ -62,12 +62,13 @@
   }
 
   /** How many tasks of the job would fit on all known machines if they were empty. */
-  private long fittingRoom(JobSpec spec) {
+  private long fittingTasks(JobSpec spec) {
     long fitting = 0;
-    for (Room.Kind kind : room.kinds()) {
+    for (MachineTable.Kind kind : machineTable.kinds()) {
       MachineType type = context.catalog().type(kind.type());
       if (type != null && spec.allows(kind.type(), kind.zone(), kind.spot())) {
-        fitting += (long) room.count(kind) * spec.size().timesIn(type.size());
+        fitting +=
+            (long) machineTable.count(kind) * spec.taskResources().countFittingIn(type.resources());
       }
     }
     return fitting;
--- a/src/main/java/dev/dunefront/claim/ClaimLoader.java
+++ b/src/main/java/dev/dunefront/claim/ClaimLoader.java
@@ -1,8 +1,8 @@
 package dev.dunefront.claim;
 
-import dev.dunefront.store.Store;
-import dev.dunefront.store.Store.Outcome;
-import dev.dunefront.wire.BadMessage;
+import dev.dunefront.store.StateStore;
+import dev.dunefront.store.StateStore.Outcome;
+import dev.dunefront.wire.MalformedMessageException;
 
 /**
  * Loads the recorded state of a claimed job: the job record and the chunks that list placed and
@@ -29,22 +29,22 @@
         .store()
         .range(
             Chunk.prefix(claim.id()),
-            Store.Urgency.CORE,
+            StateStore.RequestPriority.CORE,
             range -> {
-              if (claim.dropped) {
+              if (claim.released) {
                 return;
               }
               if (range.outcome() != Outcome.OK) {
-                context.later(RETRY_S, () -> load(claim));
+                context.schedule(RETRY_S, () -> load(claim));
                 return;
               }
-              claim.forgetChunks();
-              for (Store.Pair pair : range.pairs()) {
+              claim.clearChunks();
+              for (StateStore.KeyValue pair : range.pairs()) {
                 try {
                   int index =
                       Integer.parseInt(pair.key().substring(Chunk.prefix(claim.id()).length()));
-                  claim.install(index, Chunk.read(pair.value(), pair.stamp()));
-                } catch (BadMessage | NumberFormatException e) {
+                  claim.installChunk(index, Chunk.read(pair.value(), pair.revision()));
+                } catch (MalformedMessageException | NumberFormatException e) {
                   throw new IllegalStateException("chunk " + pair.key() + " cannot be read", e);
                 }
               }
@@ -52,10 +52,10 @@
               double now = context.now();
               // Holders that do not know the new claim owner yet will report the attempts shortly,
               // so the first probes are delayed.
-              claim.live.values().forEach(attempt -> attempt.probedAt = now);
-              claim.unread.addAll(claim.hosts());
-              reconciliation.readAgain(claim);
-              claims.review(claim);
+              claim.liveAttempts.values().forEach(attempt -> attempt.probedAt = now);
+              claim.hostsToCompare.addAll(claim.hosts());
+              reconciliation.comparePending(claim);
+              claims.reevaluate(claim);
             });
   }
 
@@ -64,26 +64,26 @@
     claim.loading = true;
     context
         .jobs()
-        .read(
+        .readCurrent(
             claim.id(),
-            Store.Urgency.CORE,
+            StateStore.RequestPriority.CORE,
             found -> {
-              if (claim.dropped) {
+              if (claim.released) {
                 return;
               }
               if (found.outcome() == Outcome.OK && found.entry() != null) {
-                String self = context.membership().self();
-                if (self == null || !self.equals(found.entry().record().claim())) {
-                  claims.drop(claim);
+                String self = context.membership().ownIncarnation();
+                if (self == null || !self.equals(found.entry().record().claimant())) {
+                  claims.release(claim);
                   return;
                 }
                 claim.record = found.entry().record();
-                claim.stamp = found.entry().stamp();
+                claim.revision = found.entry().revision();
                 load(claim);
-              } else if (found.outcome() == Outcome.OK || found.outcome() == Outcome.MISSING) {
-                claims.drop(claim);
+              } else if (found.outcome() == Outcome.OK || found.outcome() == Outcome.NOT_FOUND) {
+                claims.release(claim);
               } else {
-                context.later(RETRY_S, () -> reload(claim));
+                context.schedule(RETRY_S, () -> reload(claim));
               }
             });
   }
--- a/src/main/java/dev/dunefront/claim/Recorder.java
+++ b/src/main/java/dev/dunefront/claim/ClaimWriter.java
@@ -1,20 +1,20 @@
 package dev.dunefront.claim;
 
-import dev.dunefront.book.Holds;
-import dev.dunefront.claim.Claim.End;
-import dev.dunefront.claim.Claim.Ended;
-import dev.dunefront.claim.Claim.Held;
-import dev.dunefront.claim.Claim.Live;
-import dev.dunefront.claim.Planning.Flight;
-import dev.dunefront.claim.Planning.Starting;
+import dev.dunefront.book.HoldTable;
+import dev.dunefront.claim.Claim.AttemptOutcome;
+import dev.dunefront.claim.Claim.EndedAttempt;
+import dev.dunefront.claim.Claim.LiveAttempt;
+import dev.dunefront.claim.Claim.ReceivedOffer;
+import dev.dunefront.claim.TransactionPlanner.PlannedStart;
+import dev.dunefront.claim.TransactionPlanner.PlannedTransaction;
 import dev.dunefront.evidence.Invariant;
 import dev.dunefront.job.JobRecord;
 import dev.dunefront.job.JobRecord.Status;
 import dev.dunefront.peer.Message;
-import dev.dunefront.store.Store;
+import dev.dunefront.store.StateStore;
 import dev.dunefront.store.Txn;
 import dev.dunefront.wire.Priority;
-import dev.dunefront.wire.Size;
+import dev.dunefront.wire.Resources;
 import java.lang.System.Logger.Level;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -26,11 +26,11 @@
  * contains all changes collected until then. A placement is recorded before its start message is
  * sent, and an end before its clear message.
  */
-final class Recorder {
-  private static final System.Logger LOG = System.getLogger(Recorder.class.getName());
+final class ClaimWriter {
+  private static final System.Logger LOG = System.getLogger(ClaimWriter.class.getName());
 
   /** Offers of several holders arrive close together; collects them to accept the cheapest. */
-  private static final double CHOOSE_S = 0.012;
+  private static final double OFFER_COLLECTION_S = 0.012;
 
   /**
    * Delay of ends, so that several share a transaction; grows by the same amount for each second
@@ -38,61 +38,61 @@
    * harmless: the worker keeps the ended attempt, its capacity is already offered again, and the
    * last end of a job is written immediately.
    */
-  private static final double GATHER_S = 2;
+  private static final double END_BATCHING_S = 2;
 
   /**
    * Maximum time for which changes are collected while the write budget is exhausted. They would
    * wait anyway, and each transaction then contains more of them.
    */
-  private static final double PRESSED_S = 1;
+  private static final double MAX_PRESSURE_DELAY_S = 1;
 
   /** Write delays below this are treated as none. */
-  private static final double NO_PRESSURE_S = 0.05;
+  private static final double PRESSURE_THRESHOLD_S = 0.05;
 
   /** Number of changes in a typical placement: the job, its team and two chunks. */
   private static final int TYPICAL_CHANGES = 4;
 
   /** Time within which other controllers answer a request to lend write budget. */
-  private static final double LENT_S = 0.05;
+  private static final double BORROWED_BUDGET_REPLY_S = 0.05;
 
   /** A job returns granted quota that it has not used for this time. */
-  private static final double UNUSED_S = 30;
+  private static final double UNUSED_GRANT_RETURN_S = 30;
 
   /** The same if the team has less quota left than the job has been granted. */
-  private static final double UNUSED_TIGHT_S = 5;
+  private static final double SCARCE_GRANT_RETURN_S = 5;
 
   private final ControllerContext context;
   private final Quotas quotas;
   private final WantPlacement wantPlacement;
-  private final Room room;
+  private final MachineTable machineTable;
   private final Claims claims;
-  private final Planning planning;
+  private final TransactionPlanner planner;
 
-  Recorder(
+  ClaimWriter(
       ControllerContext context,
       Quotas quotas,
-      Zones zones,
+      ZoneConstraints zones,
       WantPlacement wantPlacement,
-      Room room,
+      MachineTable room,
       Claims claims) {
     this.context = context;
     this.quotas = quotas;
     this.wantPlacement = wantPlacement;
-    this.room = room;
+    this.machineTable = room;
     this.claims = claims;
-    this.planning = new Planning(context, zones, wantPlacement);
+    this.planner = new TransactionPlanner(context, zones, wantPlacement);
   }
 
   /** Schedules a flush once offers of several holders have been collected. */
-  void chooseSoon(Claim claim) {
-    if (claim.choosing) {
+  void scheduleFlush(Claim claim) {
+    if (claim.flushScheduled) {
       return;
     }
-    claim.choosing = true;
-    context.later(
-        CHOOSE_S,
+    claim.flushScheduled = true;
+    context.schedule(
+        OFFER_COLLECTION_S,
         () -> {
-          claim.choosing = false;
+          claim.flushScheduled = false;
           flush(claim);
         });
   }
@@ -103,82 +103,82 @@
     claim.offers.clear();
   }
 
-  private void decline(Held received) {
+  private void decline(ReceivedOffer received) {
     context
         .peers()
         .send(
             received.holder(),
-            new Message.Decline(received.offer().offer(), received.offer().host()));
+            new Message.DeclineOffer(received.offer().offerId(), received.offer().host()));
   }
 
   /** Whether the pending changes may wait for others to share their transaction. */
-  private boolean canGather(Claim claim, Quotas.Quota quota) {
+  private boolean canBatch(Claim claim, Quotas.Quota quota) {
     if (!claim.offers.isEmpty() || !claim.open()) {
       return false;
     }
     int done = claim.done;
-    for (Ended ended : claim.ends) {
-      if (ended.end() != End.DONE) {
+    for (EndedAttempt ended : claim.unrecordedEnds) {
+      if (ended.outcome() != AttemptOutcome.DONE) {
         return false;
       }
       done++;
     }
     // With little of the team's limit left, other jobs wait for the quota that these ends return.
     return done < claim.spec.tasks()
-        && (quota == null || quota.room(claim.size) > claim.live.size());
+        && (quota == null || quota.remainingTasks(claim.size) > claim.liveAttempts.size());
   }
 
   /** Delay of writes by the rate limit, at most {@link #MAX_PRESSURE_DELAY_S}; 0 if small. */
-  private double pressureS() {
+  private double writePressureS() {
     double delay = context.store().writeDelayS();
-    return delay < NO_PRESSURE_S ? 0 : Math.min(PRESSED_S, delay);
+    return delay < PRESSURE_THRESHOLD_S ? 0 : Math.min(MAX_PRESSURE_DELAY_S, delay);
   }
 
   /** Whether the pending changes have waited long enough; if not, schedules another flush. */
-  private boolean due(Claim claim, double waitS) {
+  private boolean isDue(Claim claim, double waitS) {
     double now = context.now();
-    if (waitS > 0 && now + 0.002 < claim.flushDue) {
-      if (now + waitS < claim.flushDue) {
-        claim.flushDue = now + waitS;
-        context.later(waitS, () -> flush(claim));
-        if (!claim.offers.isEmpty() && waitS > LENT_S) {
-          context.later(LENT_S, () -> flush(claim));
+    if (waitS > 0 && now + 0.002 < claim.flushDueAt) {
+      if (now + waitS < claim.flushDueAt) {
+        claim.flushDueAt = now + waitS;
+        context.schedule(waitS, () -> flush(claim));
+        if (!claim.offers.isEmpty() && waitS > BORROWED_BUDGET_REPLY_S) {
+          context.schedule(BORROWED_BUDGET_REPLY_S, () -> flush(claim));
         }
       }
       return false;
     }
-    claim.flushDue = Double.POSITIVE_INFINITY;
+    claim.flushDueAt = Double.POSITIVE_INFINITY;
     return true;
   }
 
   /** Records the pending changes of a claim if they are due and no transaction is in flight. */
   void flush(Claim claim) {
-    if (claim.flying || claim.loading || claim.dropped) {
+    if (claim.committing || claim.loading || claim.released) {
       return;
     }
-    if (!claim.starts()) {
+    if (!claim.startable()) {
       declineAll(claim);
     }
-    boolean finishing = !claim.open() && claim.live.isEmpty();
+    boolean finishing = !claim.open() && claim.liveAttempts.isEmpty();
     Quotas.Quota quota = quotas.of(claim.spec.team());
-    boolean returnsGrant = returns(claim, quota);
-    if (claim.offers.isEmpty() && claim.ends.isEmpty() && !finishing && !returnsGrant) {
+    boolean returnsGrant = shouldReturnGrant(claim, quota);
+    if (claim.offers.isEmpty() && claim.unrecordedEnds.isEmpty() && !finishing && !returnsGrant) {
       return;
     }
     if (!claim.offers.isEmpty()) {
-      context.store().anticipate(TYPICAL_CHANGES);
+      context.store().anticipateWrites(TYPICAL_CHANGES);
     }
-    double pressure = pressureS();
+    double pressure = writePressureS();
     if (!finishing
         && !returnsGrant
-        && !due(claim, canGather(claim, quota) ? GATHER_S * (1 + pressure) : pressure)) {
+        && !isDue(claim, canBatch(claim, quota) ? END_BATCHING_S * (1 + pressure) : pressure)) {
       return;
     }
-    if (quota != null && quota.busy) {
-      quota.waiting.add(() -> flush(claim));
+    if (quota != null && quota.updating) {
+      quota.waiters.add(() -> flush(claim));
       return;
     }
-    Flight plan = planning.plan(claim, quota, returnsGrant, this::decline);
+    PlannedTransaction plan = planner.plan(claim, quota, returnsGrant, this::decline);
     if (plan.starts().isEmpty()
         && plan.ends().isEmpty()
         && !finishing
@@ -194,30 +194,30 @@
    * wait although capacity is free and the team is below its limit. Even a small amount is
    * returned, because the task sizes of the other jobs are not known here.
    */
-  private boolean returns(Claim claim, Quotas.Quota quota) {
-    if (!planning.unused(claim, quota)) {
-      claim.unusedSince = Double.POSITIVE_INFINITY;
+  private boolean shouldReturnGrant(Claim claim, Quotas.Quota quota) {
+    if (!planner.hasUnusedGrant(claim, quota)) {
+      claim.grantUnusedSince = Double.POSITIVE_INFINITY;
       return false;
     }
     double now = context.now();
-    claim.unusedSince = Math.min(claim.unusedSince, now);
-    boolean scarce = quota.room(claim.size) < claim.record.granted();
-    return now - claim.unusedSince >= (scarce ? UNUSED_TIGHT_S : UNUSED_S);
+    claim.grantUnusedSince = Math.min(claim.grantUnusedSince, now);
+    boolean scarce = quota.remainingTasks(claim.size) < claim.record.granted();
+    return now - claim.grantUnusedSince >= (scarce ? SCARCE_GRANT_RETURN_S : UNUSED_GRANT_RETURN_S);
   }
 
-  private void write(Claim claim, Flight plan, Quotas.Quota quota) {
-    String mark = context.store().newMark();
+  private void write(Claim claim, PlannedTransaction plan, Quotas.Quota quota) {
+    String mark = context.store().newWriteId();
     int txnOps = context.settings().stateLimits().txnOps();
-    Txn txn = new Txn().when(JobRecord.key(claim.id()), claim.stamp);
+    Txn txn = new Txn().requireRevision(JobRecord.key(claim.id()), claim.revision);
     int doneAfter = claim.done;
     boolean anyPlaced = false;
-    for (var entry : plan.next().entrySet()) {
+    for (var entry : plan.chunks().entrySet()) {
       Chunk old = claim.chunks.get(entry.getKey());
-      txn.when(Chunk.key(claim.id(), entry.getKey()), old == null ? 0 : old.stamp);
+      txn.requireRevision(Chunk.key(claim.id(), entry.getKey()), old == null ? 0 : old.revision);
       doneAfter += entry.getValue().done.cardinality() - (old == null ? 0 : old.done.cardinality());
     }
     for (var entry : claim.chunks.entrySet()) {
-      anyPlaced |= !plan.next().getOrDefault(entry.getKey(), entry.getValue()).placed.isEmpty();
+      anyPlaced |= !plan.chunks().getOrDefault(entry.getKey(), entry.getValue()).placed.isEmpty();
     }
     Status last = null;
     if (claim.open() && doneAfter == claim.spec.tasks() && !claim.spec.service()) {
@@ -227,28 +227,29 @@
     }
     // A job with more chunks than one transaction can remove is emptied first, a few chunks at a
     // time.
-    boolean fitsOneTransaction = claim.chunks.size() + plan.next().size() + 4 <= txnOps;
+    boolean fitsOneTransaction = claim.chunks.size() + plan.chunks().size() + 4 <= txnOps;
     Set<String> hosts = new HashSet<>();
-    for (Starting start : plan.starts()) {
+    for (PlannedStart start : plan.starts()) {
       if (hosts.add(start.placement().host())) {
-        Holds.condition(txn, start.placement().host(), start.held().offer().holdStamp());
+        HoldTable.condition(
+            txn, start.placement().host(), start.receivedOffer().offer().holdRevision());
       }
     }
-    for (Ended ended : plan.ends()) {
+    for (EndedAttempt ended : plan.ends()) {
       if (ended.conditional() && hosts.add(ended.placement().host())) {
-        Holds.condition(txn, ended.placement().host(), ended.holdStamp());
+        HoldTable.condition(txn, ended.placement().host(), ended.holdRevision());
       }
     }
     JobRecord newRecord = null;
     List<Integer> removedChunks = new ArrayList<>();
     int granted = last == null ? plan.granted() : 0;
     if (last != null && fitsOneTransaction) {
-      txn.put(JobRecord.finalKey(claim.id()), JobRecord.writeFinal(last, mark));
+      txn.put(JobRecord.finalKey(claim.id()), JobRecord.finalToDocument(last, mark));
       txn.remove(JobRecord.key(claim.id()));
       claim.chunks.keySet().forEach(i -> txn.remove(Chunk.key(claim.id(), i)));
     } else if (last != null) {
-      newRecord = claim.record.with(last).granting(0);
-      txn.put(JobRecord.key(claim.id()), newRecord.write(mark));
+      newRecord = claim.record.withStatus(last).withGranted(0);
+      txn.put(JobRecord.key(claim.id()), newRecord.toDocument(mark));
       for (int i : claim.chunks.keySet()) {
         if (removedChunks.size() + 4 < txnOps) {
           removedChunks.add(i);
@@ -256,32 +257,34 @@
         }
       }
     } else {
-      plan.next().forEach((i, chunk) -> txn.put(Chunk.key(claim.id(), i), chunk.write(mark)));
+      plan.chunks().forEach((i, chunk) -> txn.put(Chunk.key(claim.id(), i), chunk.write(mark)));
       if (granted != claim.record.granted()) {
-        newRecord = claim.record.granting(granted);
-        txn.put(JobRecord.key(claim.id()), newRecord.write(mark));
+        newRecord = claim.record.withGranted(granted);
+        txn.put(JobRecord.key(claim.id()), newRecord.toDocument(mark));
       }
     }
     boolean grantChanged = quota != null && granted != claim.record.granted();
-    Size used =
+    Resources used =
         grantChanged
             ? quota.used.plus(claim.size.times(granted - claim.record.granted()))
-            : Size.NONE;
+            : Resources.NONE;
     if (grantChanged) {
-      quota.busy = true;
-      txn.when(quota.key(), quota.stamp).put(quota.key(), Quotas.write(used, mark));
+      quota.updating = true;
+      txn.requireRevision(quota.key(), quota.revision).put(quota.key(), Quotas.write(used, mark));
     }
-    if (context.store().writeDelayS() > NO_PRESSURE_S) {
+    if (context.store().writeDelayS() > PRESSURE_THRESHOLD_S) {
       // The write may take longer than offers are valid, so holders are notified to keep them.
-      for (Starting start : plan.starts()) {
-        Message.Offer offer = start.held().offer();
+      for (PlannedStart start : plan.starts()) {
+        Message.Offer offer = start.receivedOffer().offer();
         context
             .peers()
-            .send(start.held().holder(), new Message.Taking(offer.offer(), offer.host()));
+            .send(
+                start.receivedOffer().holder(),
+                new Message.ReserveOffer(offer.offerId(), offer.host()));
       }
     }
-    claim.flying = true;
-    claim.starting = plan.starts().size();
+    claim.committing = true;
+    claim.startsInFlight = plan.starts().size();
     Status finalStatus = last;
     JobRecord record = newRecord;
     context
@@ -291,18 +294,18 @@
             mark,
             urgency(claim),
             result -> {
-              claim.flying = false;
-              claim.starting = 0;
+              claim.committing = false;
+              claim.startsInFlight = 0;
               if (result.ok()) {
                 if (grantChanged) {
-                  quotas.saw(quota, Quotas.write(used, mark), result.revision());
+                  quotas.applyUpdate(quota, Quotas.write(used, mark), result.revision());
                 }
                 // The decision lock contains failures, so that the quota is released in any case.
                 context
                     .decisionLock()
                     .run(
                         () ->
-                            written(
+                            committed(
                                 claim,
                                 plan,
                                 finalStatus,
@@ -310,13 +313,13 @@
                                 removedChunks,
                                 mark,
                                 result.revision()));
-              } else if (!claim.dropped) {
-                refused(claim, plan, result);
+              } else if (!claim.released) {
+                commitRejected(claim, plan, result);
               } else {
-                plan.starts().forEach(start -> decline(start.held()));
+                plan.starts().forEach(start -> decline(start.receivedOffer()));
               }
               if (grantChanged && !result.ok() && result.failed().contains(quota.key())) {
-                refresh(quota, claim);
+                refreshQuota(quota, claim);
               } else if (grantChanged) {
                 quota.release();
               }
@@ -327,39 +330,40 @@
    * Writes of best-effort jobs have the lowest urgency: many small jobs could otherwise use up the
    * write budget and delay the starts of other jobs that already have capacity.
    */
-  private static Store.Urgency urgency(Claim claim) {
+  private static StateStore.RequestPriority urgency(Claim claim) {
     return claim.spec.priority() == Priority.BEST_EFFORT
-            && claim.standing == Begin.Standing.ORDINARY
-        ? Store.Urgency.BACKGROUND
-        : Store.Urgency.CORE;
+            && claim.startStage == StartEscalation.Stage.NONE
+        ? StateStore.RequestPriority.BACKGROUND
+        : StateStore.RequestPriority.CORE;
   }
 
   /** Whether the condition that a machine's hold is unchanged since this version has failed. */
-  private static boolean holdFailed(Set<String> failed, String host, long stamp) {
-    return failed.contains(Holds.key(host)) || stamp < 0 && failed.contains(Holds.ROSTER);
+  private static boolean holdConditionFailed(Set<String> failed, String host, long stamp) {
+    return failed.contains(HoldTable.key(host))
+        || stamp < 0 && failed.contains(HoldTable.ROSTER_KEY);
   }
 
-  private void written(
+  private void committed(
       Claim claim,
-      Flight plan,
+      PlannedTransaction plan,
       Status last,
       JobRecord newRecord,
       List<Integer> removedChunks,
       String mark,
       long revision) {
-    for (Ended ended : plan.ends()) {
-      if (ended.end() == End.GONE) {
+    for (EndedAttempt ended : plan.ends()) {
+      if (ended.outcome() == AttemptOutcome.LOST) {
         // A view that arrived during the write may show this attempt, which still counted as placed
         // then; it is compared again.
-        claim.unread.add(ended.placement().host());
+        claim.hostsToCompare.add(ended.placement().host());
       } else {
-        Room.Seen machine = room.get(ended.placement().host());
+        MachineTable.Entry machine = machineTable.get(ended.placement().host());
         if (machine != null) {
           context
               .peers()
               .send(
                   machine.holder(),
-                  new Message.Clear(
+                  new Message.ClearTask(
                       ended.placement().host(),
                       claim.record.term(),
                       claim.id(),
@@ -370,19 +374,19 @@
     }
     if (last != null && newRecord == null) {
       // The replica may have applied the end before the response arrived.
-      claims.finished(claim, last, revision);
+      claims.jobFinished(claim, last, revision);
       return;
     }
-    if (claim.dropped) {
+    if (claim.released) {
       // Recorded just before another controller took over the claim; that one reads it.
       return;
     }
-    for (Starting start : plan.starts()) {
-      Message.Offer offer = start.held().offer();
-      if (!claim.starts()) {
+    for (PlannedStart start : plan.starts()) {
+      Message.Offer offer = start.receivedOffer().offer();
+      if (!claim.startable()) {
         // The job was cancelled during the write: the attempt is never started, and its holder will
         // deny it when probed.
-        decline(start.held());
+        decline(start.receivedOffer());
         continue;
       }
       if (claim.strays.blocks(start.number())) {
@@ -390,7 +394,7 @@
         // and the task is placed again.
         context
             .safety()
-            .violated(
+            .invariantViolated(
                 Invariant.STARTED_BESIDE_ANOTHER_ATTEMPT,
                 claim.id()
                     + "/"
@@ -399,7 +403,7 @@
                     + offer.host()
                     + " as "
                     + start.placement());
-        decline(start.held());
+        decline(start.receivedOffer());
         continue;
       }
       LOG.log(
@@ -411,16 +415,16 @@
           offer.host(),
           start.placement().attempt(),
           claim.record.term(),
-          start.held().holder(),
+          start.receivedOffer().holder(),
           offer.token(),
           offer.session(),
-          offer.holdStamp());
+          offer.holdRevision());
       context
           .peers()
           .send(
-              start.held().holder(),
-              new Message.Start(
-                  offer.offer(),
+              start.receivedOffer().holder(),
+              new Message.StartTask(
+                  offer.offerId(),
                   offer.host(),
                   offer.token(),
                   start.placement().session(),
@@ -430,47 +434,47 @@
                   start.placement().attempt()));
     }
     if (newRecord != null) {
-      if (revision > claim.stamp) {
+      if (revision > claim.revision) {
         // Otherwise another controller has cancelled the job since, and the replica has applied
         // that before the response arrived. Replacing it with the older open record would keep the
         // job from ever ending.
         claim.record = newRecord;
-        claim.stamp = revision;
+        claim.revision = revision;
       }
-      context.jobs().wrote(claim.id(), newRecord, mark, revision);
+      context.jobs().applyOwnWrite(claim.id(), newRecord, mark, revision);
     }
     if (last != null) {
       removedChunks.forEach(claim.chunks::remove);
-      claim.forgetAllLive();
+      claim.clearLiveAttempts();
       flush(claim);
       return;
     }
-    plan.next().forEach((i, chunk) -> claim.install(i, chunk.copy(revision)));
+    plan.chunks().forEach((i, chunk) -> claim.installChunk(i, chunk.copy(revision)));
     double now = context.now();
-    plan.starts().forEach(start -> claim.live.get(start.number()).probedAt = now);
+    plan.starts().forEach(start -> claim.liveAttempts.get(start.number()).probedAt = now);
     if (!plan.starts().isEmpty()) {
-      wantPlacement.served(claim, now);
+      wantPlacement.resetReach(claim, now);
     }
-    claims.review(claim);
+    claims.reevaluate(claim);
   }
 
   /** Reads the team's record again after another controller has changed it, then retries. */
-  private void refresh(Quotas.Quota quota, Claim claim) {
+  private void refreshQuota(Quotas.Quota quota, Claim claim) {
     context
         .store()
         .get(
             quota.key(),
-            Store.Urgency.CORE,
+            StateStore.RequestPriority.CORE,
             result -> {
-              if (result.outcome() == Store.Outcome.OK) {
-                quotas.saw(quota, result.value(), result.stamp());
+              if (result.outcome() == StateStore.Outcome.OK) {
+                quotas.applyUpdate(quota, result.value(), result.revision());
               }
               quota.release();
               flush(claim);
             });
   }
 
-  private void refused(Claim claim, Flight plan, Store.Done result) {
+  private void commitRejected(Claim claim, PlannedTransaction plan, StateStore.WriteResult result) {
     Set<String> failed = new HashSet<>(result.failed());
     LOG.log(
         Level.DEBUG,
@@ -479,26 +483,28 @@
         failed);
     boolean jobFailed = failed.contains(JobRecord.key(claim.id()));
     boolean chunkFailed = failed.stream().anyMatch(k -> k.startsWith(Chunk.prefix(claim.id())));
-    for (Starting start : plan.starts()) {
+    for (PlannedStart start : plan.starts()) {
       if (jobFailed
           || chunkFailed
-          || holdFailed(failed, start.placement().host(), start.held().offer().holdStamp())) {
-        decline(start.held());
+          || holdConditionFailed(
+              failed, start.placement().host(), start.receivedOffer().offer().holdRevision())) {
+        decline(start.receivedOffer());
       } else {
-        claim.offers.add(start.held());
+        claim.offers.add(start.receivedOffer());
       }
     }
-    for (Ended ended : plan.ends()) {
+    for (EndedAttempt ended : plan.ends()) {
       boolean proofInvalid =
-          ended.conditional() && holdFailed(failed, ended.placement().host(), ended.holdStamp());
-      Live attempt = claim.live.get(ended.number());
+          ended.conditional()
+              && holdConditionFailed(failed, ended.placement().host(), ended.holdRevision());
+      LiveAttempt attempt = claim.liveAttempts.get(ended.number());
       if (proofInvalid && attempt != null) {
         // Checks the attempt again, because the change of the hold may prove its end as well: a
         // machine deletion that was confirmed while this proof was pending is not reported twice.
-        attempt.ending = false;
-        attempt.shown = false;
+        attempt.ended = false;
+        attempt.reported = false;
       } else {
-        claim.ends.add(ended);
+        claim.unrecordedEnds.add(ended);
       }
     }
     if (jobFailed || chunkFailed || failed.isEmpty()) {
@@ -506,6 +512,6 @@
       claims.reload(claim);
       return;
     }
-    context.later(0.05, () -> flush(claim));
+    context.schedule(0.05, () -> flush(claim));
   }
 }
--- a/src/main/java/dev/dunefront/claim/Claims.java
+++ b/src/main/java/dev/dunefront/claim/Claims.java
@@ -1,12 +1,12 @@
 package dev.dunefront.claim;
 
-import dev.dunefront.book.Holds;
-import dev.dunefront.claim.Claim.Held;
-import dev.dunefront.claim.Claim.Live;
+import dev.dunefront.book.HoldTable;
+import dev.dunefront.claim.Claim.LiveAttempt;
+import dev.dunefront.claim.Claim.ReceivedOffer;
 import dev.dunefront.job.JobRecord.Status;
 import dev.dunefront.job.JobTable;
 import dev.dunefront.peer.Message;
-import dev.dunefront.peer.Message.View;
+import dev.dunefront.peer.Message.MachineView;
 import dev.dunefront.wire.JobSpec;
 import java.lang.System.Logger.Level;
 import java.util.ArrayList;
@@ -24,86 +24,97 @@
  */
 public final class Claims {
   private static final System.Logger LOG = System.getLogger(Claims.class.getName());
-  private static final double REPEAT_S = 1.5;
-  private static final double REVIEW_S = 0.02;
+  private static final double STOP_RETRY_S = 1.5;
+  private static final double REEVALUATION_DELAY_S = 0.02;
 
   private final ControllerContext context;
   private final Quotas quotas;
-  private final Room room = new Room();
-  private final RoomInterest interest;
+  private final MachineTable machineTable = new MachineTable();
+  private final CapacitySubscription capacitySubscription;
   private final Turnover turnover;
-  private final IdleRoom idle;
+  private final IdleCapacity idleCapacity;
   private final WantPlacement wantPlacement;
-  private final Recorder recorder;
+  private final ClaimWriter claimWriter;
   private final Reconciliation reconciliation;
-  private final Urgencies urgencies;
-  private final Zones zones;
+  private final DeadlineRanking ranking;
+  private final ZoneConstraints zoneConstraints;
   private final Map<String, Claim> claims = new HashMap<>();
   private final Takeover takeover;
   private final ClaimLoader loader;
-  private final ClaimShare share;
-  private final Account account;
+  private final ClaimAdmission admission;
+  private final JobStatistics statistics;
 
   /** Ids of the jobs that the ranking and the arrival rate already include. */
-  private final Set<String> sized = new HashSet<>();
+  private final Set<String> learnedJobs = new HashSet<>();
 
-  private boolean reviewing;
+  private boolean reevaluationScheduled;
 
   public Claims(ControllerContext context) {
     this.context = context;
-    urgencies = new Urgencies(context.settings());
-    zones = new Zones(room);
-    quotas = new Quotas(context.settings(), context.replica(), this::reviewSoon);
-    turnover = new Turnover(context, room, this);
-    idle = new IdleRoom(context, room);
-    interest =
-        new RoomInterest(
-            context.peers(), context.timers(), () -> context.decisionLock().run(this::reviewSoon));
+    ranking = new DeadlineRanking(context.settings());
+    zoneConstraints = new ZoneConstraints(machineTable);
+    quotas = new Quotas(context.settings(), context.replica(), this::scheduleReevaluation);
+    turnover = new Turnover(context, machineTable, this);
+    idleCapacity = new IdleCapacity(context, machineTable);
+    capacitySubscription =
+        new CapacitySubscription(
+            context.peers(),
+            context.timers(),
+            () -> context.decisionLock().run(this::scheduleReevaluation));
     wantPlacement =
-        new WantPlacement(context, room, interest, idle, quotas, urgencies, zones, turnover);
-    recorder = new Recorder(context, quotas, zones, wantPlacement, room, this);
-    AttemptEnds ends = new AttemptEnds(context, room, urgencies, turnover);
-    reconciliation = new Reconciliation(context, room, recorder, ends);
+        new WantPlacement(
+            context,
+            machineTable,
+            capacitySubscription,
+            idleCapacity,
+            quotas,
+            ranking,
+            zoneConstraints,
+            turnover);
+    claimWriter =
+        new ClaimWriter(context, quotas, zoneConstraints, wantPlacement, machineTable, this);
+    AttemptTermination ends = new AttemptTermination(context, machineTable, ranking, turnover);
+    reconciliation = new Reconciliation(context, machineTable, claimWriter, ends);
     takeover = new Takeover(context, this);
     loader = new ClaimLoader(context, this, reconciliation);
-    share = new ClaimShare(context, room);
-    account = new Account(context, claims, quotas, zones, room);
+    admission = new ClaimAdmission(context, machineTable);
+    statistics = new JobStatistics(context, claims, quotas, zoneConstraints, machineTable);
   }
 
-  public Room room() {
-    return room;
+  public MachineTable machineTable() {
+    return machineTable;
   }
 
   /** How much detail this controller requests about machines held by other controllers. */
-  public RoomInterest interest() {
-    return interest;
+  public CapacitySubscription capacitySubscription() {
+    return capacitySubscription;
   }
 
-  public Urgencies urgencies() {
-    return urgencies;
+  public DeadlineRanking ranking() {
+    return ranking;
   }
 
   /** Task counts and unmet demand of jobs. */
-  public Account account() {
-    return account;
+  public JobStatistics statistics() {
+    return statistics;
   }
 
   // ---- claiming ----
 
   /** Whether a job may be claimed in addition to the present claims. */
   boolean admits(JobSpec spec) {
-    return share.admits(spec, claims.values());
+    return admission.admits(spec, claims.values());
   }
 
   /** Whether a newly submitted job may be claimed immediately. */
   public boolean admitsAtOnce(JobSpec spec) {
-    return share.admitsAtOnce(spec, claims.values());
+    return admission.admitsAtOnce(spec, claims.values());
   }
 
   /** Whether a claimed job of this equivalence class has not started yet. */
-  boolean waitsAlike(Queue.Shape shape) {
+  boolean hasUnstartedEquivalent(SearchThrottle.EquivalenceClass shape) {
     for (Claim claim : claims.values()) {
-      if (claim.shape.equals(shape) && !Begin.begun(claim)) {
+      if (claim.equivalenceClass.equals(shape) && !StartEscalation.startedOrClosed(claim)) {
         return true;
       }
     }
@@ -127,18 +138,18 @@
     JobTable.Entry entry = context.jobs().get(id);
     if (claims.containsKey(id)
         || entry == null
-        || !entry.record().heldBy(context.membership().self())) {
+        || !entry.record().isClaimedBy(context.membership().ownIncarnation())) {
       return;
     }
     Claim claim =
-        new Claim(entry.record(), entry.stamp(), context.tunables().reach(), context.now());
-    claim.halted = context.jobs().over(id);
+        new Claim(entry.record(), entry.revision(), context.tunables().reach(), context.now());
+    claim.endRequested = context.jobs().isEndingOrEnded(id);
     claims.put(claim.id(), claim);
-    reconciliation.began(claim);
+    reconciliation.claimStarted(claim);
     takeover.adopted(claim.id());
-    account.forget(claim.id());
+    statistics.forgetRemote(claim.id());
     if (fresh) {
-      review(claim);
+      reevaluate(claim);
     } else {
       loader.load(claim);
     }
@@ -150,43 +161,43 @@
   }
 
   /** Releases a claim because another controller has claimed the job or the job has ended. */
-  void drop(Claim claim) {
-    claim.dropped = true;
-    reconciliation.ended(claim);
-    wantPlacement.withdraw(claim);
-    recorder.declineAll(claim);
+  void release(Claim claim) {
+    claim.released = true;
+    reconciliation.claimEnded(claim);
+    wantPlacement.withdrawWants(claim);
+    claimWriter.declineAll(claim);
     claims.remove(claim.id(), claim);
   }
 
   /** Handles the notice that another controller has recorded the job's cancellation. */
-  public void cancelled(String id) {
+  public void jobCancelled(String id) {
     Claim claim = claims.get(id);
-    if (claim != null && claim.starts()) {
-      claim.halted = true;
-      wantPlacement.withdraw(claim);
-      recorder.declineAll(claim);
+    if (claim != null && claim.startable()) {
+      claim.endRequested = true;
+      wantPlacement.withdrawWants(claim);
+      claimWriter.declineAll(claim);
     }
   }
 
   /** Releases the claim of a job whose final state has been recorded. */
-  void finished(Claim claim, Status status, long revision) {
-    claim.dropped = true;
-    reconciliation.ended(claim);
+  void jobFinished(Claim claim, Status status, long revision) {
+    claim.released = true;
+    reconciliation.claimEnded(claim);
     claims.remove(claim.id(), claim);
-    wantPlacement.withdraw(claim);
-    recorder.declineAll(claim);
+    wantPlacement.withdrawWants(claim);
+    claimWriter.declineAll(claim);
     LOG.log(Level.INFO, "job {0} finished with status {1}", claim.id(), status);
-    context.jobs().finished(claim.id(), status, revision);
+    context.jobs().applyOwnFinalWrite(claim.id(), status, revision);
     // Users may query any controller; the broadcast saves the others a read of the record.
-    context.peers().broadcast(new Message.Ended(claim.id(), status == Status.DONE));
+    context.peers().broadcast(new Message.JobEnded(claim.id(), status == Status.DONE));
   }
 
   /** Releases all claims because this controller has become a new incarnation. */
-  public void reborn() {
+  public void incarnationChanged() {
     for (Claim claim : List.copyOf(claims.values())) {
-      drop(claim);
+      release(claim);
     }
-    takeover.reborn();
+    takeover.incarnationChanged();
   }
 
   /**
@@ -197,146 +208,146 @@
   public void jobChanged(String id, JobTable.Entry before, JobTable.Entry entry) {
     takeover.jobChanged(before, entry);
     if (entry == null) {
-      account.forget(id);
-      sized.remove(id);
-    } else if (sized.add(id)) {
-      urgencies.seen(entry.record().spec());
-      idle.came(entry.record());
+      statistics.forgetRemote(id);
+      learnedJobs.remove(id);
+    } else if (learnedJobs.add(id)) {
+      ranking.jobSeen(entry.record().spec());
+      idleCapacity.arrived(entry.record());
     }
     Claim claim = claims.get(id);
-    if (claim == null || entry != null && entry.stamp() <= claim.stamp) {
+    if (claim == null || entry != null && entry.revision() <= claim.revision) {
       return;
     }
-    if (entry == null || !entry.record().heldBy(context.membership().self())) {
-      drop(claim);
+    if (entry == null || !entry.record().isClaimedBy(context.membership().ownIncarnation())) {
+      release(claim);
       return;
     }
     claim.record = entry.record();
-    claim.stamp = entry.stamp();
+    claim.revision = entry.revision();
     if (!claim.open()) {
-      wantPlacement.withdraw(claim);
-      recorder.declineAll(claim);
+      wantPlacement.withdrawWants(claim);
+      claimWriter.declineAll(claim);
     }
-    review(claim);
+    reevaluate(claim);
   }
 
   // ---- messages ----
 
   public void received(String from, Message message) {
-    if (message instanceof View view) {
-      Room.Seen old = room.put(from, view, context.now());
+    if (message instanceof MachineView view) {
+      MachineTable.Entry old = machineTable.put(from, view, context.now());
       if (old != null && (!old.holder().equals(from) || old.view().token() != view.token())) {
-        unpark(view.host());
+        wantsLost(view.host());
       }
-      reconciliation.heard(room.get(view.host()), claims);
-      reviewSoon();
-    } else if (message instanceof Message.Unheld unheld) {
-      if (room.remove(from, unheld.host())) {
-        unpark(unheld.host());
-        reviewSoon();
+      reconciliation.viewReceived(machineTable.get(view.host()), claims);
+      scheduleReevaluation();
+    } else if (message instanceof Message.HoldReleased unheld) {
+      if (machineTable.remove(from, unheld.host())) {
+        wantsLost(unheld.host());
+        scheduleReevaluation();
       }
     } else if (message instanceof Message.Offer offer) {
-      offered(from, offer);
-    } else if (message instanceof Message.Absent absent) {
+      offerReceived(from, offer);
+    } else if (message instanceof Message.AttemptAbsent absent) {
       Claim claim = claims.get(absent.job());
-      Live attempt = claim == null ? null : claim.live.get(absent.number());
+      LiveAttempt attempt = claim == null ? null : claim.liveAttempts.get(absent.number());
       if (attempt != null
-          && !attempt.ending
+          && !attempt.ended
           && attempt.placement.attempt() == absent.attempt()
           && attempt.placement.host().equals(absent.host())) {
-        reconciliation.denied(from, absent, claim, attempt);
+        reconciliation.attemptDenied(from, absent, claim, attempt);
       }
-    } else if (message instanceof Message.Progress progress) {
-      account.told(progress);
+    } else if (message instanceof Message.JobProgress progress) {
+      statistics.progressReceived(progress);
     }
   }
 
-  private void offered(String from, Message.Offer offer) {
+  private void offerReceived(String from, Message.Offer offer) {
     Claim claim = claims.get(offer.job());
     if (claim != null) {
-      claim.parked.computeIfPresent(offer.host(), (host, n) -> n > 1 ? n - 1 : null);
+      claim.queuedWants.computeIfPresent(offer.host(), (host, n) -> n > 1 ? n - 1 : null);
     }
     // While the state service is unavailable, a kept offer would only block capacity for others.
     if (claim == null
         || claim.loading
-        || !claim.starts()
-        || context.store().down()
+        || !claim.startable()
+        || context.store().unavailable()
         || !context.standstill().current()) {
-      context.peers().send(from, new Message.Decline(offer.offer(), offer.host()));
+      context.peers().send(from, new Message.DeclineOffer(offer.offerId(), offer.host()));
     } else {
-      claim.offers.add(new Held(from, offer, context.now()));
-      recorder.chooseSoon(claim);
+      claim.offers.add(new ReceivedOffer(from, offer, context.now()));
+      claimWriter.scheduleFlush(claim);
     }
   }
 
   /** Discards the views received from a controller whose connection is lost. */
-  public void gone(String node) {
-    for (String host : room.removeAll(node)) {
-      unpark(host);
+  public void peerDisconnected(String node) {
+    for (String host : machineTable.removeAll(node)) {
+      wantsLost(host);
     }
-    reviewSoon();
+    scheduleReevaluation();
   }
 
   /** Queues all wants again at the machines of a controller that is reachable again. */
-  public void reached(String node) {
-    interest.reached(node);
-    for (Room.Seen machine : room.all()) {
+  public void peerConnected(String node) {
+    capacitySubscription.peerConnected(node);
+    for (MachineTable.Entry machine : machineTable.all()) {
       if (machine.holder().equals(node)) {
-        unpark(machine.view().host());
+        wantsLost(machine.view().host());
       }
     }
-    reviewSoon();
+    scheduleReevaluation();
   }
 
   /** Handles a change of a machine's hold record; only its confirmed deletion matters here. */
   public void holdChanged(String host) {
-    Holds.Hold hold = context.holds().get(host);
-    if (hold != null && hold.dead()) {
+    HoldTable.Hold hold = context.holds().recordOf(host);
+    if (hold != null && hold.machineDeleted()) {
       for (Claim claim : List.copyOf(claims.values())) {
-        reconciliation.endAllOn(claim, host);
+        reconciliation.endAttemptsOn(claim, host);
       }
     }
   }
 
-  private void unpark(String host) {
+  private void wantsLost(String host) {
     for (Claim claim : claims.values()) {
-      wantPlacement.lostBook(claim, host);
+      wantPlacement.wantsLost(claim, host);
     }
   }
 
   // ---- time ----
 
   /** Schedules a reevaluation of all claims; changes that arrive meanwhile share it. */
-  private void reviewSoon() {
-    if (reviewing) {
+  private void scheduleReevaluation() {
+    if (reevaluationScheduled) {
       return;
     }
-    reviewing = true;
-    context.later(
-        REVIEW_S,
+    reevaluationScheduled = true;
+    context.schedule(
+        REEVALUATION_DELAY_S,
         () -> {
-          reviewing = false;
-          reviewAll();
+          reevaluationScheduled = false;
+          reevaluateAll();
         });
   }
 
-  private void reviewAll() {
+  private void reevaluateAll() {
     List<Claim> all = new ArrayList<>(claims.values());
     all.sort(
         Comparator.comparing((Claim claim) -> claim.spec.priority())
             .thenComparing(claim -> claim.record.acceptedMs()));
-    Queue.line(all);
-    all.forEach(claim -> context.decisionLock().run(() -> review(claim)));
+    SearchThrottle.throttle(all);
+    all.forEach(claim -> context.decisionLock().run(() -> reevaluate(claim)));
   }
 
-  void review(Claim claim) {
-    if (claim.dropped || claim.loading) {
+  void reevaluate(Claim claim) {
+    if (claim.released || claim.loading) {
       return;
     }
-    reconciliation.readAgain(claim);
-    recorder.flush(claim);
-    if (!claim.dropped && !context.store().down()) {
-      wantPlacement.review(claim);
+    reconciliation.comparePending(claim);
+    claimWriter.flush(claim);
+    if (!claim.released && !context.store().unavailable()) {
+      wantPlacement.updateWants(claim);
     }
   }
 
@@ -351,25 +362,25 @@
           .decisionLock()
           .run(
               () -> {
-                if (!claim.starts() && !claim.loading) {
-                  stopAll(claim, now);
+                if (!claim.startable() && !claim.loading) {
+                  stopAllAttempts(claim, now);
                 }
-                reconciliation.lookAgain(claim);
-                sayIfLate(claim);
+                reconciliation.recheckMissing(claim);
+                logIfStartOverdue(claim);
               });
     }
-    reviewAll();
-    interest.tick();
+    reevaluateAll();
+    capacitySubscription.tick();
   }
 
   /** Logs once that a job has not started within the configured time. */
-  private void sayIfLate(Claim claim) {
-    if (claim.saidLate || claim.loading || Begin.begun(claim)) {
+  private void logIfStartOverdue(Claim claim) {
+    if (claim.overdueLogged || claim.loading || StartEscalation.startedOrClosed(claim)) {
       return;
     }
-    double ageS = claim.ageS(context.timers().timeOfDayMs());
+    double ageS = claim.ageS(context.timers().wallClockMs());
     if (ageS > context.tunables().beginS()) {
-      claim.saidLate = true;
+      claim.overdueLogged = true;
       LOG.log(
           Level.INFO,
           "job {0}, class {1}, team {2}, has not started after {3} s; each task needs {4} CPUs, {5} GB,"
@@ -380,21 +391,21 @@
           Math.round(ageS),
           claim.size.cpu(),
           claim.size.ram(),
-          claim.spec.types());
+          claim.spec.machineTypes());
     }
   }
 
-  private void stopAll(Claim claim, double now) {
-    for (var entry : claim.live.entrySet()) {
-      Live attempt = entry.getValue();
-      Room.Seen machine = room.get(attempt.placement.host());
-      if (machine != null && now - attempt.stoppedAt > REPEAT_S) {
-        attempt.stoppedAt = now;
+  private void stopAllAttempts(Claim claim, double now) {
+    for (var entry : claim.liveAttempts.entrySet()) {
+      LiveAttempt attempt = entry.getValue();
+      MachineTable.Entry machine = machineTable.get(attempt.placement.host());
+      if (machine != null && now - attempt.stopSentAt > STOP_RETRY_S) {
+        attempt.stopSentAt = now;
         context
             .peers()
             .send(
                 machine.holder(),
-                new Message.Stop(
+                new Message.StopTask(
                     attempt.placement.host(),
                     claim.record.term(),
                     claim.id(),
--- a/src/main/java/dev/dunefront/claim/Urgencies.java
+++ b/src/main/java/dev/dunefront/claim/DeadlineRanking.java
@@ -14,15 +14,15 @@
  * start rank after those with few, because a few large jobs would make many others late. Run times
  * and numbers of tasks are learned per job class, because the owners' estimates are biased.
  */
-public final class Urgencies {
+public final class DeadlineRanking {
   /** Would miss its first objective by waiting {@link #AT_RISK_SLACK_S} longer. */
-  static final int PRESSING = 0;
+  static final int AT_RISK = 0;
 
   /** Has time left, or no objective. */
-  static final int IN_TIME = 1;
+  static final int ON_TIME = 1;
 
   /** Added to the two ranks above for a job with many tasks left to start. */
-  private static final int LARGE = 2;
+  private static final int LARGE_JOB_OFFSET = 2;
 
   /** Has missed its first objective, but can still meet a later one. */
   static final int LATE = 4;
@@ -30,70 +30,71 @@
   private static final int LATE_LARGE = 5;
 
   /** Can no longer meet any objective. */
-  static final int LOST = 6;
+  static final int MISSED_ALL = 6;
 
-  private static final double PRESSING_S = 15;
+  private static final double AT_RISK_SLACK_S = 15;
 
   /** Weight of a new observation in the moving averages. */
-  private static final double LEARN = 0.1;
+  private static final double LEARNING_RATE = 0.1;
 
   /** A job is large if its unstarted tasks exceed its class's mean task count by this factor. */
-  private static final double MUCH = 1.4;
+  private static final double LARGE_JOB_FACTOR = 1.4;
 
   /** Bounds of a single observed ratio of run time to estimate. */
-  private static final double LEAST = 0.3;
+  private static final double MIN_BIAS = 0.3;
 
-  private static final double MOST = 3;
+  private static final double MAX_BIAS = 3;
 
   private final Settings settings;
 
   /** Moving average of run time divided by estimate, by job class. */
-  private final Map<String, Double> bias = new HashMap<>();
+  private final Map<String, Double> estimateBias = new HashMap<>();
 
   /** Moving average of the number of tasks per job, by job class. */
-  private final Map<String, Double> tasks = new HashMap<>();
+  private final Map<String, Double> meanTasks = new HashMap<>();
 
-  Urgencies(Settings settings) {
+  DeadlineRanking(Settings settings) {
     this.settings = settings;
   }
 
   /** Learns from the run time of a completed task. */
-  void ran(JobSpec spec, double seconds) {
+  void taskCompleted(JobSpec spec, double seconds) {
     if (spec.estimateS() > 0) {
-      double ratio = Math.max(LEAST, Math.min(MOST, seconds / spec.estimateS()));
-      bias.merge(spec.jobClass(), ratio, (mean, observed) -> mean + LEARN * (observed - mean));
+      double ratio = Math.max(MIN_BIAS, Math.min(MAX_BIAS, seconds / spec.estimateS()));
+      estimateBias.merge(
+          spec.jobClass(), ratio, (mean, observed) -> mean + LEARNING_RATE * (observed - mean));
     }
   }
 
   /** Learns from the number of tasks of a new job. */
-  void seen(JobSpec spec) {
-    tasks.merge(
+  void jobSeen(JobSpec spec) {
+    meanTasks.merge(
         spec.jobClass(),
         (double) spec.tasks(),
-        (mean, observed) -> mean + LEARN * (observed - mean));
+        (mean, observed) -> mean + LEARNING_RATE * (observed - mean));
   }
 
   /** The rank of a job of this age; lower ranks are served first. */
   int rank(JobSpec spec, int unstarted, double ageS, double fetchS) {
-    boolean large = unstarted > MUCH * tasks.getOrDefault(spec.jobClass(), 1e9);
+    boolean large = unstarted > LARGE_JOB_FACTOR * meanTasks.getOrDefault(spec.jobClass(), 1e9);
 
-    List<Double> objectives = aims(spec);
-    double neededS = runS(spec) + fetchS;
+    List<Double> objectives = objectiveAgesS(spec);
+    double neededS = expectedRunS(spec) + fetchS;
     for (int i = 0; i < objectives.size(); i++) {
       double slack = objectives.get(i) - ageS - neededS;
       if (slack >= 0) {
         if (i > 0) {
           return large ? LATE_LARGE : LATE;
         }
-        return (slack < PRESSING_S ? PRESSING : IN_TIME) + (large ? LARGE : 0);
+        return (slack < AT_RISK_SLACK_S ? AT_RISK : ON_TIME) + (large ? LARGE_JOB_OFFSET : 0);
       }
     }
-    return objectives.isEmpty() ? IN_TIME + (large ? LARGE : 0) : LOST;
+    return objectives.isEmpty() ? ON_TIME + (large ? LARGE_JOB_OFFSET : 0) : MISSED_ALL;
   }
 
   /** The expected run time of the job's tasks, in seconds: the estimate times the learned bias. */
-  public double runS(JobSpec spec) {
-    return spec.estimateS() * bias.getOrDefault(spec.jobClass(), 1.0);
+  public double expectedRunS(JobSpec spec) {
+    return spec.estimateS() * estimateBias.getOrDefault(spec.jobClass(), 1.0);
   }
 
   /**
@@ -101,7 +102,7 @@
    * tasks then take {@code needsS}; null if there is none.
    */
   public Double slackS(JobSpec spec, double ageS, double needsS) {
-    for (double objectiveS : aims(spec)) {
+    for (double objectiveS : objectiveAgesS(spec)) {
       if (objectiveS - ageS - needsS >= 0) {
         return objectiveS - ageS - needsS;
       }
@@ -121,7 +122,7 @@
     }
     boolean anyObjective = false;
     double slack = Double.POSITIVE_INFINITY;
-    for (Settings.StartAim objective : settings.startAims()) {
+    for (Settings.StartObjective objective : settings.startObjectives()) {
       if (objective.jobClass() == null || objective.jobClass().equals(spec.jobClass())) {
         anyObjective = true;
         if (objective.withinS() > ageS) {
@@ -132,19 +133,19 @@
     if (slack < Double.POSITIVE_INFINITY) {
       return slack;
     }
-    Double left = slackS(spec, ageS, runS(spec));
-    return left != null ? left : anyObjective || !aims(spec).isEmpty() ? slack : 0;
+    Double left = slackS(spec, ageS, expectedRunS(spec));
+    return left != null ? left : anyObjective || !objectiveAgesS(spec).isEmpty() ? slack : 0;
   }
 
   /** The ages in seconds at which the job's finish objectives and deadline expire, ascending. */
-  private List<Double> aims(JobSpec spec) {
+  private List<Double> objectiveAgesS(JobSpec spec) {
     List<Double> objectives = new ArrayList<>();
-    for (Settings.Objective objective : settings.objectives()) {
+    for (Settings.CompletionObjective objective : settings.objectives()) {
       if (objective.jobClass().equals(spec.jobClass())) {
         if (objective.withinS() != null) {
           objectives.add(objective.withinS());
         } else if (spec.deadlineS() != null) {
-          objectives.add(objective.deadlineTimes() * spec.deadlineS());
+          objectives.add(objective.deadlineFactor() * spec.deadlineS());
         }
       }
     }
--- a/src/main/java/dev/dunefront/claim/IdleRoom.java
+++ b/src/main/java/dev/dunefront/claim/IdleCapacity.java
@@ -11,70 +11,73 @@
  * to save its state and leave, and the other job would wait for that. The expected demand equals
  * the recent arrivals, so without other arrivals all free capacity is idle.
  */
-final class IdleRoom {
+final class IdleCapacity {
   /** The arrivals of the last such period are expected in the next one. */
-  private static final double COMES_S = 10;
+  private static final double ARRIVAL_WINDOW_S = 10;
 
   /** How long a computed value is reused. */
-  private static final double FRESH_S = 0.25;
+  private static final double CACHE_S = 0.25;
 
   private final ControllerContext context;
-  private final Room room;
+  private final MachineTable machineTable;
 
   /** A recently submitted job, regardless of its present state. */
   private record Arrival(long atMs, long cpu) {}
 
-  private final ArrayDeque<Arrival> came = new ArrayDeque<>();
-  private long cameCpu;
-  private double countedAt = Double.NEGATIVE_INFINITY;
+  private final ArrayDeque<Arrival> arrived = new ArrayDeque<>();
+  private long arrivedCpu;
+  private double idleCpuAt = Double.NEGATIVE_INFINITY;
   private long idleCpu;
 
-  IdleRoom(ControllerContext context, Room room) {
+  IdleCapacity(ControllerContext context, MachineTable room) {
     this.context = context;
-    this.room = room;
+    this.machineTable = room;
   }
 
   /**
    * How many tasks of the job this controller may queue wants for; unlimited unless best-effort.
    */
-  int tasks(JobSpec spec) {
-    if (spec.priority() != Priority.BEST_EFFORT || spec.size().cpu() <= 0) {
+  int maxTasks(JobSpec spec) {
+    if (spec.priority() != Priority.BEST_EFFORT || spec.taskResources().cpu() <= 0) {
       return Integer.MAX_VALUE;
     }
     double now = context.now();
-    if (now - countedAt > FRESH_S) {
-      countedAt = now;
-      idleCpu = free() - expected();
+    if (now - idleCpuAt > CACHE_S) {
+      idleCpuAt = now;
+      idleCpu = freeCpu() - expectedCpu();
     }
     int controllers = Math.max(1, context.membership().liveNodes().size());
     long part = Math.max(0, idleCpu) / controllers;
-    return (int) Math.min(Integer.MAX_VALUE, (part + spec.size().cpu() - 1) / spec.size().cpu());
+    return (int)
+        Math.min(
+            Integer.MAX_VALUE,
+            (part + spec.taskResources().cpu() - 1) / spec.taskResources().cpu());
   }
 
-  private long free() {
+  private long freeCpu() {
     long cpu = 0;
-    for (Room.Seen machine : room.roomy()) {
+    for (MachineTable.Entry machine : machineTable.withFreeCapacity()) {
       cpu += machine.view().free().cpu();
     }
     return cpu;
   }
 
-  private long expected() {
-    long sinceMs = context.timers().timeOfDayMs() - Math.round(COMES_S * 1000);
-    while (!came.isEmpty() && came.peek().atMs() < sinceMs) {
-      cameCpu -= came.poll().cpu();
+  private long expectedCpu() {
+    long sinceMs = context.timers().wallClockMs() - Math.round(ARRIVAL_WINDOW_S * 1000);
+    while (!arrived.isEmpty() && arrived.peek().atMs() < sinceMs) {
+      arrivedCpu -= arrived.poll().cpu();
     }
-    return cameCpu;
+    return arrivedCpu;
   }
 
   /** Counts a job that is seen for the first time. */
-  void came(JobRecord job) {
+  void arrived(JobRecord job) {
     JobSpec spec = job.spec();
-    long sinceMs = context.timers().timeOfDayMs() - Math.round(COMES_S * 1000);
+    long sinceMs = context.timers().wallClockMs() - Math.round(ARRIVAL_WINDOW_S * 1000);
     if (spec.priority() != Priority.BEST_EFFORT && job.acceptedMs() >= sinceMs) {
-      Arrival arrival = new Arrival(job.acceptedMs(), spec.tasks() * spec.size().cpu());
-      came.add(arrival);
-      cameCpu += arrival.cpu;
+      Arrival arrival = new Arrival(job.acceptedMs(), spec.tasks() * spec.taskResources().cpu());
+      arrived.add(arrival);
+      arrivedCpu += arrival.cpu;
     }
   }
 }
--- a/src/main/java/dev/dunefront/claim/Account.java
+++ b/src/main/java/dev/dunefront/claim/JobStatistics.java
@@ -15,21 +15,25 @@
  * Task counts and waiting demand of jobs, as reported to users, operators and the other
  * controllers.
  */
-public final class Account {
+public final class JobStatistics {
   private final ControllerContext context;
   private final Map<String, Claim> claims;
   private final Quotas quotas;
-  private final Zones zones;
-  private final Room room;
+  private final ZoneConstraints zones;
+  private final MachineTable room;
 
   /** Latest task counts received for jobs that other controllers have claimed. */
-  private final Map<String, Counts> elsewhere = new HashMap<>();
+  private final Map<String, Counts> remoteCounts = new HashMap<>();
 
   /**
    * @param claims live view of this controller's claims, by job id
    */
-  Account(
-      ControllerContext context, Map<String, Claim> claims, Quotas quotas, Zones zones, Room room) {
+  JobStatistics(
+      ControllerContext context,
+      Map<String, Claim> claims,
+      Quotas quotas,
+      ZoneConstraints zones,
+      MachineTable room) {
     this.context = context;
     this.claims = claims;
     this.quotas = quotas;
@@ -38,15 +42,15 @@
   }
 
   /** Discards the counts received for a job that is now claimed here or has ended. */
-  void forget(String id) {
-    elsewhere.remove(id);
+  void forgetRemote(String id) {
+    remoteCounts.remove(id);
   }
 
   /** Stores the counts that another controller sent for its claimed jobs. */
-  void told(Message.Progress progress) {
-    for (Message.Count count : progress.counts()) {
+  void progressReceived(Message.JobProgress progress) {
+    for (Message.JobCounts count : progress.counts()) {
       if (!claims.containsKey(count.job()) && context.jobs().get(count.job()) != null) {
-        elsewhere.put(count.job(), new Counts(count.done(), count.running(), count.placed()));
+        remoteCounts.put(count.job(), new Counts(count.done(), count.running(), count.placed()));
       }
     }
   }
@@ -67,13 +71,13 @@
   public Counts counts(String id) {
     Claim claim = claims.get(id);
     return claim == null
-        ? elsewhere.getOrDefault(id, new Counts(0, 0, 0))
-        : new Counts(claim.done, running(claim), claim.live.size());
+        ? remoteCounts.getOrDefault(id, new Counts(0, 0, 0))
+        : new Counts(claim.done, running(claim), claim.liveAttempts.size());
   }
 
   private static int running(Claim claim) {
     int running = 0;
-    for (Claim.Live attempt : claim.live.values()) {
+    for (Claim.LiveAttempt attempt : claim.liveAttempts.values()) {
       if (attempt.state == Message.State.RUNNING || attempt.state == Message.State.SAVING) {
         running++;
       }
@@ -82,47 +86,47 @@
   }
 
   /** Counts of the claimed jobs that have changed since the previous call. */
-  public Message.Progress progress() {
-    List<Message.Count> changed = new ArrayList<>();
+  public Message.JobProgress changedProgress() {
+    List<Message.JobCounts> changed = new ArrayList<>();
     for (Claim claim : claims.values()) {
       int running = running(claim);
-      int placed = claim.live.size();
-      if (claim.done != claim.toldDone
-          || running != claim.toldRunning
-          || placed != claim.toldPlaced) {
-        claim.toldDone = claim.done;
-        claim.toldRunning = running;
-        claim.toldPlaced = placed;
-        changed.add(new Message.Count(claim.id(), claim.done, running, placed));
+      int placed = claim.liveAttempts.size();
+      if (claim.done != claim.publishedDone
+          || running != claim.publishedRunning
+          || placed != claim.publishedPlaced) {
+        claim.publishedDone = claim.done;
+        claim.publishedRunning = running;
+        claim.publishedPlaced = placed;
+        changed.add(new Message.JobCounts(claim.id(), claim.done, running, placed));
       }
     }
-    return new Message.Progress(changed);
+    return new Message.JobProgress(changed);
   }
 
   /** The jobs of one class and team. */
-  public record Group(String jobClass, String team) {}
+  public record JobGroup(String jobClass, String team) {}
 
   /** For each group, the age in seconds of its oldest open job with no task placed or done. */
-  public Map<Group, Integer> unbegunS() {
-    long now = context.timers().timeOfDayMs();
-    Map<Group, Integer> oldest = new HashMap<>();
+  public Map<JobGroup, Integer> oldestUnstartedAgesS() {
+    long now = context.timers().wallClockMs();
+    Map<JobGroup, Integer> oldest = new HashMap<>();
     for (JobTable.Entry entry : context.jobs().all()) {
       JobSpec spec = entry.record().spec();
       if (entry.record().status() == Status.OPEN && unstarted(spec) == spec.tasks()) {
         int ageS = (int) (Math.max(0, now - entry.record().acceptedMs()) / 1000);
-        oldest.merge(new Group(spec.jobClass(), spec.team()), ageS, Math::max);
+        oldest.merge(new JobGroup(spec.jobClass(), spec.team()), ageS, Math::max);
       }
     }
     return oldest;
   }
 
   /** The maximum over all groups of {@link #oldestUnstartedAgesS}; 0 if there is none. */
-  public int oldestUnbegunS() {
-    return unbegunS().values().stream().mapToInt(Integer::intValue).max().orElse(0);
+  public int oldestUnstartedAgeS() {
+    return oldestUnstartedAgesS().values().stream().mapToInt(Integer::intValue).max().orElse(0);
   }
 
   /** Number of jobs claimed by this controller. */
-  public int claimed() {
+  public int claimedJobs() {
     return claims.size();
   }
 
@@ -135,24 +139,25 @@
    * The demand of this controller's claims for capacity, and the machines without a usable view.
    */
   public Message.Demand demand() {
-    List<Message.Waiting> waiting = new ArrayList<>();
-    Map<Queue.Shape, Integer> firstIndexes = new HashMap<>();
-    Map<Queue.Shape, Integer> throttledTasks = new HashMap<>();
+    List<Message.PendingTasks> waiting = new ArrayList<>();
+    Map<SearchThrottle.EquivalenceClass, Integer> firstIndexes = new HashMap<>();
+    Map<SearchThrottle.EquivalenceClass, Integer> throttledTasks = new HashMap<>();
     double now = context.now();
     for (Claim claim : claims.values()) {
       int tasks = claim.unstarted();
       Quotas.Quota quota = quotas.of(claim.spec.team());
       if (quota != null) {
-        tasks = Math.min(tasks, claim.allowed(quota));
+        tasks = Math.min(tasks, claim.startsAllowed(quota));
       }
-      if (tasks > 0 && !claim.suspect() && now >= claim.notBefore) {
-        Map<String, Integer> remainingByZone = zones.left(claim, context.catalog().zones());
-        if (claim.queued && remainingByZone.isEmpty()) {
+      if (tasks > 0 && !claim.suspectedFaulty() && now >= claim.notBefore) {
+        Map<String, Integer> remainingByZone =
+            zones.remainingTasks(claim, context.catalog().zones());
+        if (claim.searchThrottled && remainingByZone.isEmpty()) {
           // Added below to the first equivalent job that is listed.
-          throttledTasks.merge(claim.shape, tasks, Integer::sum);
+          throttledTasks.merge(claim.equivalenceClass, tasks, Integer::sum);
         } else {
-          waiting.add(new Message.Waiting(claim.id(), tasks, remainingByZone));
-          firstIndexes.putIfAbsent(claim.shape, waiting.size() - 1);
+          waiting.add(new Message.PendingTasks(claim.id(), tasks, remainingByZone));
+          firstIndexes.putIfAbsent(claim.equivalenceClass, waiting.size() - 1);
         }
       }
     }
@@ -160,9 +165,10 @@
         (shape, tasks) -> {
           Integer firstIndex = firstIndexes.get(shape);
           if (firstIndex != null) {
-            Message.Waiting first = waiting.get(firstIndex);
+            Message.PendingTasks first = waiting.get(firstIndex);
             waiting.set(
-                firstIndex, new Message.Waiting(first.job(), first.tasks() + tasks, first.zones()));
+                firstIndex,
+                new Message.PendingTasks(first.job(), first.count() + tasks, first.roomByZone()));
           }
         });
     Set<String> hostsWithoutView = new HashSet<>();
@@ -170,10 +176,11 @@
       Set<String> hosts = new HashSet<>(claim.hosts());
       hosts.addAll(claim.strays.hosts());
       for (String host : hosts) {
-        Room.Seen machine = room.get(host);
+        MachineTable.Entry machine = room.get(host);
         // Until its worker has reported under the holder's token, the holder cannot prove by its
         // own clock that a lease has expired.
-        if (machine == null || !machine.view().settled() && !machine.view().lost()) {
+        if (machine == null
+            || !machine.view().tokenAcknowledged() && !machine.view().leaseExpired()) {
           hostsWithoutView.add(host);
         }
       }
--- a/src/main/java/dev/dunefront/claim/Room.java
+++ b/src/main/java/dev/dunefront/claim/MachineTable.java
@@ -1,6 +1,6 @@
 package dev.dunefront.claim;
 
-import dev.dunefront.peer.Message.View;
+import dev.dunefront.peer.Message.MachineView;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -12,7 +12,7 @@
  * All held machines with the latest view received from their holders. Also counts machines by kind
  * and indexes those with free capacity, so that decisions need not iterate over all machines.
  */
-public final class Room {
+public final class MachineTable {
   /**
    * The machine properties that job constraints refer to.
    *
@@ -23,51 +23,52 @@
   /**
    * A machine and its latest view.
    *
-   * @param mix hash that spreads equal choices over machines
-   * @param at time at which the view was received
+   * @param tieBreaker hash that spreads equal choices over machines
+   * @param receivedAt time at which the view was received
    */
-  public record Seen(String holder, View view, Kind kind, int mix, double at) {
+  public record Entry(
+      String holder, MachineView view, Kind kind, int tieBreaker, double receivedAt) {
     /** Whether the machine is open and has free capacity. */
-    public boolean roomy() {
-      return view.roomy();
+    public boolean hasFreeCapacity() {
+      return view.hasFreeCapacity();
     }
   }
 
-  private final Map<String, Seen> machines = new HashMap<>();
-  private final Map<String, Seen> roomy = new LinkedHashMap<>();
+  private final Map<String, Entry> machines = new HashMap<>();
+  private final Map<String, Entry> withFreeCapacity = new LinkedHashMap<>();
   private final Map<String, Kind> kindsByName = new HashMap<>();
   private final List<Kind> kinds = new ArrayList<>();
   private final List<Integer> counts = new ArrayList<>();
-  private long openings;
+  private long capacityIncreases;
 
   /** Stores a view unless it is older than the known one; returns the previous entry or null. */
-  Seen put(String holder, View view, double now) {
-    Seen old = machines.get(view.host());
+  Entry put(String holder, MachineView view, double now) {
+    Entry old = machines.get(view.host());
     if (old != null && old.view.token() > view.token()) {
       // An outdated view from a former holder.
       return old;
     }
     Kind kind = old != null ? old.kind : kind(view);
-    int tieBreaker = old != null ? old.mix : view.host().hashCode() * 0x9E3779B9;
-    Seen current = new Seen(holder, view, kind, tieBreaker, now);
+    int tieBreaker = old != null ? old.tieBreaker : view.host().hashCode() * 0x9E3779B9;
+    Entry current = new Entry(holder, view, kind, tieBreaker, now);
     machines.put(view.host(), current);
     if (old == null) {
       counts.set(kind.index, counts.get(kind.index) + 1);
     }
-    if (current.roomy()) {
-      Seen previous = roomy.put(view.host(), current);
+    if (current.hasFreeCapacity()) {
+      Entry previous = withFreeCapacity.put(view.host(), current);
       if (previous == null
           || view.free().cpu() > previous.view.free().cpu()
           || view.free().ram() > previous.view.free().ram()) {
-        openings++;
+        capacityIncreases++;
       }
     } else {
-      roomy.remove(view.host());
+      withFreeCapacity.remove(view.host());
     }
     return old;
   }
 
-  private Kind kind(View view) {
+  private Kind kind(MachineView view) {
     return kindsByName.computeIfAbsent(
         view.type() + "/" + view.zone() + (view.spot() ? "/spot" : ""),
         key -> {
@@ -80,12 +81,12 @@
 
   /** Removes a machine if it is held by this holder; returns whether it was. */
   boolean remove(String holder, String host) {
-    Seen old = machines.get(host);
+    Entry old = machines.get(host);
     if (old == null || !old.holder.equals(holder)) {
       return false;
     }
     machines.remove(host);
-    roomy.remove(host);
+    withFreeCapacity.remove(host);
     counts.set(old.kind.index, counts.get(old.kind.index) - 1);
     return true;
   }
@@ -93,7 +94,7 @@
   /** Removes all machines of a holder and returns their names. */
   List<String> removeAll(String holder) {
     List<String> gone = new ArrayList<>();
-    for (Seen machine : machines.values()) {
+    for (Entry machine : machines.values()) {
       if (machine.holder.equals(holder)) {
         gone.add(machine.view.host());
       }
@@ -103,17 +104,17 @@
   }
 
   /** The entry of a machine; null if unknown. */
-  public Seen get(String host) {
+  public Entry get(String host) {
     return machines.get(host);
   }
 
-  public Collection<Seen> all() {
+  public Collection<Entry> all() {
     return machines.values();
   }
 
   /** Open machines with any free capacity. */
-  Collection<Seen> roomy() {
-    return roomy.values();
+  Collection<Entry> withFreeCapacity() {
+    return withFreeCapacity.values();
   }
 
   /** All kinds seen so far, by index. */
@@ -127,7 +128,7 @@
   }
 
   /** A counter that increases whenever the free capacity of a machine grows. */
-  long openings() {
-    return openings;
+  long capacityIncreases() {
+    return capacityIncreases;
   }
 }
--- a/src/main/java/dev/dunefront/claim/Quotas.java
+++ b/src/main/java/dev/dunefront/claim/Quotas.java
@@ -2,10 +2,10 @@
 
 import dev.dunefront.config.Settings;
 import dev.dunefront.store.Replica;
-import dev.dunefront.store.Store;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
-import dev.dunefront.wire.Size;
+import dev.dunefront.store.StateStore;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
+import dev.dunefront.wire.Resources;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
@@ -22,10 +22,10 @@
   /** One team's usage. At most one transaction of this controller updates it at a time. */
   static final class Quota {
     final Settings.Team team;
-    long stamp;
-    Size used = Size.NONE;
-    boolean busy;
-    final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
+    long revision;
+    Resources used = Resources.NONE;
+    boolean updating;
+    final ArrayDeque<Runnable> waiters = new ArrayDeque<>();
 
     Quota(Settings.Team team) {
       this.team = team;
@@ -36,7 +36,7 @@
     }
 
     /** How many more tasks of this size the limit allows. */
-    int room(Size size) {
+    int remainingTasks(Resources size) {
       long n = Integer.MAX_VALUE;
       if (team.cpusMax() > 0 && size.cpu() > 0) {
         n = Math.min(n, (Math.round(team.cpusMax() * 1e6) - used.cpu()) / size.cpu());
@@ -49,9 +49,9 @@
 
     /** Ends an update and runs waiters until one of them starts the next. */
     void release() {
-      busy = false;
-      while (!busy && !waiting.isEmpty()) {
-        waiting.poll().run();
+      updating = false;
+      while (!updating && !waiters.isEmpty()) {
+        waiters.poll().run();
       }
     }
   }
@@ -66,7 +66,7 @@
         byTeam.put(team.name(), new Quota(team));
       }
     }
-    replica.listen(
+    replica.addListener(
         PREFIX,
         (team, value, stamp) -> {
           Quota quota = byTeam.get(team);
@@ -74,9 +74,9 @@
             return;
           }
           try {
-            quota.used = new Size(value.count("cpu"), value.count("gpu"), 0);
-            quota.stamp = stamp;
-          } catch (BadMessage e) {
+            quota.used = new Resources(value.count("cpu"), value.count("gpu"), 0);
+            quota.revision = stamp;
+          } catch (MalformedMessageException e) {
             throw new IllegalStateException("quota record " + team + " cannot be read", e);
           }
           changed.run();
@@ -88,12 +88,15 @@
     return byTeam.get(team);
   }
 
-  static Doc write(Size used, String mark) {
-    return Doc.of().put("cpu", used.cpu()).put("gpu", used.gpu()).put(Store.MARK, mark);
+  static Document write(Resources used, String mark) {
+    return Document.create()
+        .put("cpu", used.cpu())
+        .put("gpu", used.gpu())
+        .put(StateStore.WRITE_ID_FIELD, mark);
   }
 
   /** Applies a value of the team's record that was read or written here to the replica. */
-  void saw(Quota quota, Doc value, long stamp) {
+  void applyUpdate(Quota quota, Document value, long stamp) {
     replica.apply(quota.key(), value, stamp);
   }
 }
--- a/src/main/java/dev/dunefront/claim/Reconciliation.java
+++ b/src/main/java/dev/dunefront/claim/Reconciliation.java
@@ -1,12 +1,12 @@
 package dev.dunefront.claim;
 
-import dev.dunefront.book.Holds;
-import dev.dunefront.claim.Claim.Live;
+import dev.dunefront.book.HoldTable;
+import dev.dunefront.claim.Claim.LiveAttempt;
 import dev.dunefront.evidence.EndProof;
 import dev.dunefront.evidence.EndProof.Basis;
 import dev.dunefront.peer.Message;
-import dev.dunefront.peer.Message.TaskState;
-import dev.dunefront.peer.Message.View;
+import dev.dunefront.peer.Message.MachineView;
+import dev.dunefront.peer.Message.TaskStatus;
 import java.lang.System.Logger.Level;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -23,38 +23,39 @@
   private static final System.Logger LOG = System.getLogger(Reconciliation.class.getName());
 
   /** Interval between probes for an attempt that is missing from its holder's views. */
-  private static final double REPEAT_S = 1.5;
+  private static final double PROBE_RETRY_S = 1.5;
 
   private final ControllerContext context;
-  private final Room room;
-  private final Recorder recorder;
-  private final AttemptEnds ends;
-  private final StrayControl strays;
-  private final UnclaimedViews unclaimed = new UnclaimedViews();
-
-  Reconciliation(ControllerContext context, Room room, Recorder recorder, AttemptEnds ends) {
+  private final MachineTable machineTable;
+  private final ClaimWriter claimWriter;
+  private final AttemptTermination attemptTermination;
+  private final StrayTermination strayTermination;
+  private final UnclaimedJobHosts unclaimedJobHosts = new UnclaimedJobHosts();
+
+  Reconciliation(
+      ControllerContext context, MachineTable room, ClaimWriter recorder, AttemptTermination ends) {
     this.context = context;
-    this.room = room;
-    this.recorder = recorder;
-    this.ends = ends;
-    this.strays = new StrayControl(context);
+    this.machineTable = room;
+    this.claimWriter = recorder;
+    this.attemptTermination = ends;
+    this.strayTermination = new StrayTermination(context);
   }
 
   /** Compares a new view of a machine with every claimed job that has tasks there. */
-  void heard(Room.Seen machine, Map<String, Claim> claims) {
-    View view = machine.view();
+  void viewReceived(MachineTable.Entry machine, Map<String, Claim> claims) {
+    MachineView view = machine.view();
     Set<Claim> affected = new LinkedHashSet<>();
-    for (TaskState task : view.tasks()) {
+    for (TaskStatus task : view.tasks()) {
       Claim claim = claims.get(task.job());
       if (claim != null) {
         affected.add(claim);
       } else {
-        unclaimed.shown(task.job(), view.host(), context.now());
+        unclaimedJobHosts.add(task.job(), view.host(), context.now());
       }
     }
     for (Claim claim : claims.values()) {
-      if (!claim.liveOn(view.host()).isEmpty()
-          || !claim.strays.isEmpty() && !claim.strays.on(view.host()).isEmpty()) {
+      if (!claim.liveAttemptsOn(view.host()).isEmpty()
+          || !claim.strays.isEmpty() && !claim.strays.onHost(view.host()).isEmpty()) {
         affected.add(claim);
       }
     }
@@ -64,18 +65,18 @@
   }
 
   /** Marks the machines that showed tasks of a newly claimed job for comparison. */
-  void began(Claim claim) {
-    claim.unread.addAll(unclaimed.take(claim.id()));
+  void claimStarted(Claim claim) {
+    claim.hostsToCompare.addAll(unclaimedJobHosts.take(claim.id()));
   }
 
   /** Stops tracking the strays of a released claim; the next claim owner sees them in its views. */
-  void ended(Claim claim) {
-    strays.ended(claim);
+  void claimEnded(Claim claim) {
+    strayTermination.claimEnded(claim);
   }
 
   /** Runs periodic work; called several times per second. */
   void tick() {
-    unclaimed.tidy(context.now());
+    unclaimedJobHosts.expire(context.now());
   }
 
   /**
@@ -83,21 +84,21 @@
    *
    * @param machine null if no view of the machine is known
    */
-  void compare(Claim claim, Room.Seen machine) {
+  void compare(Claim claim, MachineTable.Entry machine) {
     if (machine == null) {
       return;
     }
     if (claim.loading) {
-      claim.unread.add(machine.view().host());
+      claim.hostsToCompare.add(machine.view().host());
       return;
     }
-    claim.unread.remove(machine.view().host());
-    Map<Integer, Live> placed = claim.liveOn(machine.view().host());
-    Map<Integer, TaskState> reported = new HashMap<>();
-    List<TaskState> unrecorded = new ArrayList<>();
-    for (TaskState task : machine.view().tasks()) {
+    claim.hostsToCompare.remove(machine.view().host());
+    Map<Integer, LiveAttempt> placed = claim.liveAttemptsOn(machine.view().host());
+    Map<Integer, TaskStatus> reported = new HashMap<>();
+    List<TaskStatus> unrecorded = new ArrayList<>();
+    for (TaskStatus task : machine.view().tasks()) {
       if (task.job().equals(claim.id())) {
-        Live live = placed.get(task.number());
+        LiveAttempt live = placed.get(task.number());
         if (live != null && live.placement.attempt() == task.attempt()) {
           reported.put(task.number(), task);
         } else {
@@ -107,13 +108,13 @@
     }
     placed.forEach(
         (number, live) -> {
-          if (!live.ending) {
+          if (!live.ended) {
             compare(claim, number, live, reported.get(number), machine);
           }
         });
-    strays.reject(claim, unrecorded, machine);
-    if (!claim.ends.isEmpty()) {
-      recorder.flush(claim);
+    strayTermination.stopUnrecorded(claim, unrecorded, machine);
+    if (!claim.unrecordedEnds.isEmpty()) {
+      claimWriter.flush(claim);
     }
   }
 
@@ -122,28 +123,31 @@
    *
    * @param reported the attempt's state; null if the view does not include it
    */
-  private void compare(Claim claim, int number, Live live, TaskState reported, Room.Seen machine) {
-    View view = machine.view();
-    live.shown = reported != null;
-    Basis basis = Basis.of(machine.holder(), view, context.now() - machine.at());
-    EndProof proof = EndProof.find(live.placement.asAttempt(), reported, view, basis);
+  private void compare(
+      Claim claim, int number, LiveAttempt live, TaskStatus reported, MachineTable.Entry machine) {
+    MachineView view = machine.view();
+    live.reported = reported != null;
+    Basis basis = Basis.of(machine.holder(), view, context.now() - machine.receivedAt());
+    EndProof proof = EndProof.find(live.placement.toAttempt(), reported, view, basis);
     if (proof != null) {
-      ends.end(claim, number, live, proof);
+      attemptTermination.recordEnd(claim, number, live, proof);
     } else if (reported != null) {
-      progressed(claim, number, live, reported, view.host());
-    } else if (view.settled() && context.now() - live.probedAt > REPEAT_S) {
+      updateState(claim, number, live, reported, view.host());
+    } else if (view.tokenAcknowledged() && context.now() - live.probedAt > PROBE_RETRY_S) {
       live.probedAt = context.now();
       long attempt = live.placement.attempt();
       context
           .peers()
           .send(
               machine.holder(),
-              new Message.Probe(view.host(), claim.record.term(), claim.id(), number, attempt));
+              new Message.AttemptQuery(
+                  view.host(), claim.record.term(), claim.id(), number, attempt));
     }
   }
 
   /** Updates the state of a live attempt from the view. */
-  private void progressed(Claim claim, int number, Live live, TaskState reported, String host) {
+  private void updateState(
+      Claim claim, int number, LiveAttempt live, TaskStatus reported, String host) {
     if (live.state != reported.state()) {
       LOG.log(
           Level.DEBUG, "task {0}/{1} is {2} on {3}", claim.id(), number, reported.state(), host);
@@ -156,52 +160,52 @@
   }
 
   /** Ends a placed attempt that its holder does not have and will never start. */
-  void denied(String holder, Message.Absent absent, Claim claim, Live live) {
+  void attemptDenied(String holder, Message.AttemptAbsent absent, Claim claim, LiveAttempt live) {
     Basis basis =
-        new Basis(holder, absent.token(), live.placement.session(), absent.holdStamp(), 0);
-    ends.end(claim, absent.number(), live, EndProof.denied(basis));
-    recorder.flush(claim);
+        new Basis(holder, absent.token(), live.placement.session(), absent.holdRevision(), 0);
+    attemptTermination.recordEnd(claim, absent.number(), live, EndProof.denied(basis));
+    claimWriter.flush(claim);
   }
 
   /** Rechecks machines whose latest view lacked a placed attempt or showed a stray one. */
-  void lookAgain(Claim claim) {
-    for (Live attempt : claim.live.values()) {
-      if (!attempt.shown && !attempt.ending) {
-        claim.unread.add(attempt.placement.host());
+  void recheckMissing(Claim claim) {
+    for (LiveAttempt attempt : claim.liveAttempts.values()) {
+      if (!attempt.reported && !attempt.ended) {
+        claim.hostsToCompare.add(attempt.placement.host());
       }
     }
-    claim.unread.addAll(claim.strays.hosts());
-    readAgain(claim);
+    claim.hostsToCompare.addAll(claim.strays.hosts());
+    comparePending(claim);
   }
 
   /** Compares the machines that are marked for comparison. */
-  void readAgain(Claim claim) {
-    if (claim.unread.isEmpty() || claim.loading) {
+  void comparePending(Claim claim) {
+    if (claim.hostsToCompare.isEmpty() || claim.loading) {
       return;
     }
-    List<String> hosts = List.copyOf(claim.unread);
-    claim.unread.clear();
+    List<String> hosts = List.copyOf(claim.hostsToCompare);
+    claim.hostsToCompare.clear();
     for (String host : hosts) {
-      Holds.Hold hold = context.holds().get(host);
-      if (hold != null && hold.dead()) {
-        endAllOn(claim, host);
+      HoldTable.Hold hold = context.holds().recordOf(host);
+      if (hold != null && hold.machineDeleted()) {
+        endAttemptsOn(claim, host);
       } else {
-        compare(claim, room.get(host));
+        compare(claim, machineTable.get(host));
       }
     }
   }
 
   /** Ends all attempts on a machine whose deletion the cloud has confirmed. */
-  void endAllOn(Claim claim, String host) {
-    strays.machineGone(claim, host);
+  void endAttemptsOn(Claim claim, String host) {
+    strayTermination.machineDeleted(claim, host);
     claim
-        .liveOn(host)
+        .liveAttemptsOn(host)
         .forEach(
             (number, attempt) -> {
-              if (!attempt.ending) {
-                ends.end(claim, number, attempt, EndProof.machineDeleted());
+              if (!attempt.ended) {
+                attemptTermination.recordEnd(claim, number, attempt, EndProof.machineDeleted());
               }
             });
-    recorder.flush(claim);
+    claimWriter.flush(claim);
   }
 }
--- a/src/main/java/dev/dunefront/claim/Queue.java
+++ b/src/main/java/dev/dunefront/claim/SearchThrottle.java
@@ -2,7 +2,7 @@
 
 import dev.dunefront.wire.JobSpec;
 import dev.dunefront.wire.Priority;
-import dev.dunefront.wire.Size;
+import dev.dunefront.wire.Resources;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -13,32 +13,36 @@
  * of them do not find the others would not find either. Only the first few of each equivalence
  * class search; the others wait in order of arrival.
  */
-final class Queue {
+final class SearchThrottle {
   /**
    * Maximum number of equivalent jobs that search at once; enough, as they are served many times
    * per second.
    */
-  private static final int LOOKING = 32;
+  private static final int MAX_SEARCHING = 32;
 
   /** Jobs with equal values are interchangeable when capacity is assigned. */
-  record Shape(Priority priority, String jobClass, String team, Size size) {
-    static Shape of(JobSpec spec) {
-      return new Shape(spec.priority(), spec.jobClass(), spec.team(), spec.size());
+  record EquivalenceClass(Priority priority, String jobClass, String team, Resources size) {
+    static EquivalenceClass of(JobSpec spec) {
+      return new EquivalenceClass(
+          spec.priority(), spec.jobClass(), spec.team(), spec.taskResources());
     }
   }
 
-  private Queue() {}
+  private SearchThrottle() {}
 
   /** Sets {@code searchThrottled} of each claim; the claims are given in service order. */
-  static void line(List<Claim> claims) {
-    Map<Shape, Integer> searching = new HashMap<>();
-    Map<Shape, Integer> overdue = new HashMap<>();
+  static void throttle(List<Claim> claims) {
+    Map<EquivalenceClass, Integer> searching = new HashMap<>();
+    Map<EquivalenceClass, Integer> overdue = new HashMap<>();
     for (Claim claim : claims) {
-      boolean wantsCapacity = claim.unstarted() > 0 && claim.standing != Begin.Standing.FIRST;
+      boolean wantsCapacity =
+          claim.unstarted() > 0 && claim.startStage != StartEscalation.Stage.ACROSS_PRIORITIES;
       // Jobs with an overdue start are counted separately; otherwise started jobs could use up the
       // limit.
-      Map<Shape, Integer> counts = claim.standing == Begin.Standing.AHEAD ? overdue : searching;
-      claim.queued = wantsCapacity && counts.merge(claim.shape, 1, Integer::sum) > LOOKING;
+      Map<EquivalenceClass, Integer> counts =
+          claim.startStage == StartEscalation.Stage.WITHIN_PRIORITY ? overdue : searching;
+      claim.searchThrottled =
+          wantsCapacity && counts.merge(claim.equivalenceClass, 1, Integer::sum) > MAX_SEARCHING;
     }
   }
 }
--- a/src/main/java/dev/dunefront/claim/Begin.java
+++ b/src/main/java/dev/dunefront/claim/StartEscalation.java
@@ -8,25 +8,25 @@
  * across all priorities. Each controller escalates one job at a time across priorities, so the
  * capacity taken from other jobs is at most one task per controller.
  */
-final class Begin {
+final class StartEscalation {
   /** The escalation stage of a job. */
-  enum Standing {
+  enum Stage {
     /** Served by priority and rank. */
-    ORDINARY,
+    NONE,
     /** Ranks first within its priority. */
-    AHEAD,
+    WITHIN_PRIORITY,
     /** Capacity is collected for it across all priorities. */
-    FIRST
+    ACROSS_PRIORITIES
   }
 
-  private static final double AHEAD_FROM = 0.25;
-  private static final double FIRST_FROM = 0.5;
+  private static final double WITHIN_PRIORITY_FRACTION = 0.25;
+  private static final double ACROSS_PRIORITIES_FRACTION = 0.5;
 
   /** After this time an escalated job that cannot be placed is replaced by another one. */
-  private static final double TURN_S = 30;
+  private static final double ROTATION_S = 30;
 
-  private Claim first;
-  private double since;
+  private Claim escalated;
+  private double escalatedAt;
 
   /**
    * The stage that a job's age calls for.
@@ -35,35 +35,40 @@
    * @param ageS its age in seconds
    * @param boundS time within which jobs must start, in seconds
    */
-  static Standing of(boolean begun, double ageS, double boundS) {
-    if (begun || ageS < boundS * AHEAD_FROM) {
-      return Standing.ORDINARY;
+  static Stage stageAtAge(boolean begun, double ageS, double boundS) {
+    if (begun || ageS < boundS * WITHIN_PRIORITY_FRACTION) {
+      return Stage.NONE;
     }
-    return ageS < boundS * FIRST_FROM ? Standing.AHEAD : Standing.FIRST;
+    return ageS < boundS * ACROSS_PRIORITIES_FRACTION
+        ? Stage.WITHIN_PRIORITY
+        : Stage.ACROSS_PRIORITIES;
   }
 
   /**
    * Updates and returns the stage of a job. At most one job of this controller is in {@link
    * Stage#ACROSS_PRIORITIES}; others that are due for it stay in {@link Stage#WITHIN_PRIORITY}.
    */
-  Standing standing(Claim claim, double ageS, double boundS, double now) {
-    Standing stage = of(begun(claim), ageS, boundS);
-    if (first == claim && stage != Standing.FIRST) {
-      first = null;
+  Stage updateStage(Claim claim, double ageS, double boundS, double now) {
+    Stage stage = stageAtAge(startedOrClosed(claim), ageS, boundS);
+    if (escalated == claim && stage != Stage.ACROSS_PRIORITIES) {
+      escalated = null;
     }
-    if (stage != Standing.FIRST) {
+    if (stage != Stage.ACROSS_PRIORITIES) {
       return stage;
     }
-    if (first != claim
-        && (first == null || first.dropped || begun(first) || now - since > TURN_S)) {
-      first = claim;
-      since = now;
+    if (escalated != claim
+        && (escalated == null
+            || escalated.released
+            || startedOrClosed(escalated)
+            || now - escalatedAt > ROTATION_S)) {
+      escalated = claim;
+      escalatedAt = now;
     }
-    return first == claim ? Standing.FIRST : Standing.AHEAD;
+    return escalated == claim ? Stage.ACROSS_PRIORITIES : Stage.WITHIN_PRIORITY;
   }
 
   /** Whether a task of the job is placed or done, or the job is no longer open. */
-  static boolean begun(Claim claim) {
-    return !claim.busy.isEmpty() || !claim.open();
+  static boolean startedOrClosed(Claim claim) {
+    return !claim.doneOrPlaced.isEmpty() || !claim.open();
   }
 }
--- a/src/main/java/dev/dunefront/claim/Strays.java
+++ b/src/main/java/dev/dunefront/claim/Strays.java
@@ -27,20 +27,20 @@
   }
 
   /** Stray attempts by machine and task number. */
-  private final Map<String, Map<Integer, Stray>> alive = new HashMap<>();
+  private final Map<String, Map<Integer, Stray>> byHost = new HashMap<>();
 
   boolean isEmpty() {
-    return alive.isEmpty();
+    return byHost.isEmpty();
   }
 
   /** The machines with stray attempts. */
   Set<String> hosts() {
-    return alive.keySet();
+    return byHost.keySet();
   }
 
   /** The stray attempts on a machine, by task number. */
-  Map<Integer, Stray> on(String host) {
-    return alive.getOrDefault(host, Map.of());
+  Map<Integer, Stray> onHost(String host) {
+    return byHost.getOrDefault(host, Map.of());
   }
 
   /**
@@ -48,8 +48,8 @@
    *
    * @return whether no stray attempt of this task on this machine was known before
    */
-  boolean shown(String host, int number, long attempt, long session) {
-    Map<Integer, Stray> onMachine = alive.computeIfAbsent(host, h -> new HashMap<>());
+  boolean add(String host, int number, long attempt, long session) {
+    Map<Integer, Stray> onMachine = byHost.computeIfAbsent(host, h -> new HashMap<>());
     Stray known = onMachine.get(number);
     if (known != null && known.attempt == attempt && known.session == session) {
       return false;
@@ -64,15 +64,15 @@
    * @param gone whether the attempt of the task with this number is gone
    * @return the number of removed attempts
    */
-  int forget(String host, IntPredicate gone) {
-    Map<Integer, Stray> onMachine = alive.get(host);
+  int remove(String host, IntPredicate gone) {
+    Map<Integer, Stray> onMachine = byHost.get(host);
     if (onMachine == null) {
       return 0;
     }
     int before = onMachine.size();
     onMachine.keySet().removeIf(gone::test);
     if (onMachine.isEmpty()) {
-      alive.remove(host);
+      byHost.remove(host);
     }
     return before - onMachine.size();
   }
@@ -80,7 +80,7 @@
   /** Total number of stray attempts. */
   int count() {
     int total = 0;
-    for (Map<Integer, Stray> onMachine : alive.values()) {
+    for (Map<Integer, Stray> onMachine : byHost.values()) {
       total += onMachine.size();
     }
     return total;
@@ -88,7 +88,7 @@
 
   /** Whether the task must not be placed because a stray attempt of it may still run. */
   boolean blocks(int number) {
-    for (Map<Integer, Stray> onMachine : alive.values()) {
+    for (Map<Integer, Stray> onMachine : byHost.values()) {
       if (onMachine.containsKey(number)) {
         return true;
       }
@@ -99,7 +99,7 @@
   /** Number of blocked tasks that are not in the given set. */
   int blockedOutside(BitSet busy) {
     BitSet blocked = new BitSet();
-    alive.values().forEach(onMachine -> onMachine.keySet().forEach(blocked::set));
+    byHost.values().forEach(onMachine -> onMachine.keySet().forEach(blocked::set));
     blocked.andNot(busy);
     return blocked.cardinality();
   }
--- a/src/main/java/dev/dunefront/claim/Takeover.java
+++ b/src/main/java/dev/dunefront/claim/Takeover.java
@@ -31,10 +31,10 @@
   static final double RANK_WAIT_S = 0.4;
 
   /** Maximum number of job records per transaction, which keeps its size within limits. */
-  private static final int BATCH = 12;
+  private static final int MAX_BATCH_JOBS = 12;
 
   /** A response to a write that has not arrived within this time is considered lost. */
-  private static final double UNADOPTED_S = 2;
+  private static final double ADOPTION_TIMEOUT_S = 2;
 
   private final ControllerContext context;
   private final Claims claims;
@@ -43,10 +43,10 @@
   private final Set<String> claiming = new HashSet<>();
 
   /** When a job was first seen without a live claim, or with an own claim that is not adopted. */
-  private final Map<String, Double> orphans = new HashMap<>();
+  private final Map<String, Double> unownedSince = new HashMap<>();
 
   /** When each controller was last seen to take over a job from another one. */
-  private final Map<String, Double> progress = new HashMap<>();
+  private final Map<String, Double> lastTakeoverAt = new HashMap<>();
 
   Takeover(ControllerContext context, Claims claims) {
     this.context = context;
@@ -56,91 +56,92 @@
   /**
    * A job without a live claim.
    *
-   * @param fresh whether the job has never been claimed
-   * @param sinceS time at which the lack of a live claim was first seen
-   * @param before controllers that precede this one in the job's order of preference
+   * @param neverClaimed whether the job has never been claimed
+   * @param unownedSinceS time at which the lack of a live claim was first seen
+   * @param preferredNodes controllers that precede this one in the job's order of preference
    */
-  record Lapsed(
+  record UnownedJob(
       String id,
       Priority priority,
-      long stamp,
-      boolean fresh,
-      double sinceS,
-      List<String> before) {}
+      long revision,
+      boolean neverClaimed,
+      double unownedSinceS,
+      List<String> preferredNodes) {}
 
   /**
    * The ids of the jobs that this controller may claim now, by priority, then oldest record first.
    *
    * @param progress when each controller was last seen to take over a job
    */
-  static List<String> due(List<Lapsed> lapsed, Map<String, Double> progress, double now) {
+  static List<String> claimable(List<UnownedJob> lapsed, Map<String, Double> progress, double now) {
     return lapsed.stream()
-        .filter(job -> now >= from(job, progress))
-        .sorted(Comparator.comparing(Lapsed::priority).thenComparing(Lapsed::stamp))
-        .map(Lapsed::id)
+        .filter(job -> now >= claimableFrom(job, progress))
+        .sorted(Comparator.comparing(UnownedJob::priority).thenComparing(UnownedJob::revision))
+        .map(UnownedJob::id)
         .toList();
   }
 
-  private static double from(Lapsed job, Map<String, Double> progress) {
-    double claimableAt = job.sinceS;
-    if (!job.fresh) {
+  private static double claimableFrom(UnownedJob job, Map<String, Double> progress) {
+    double claimableAt = job.unownedSinceS;
+    if (!job.neverClaimed) {
       // Progress of the preferred nodes is ignored for a job that was never claimed: it may exceed
       // their shares, so that they never claim it.
-      for (String node : job.before) {
+      for (String node : job.preferredNodes) {
         claimableAt = Math.max(claimableAt, progress.getOrDefault(node, claimableAt));
       }
     }
-    return claimableAt + job.before.size() * RANK_WAIT_S;
+    return claimableAt + job.preferredNodes.size() * RANK_WAIT_S;
   }
 
   /** Discards pending writes because this controller has become a new incarnation. */
-  void reborn() {
+  void incarnationChanged() {
     claiming.clear();
   }
 
   /** Handles the adoption of a job by this controller. */
   void adopted(String id) {
-    orphans.remove(id);
+    unownedSince.remove(id);
   }
 
   /** Records the progress of a controller that has taken over a job from another one. */
   void jobChanged(JobTable.Entry before, JobTable.Entry entry) {
-    String previousClaim = before == null ? null : before.record().claim();
-    String newClaim = entry == null ? null : entry.record().claim();
+    String previousClaim = before == null ? null : before.record().claimant();
+    String newClaim = entry == null ? null : entry.record().claimant();
     if (previousClaim != null && newClaim != null && !newClaim.equals(previousClaim)) {
-      progress.put(Membership.nodeOf(newClaim), context.now());
+      lastTakeoverAt.put(Membership.nodeOf(newClaim), context.now());
     }
   }
 
   /** Claims jobs that are due; called several times per second. */
   void tick(double now) {
-    String self = context.membership().self();
+    String self = context.membership().ownIncarnation();
     if (self == null
         || !context.replica().ready()
         || !context.standstill().current()
-        || !context.catalog().known()
-        || context.store().down()) {
+        || !context.catalog().isLoaded()
+        || context.store().unavailable()) {
       return;
     }
     Map<String, JobTable.Entry> unowned = new LinkedHashMap<>();
     List<JobTable.Entry> unadopted = new ArrayList<>();
     Set<String> found = new HashSet<>();
     for (JobTable.Entry entry : context.jobs().all()) {
-      String claim = entry.record().claim();
+      String claim = entry.record().claimant();
       String id = entry.record().spec().id();
       if (claim == null || !context.membership().alive(claim)) {
         unowned.put(id, entry);
         found.add(id);
-      } else if (entry.record().heldBy(self) && !claims.has(id) && !claiming.contains(id)) {
+      } else if (entry.record().isClaimedBy(self) && !claims.has(id) && !claiming.contains(id)) {
         unadopted.add(entry);
         found.add(id);
       }
     }
-    orphans.keySet().retainAll(found);
+    unownedSince.keySet().retainAll(found);
     for (JobTable.Entry entry : unadopted) {
       // The job was accepted and claimed in one write whose response was lost. For all other
       // controllers it has a live claim, so without adoption here it would wait forever.
-      if (now - orphans.computeIfAbsent(entry.record().spec().id(), k -> now) > UNADOPTED_S) {
+      if (now - unownedSince.computeIfAbsent(entry.record().spec().id(), k -> now)
+          > ADOPTION_TIMEOUT_S) {
         LOG.log(
             Level.INFO,
             "adopting job {0}: the response to its accepting write was lost",
@@ -149,38 +150,46 @@
       }
     }
     if (!unowned.isEmpty()) {
-      take(unowned, now);
+      claimUnowned(unowned, now);
     }
   }
 
-  private void take(Map<String, JobTable.Entry> unowned, double now) {
-    List<Lapsed> jobs = new ArrayList<>();
+  private void claimUnowned(Map<String, JobTable.Entry> unowned, double now) {
+    List<UnownedJob> jobs = new ArrayList<>();
     unowned.forEach(
         (id, entry) -> {
-          double since = orphans.computeIfAbsent(id, k -> now);
+          double since = unownedSince.computeIfAbsent(id, k -> now);
           if (!claiming.contains(id) && !claims.has(id)) {
             Priority priority = entry.record().spec().priority();
-            jobs.add(new Lapsed(id, priority, entry.stamp(), fresh(entry), since, before(id)));
+            jobs.add(
+                new UnownedJob(
+                    id,
+                    priority,
+                    entry.revision(),
+                    neverClaimed(entry),
+                    since,
+                    preferredNodes(id)));
           }
         });
     boolean writeInFlight = !claiming.isEmpty();
     List<JobTable.Entry> batch = new ArrayList<>();
     // Admission iterates over all claims, so a refusal is reused for equivalent jobs.
-    Set<Queue.Shape> refused = new HashSet<>();
-    for (String id : due(jobs, progress, now)) {
+    Set<SearchThrottle.EquivalenceClass> refused = new HashSet<>();
+    for (String id : claimable(jobs, lastTakeoverAt, now)) {
       JobTable.Entry entry = unowned.get(id);
-      if (fresh(entry)) {
+      if (neverClaimed(entry)) {
         // A job that was never claimed is claimed only within this controller's share, unless its
         // start is overdue: one huge job may fill the shares of all controllers. An overdue job is
         // not claimed behind an equivalent one that waits here, as it would have to wait as well.
-        Queue.Shape shape = Queue.Shape.of(entry.record().spec());
+        SearchThrottle.EquivalenceClass shape =
+            SearchThrottle.EquivalenceClass.of(entry.record().spec());
         if (!refused.contains(shape) && claims.admits(entry.record().spec())
-            || overdue(entry) && !claims.waitsAlike(shape)) {
+            || startOverdue(entry) && !claims.hasUnstartedEquivalent(shape)) {
           write(List.of(entry));
         } else {
           refused.add(shape);
         }
-      } else if (!writeInFlight && batch.size() < BATCH) {
+      } else if (!writeInFlight && batch.size() < MAX_BATCH_JOBS) {
         // One batch at a time, so that the next one excludes jobs claimed by others meanwhile.
         batch.add(entry);
       }
@@ -190,42 +199,44 @@
     }
   }
 
-  private boolean overdue(JobTable.Entry entry) {
-    double ageS = (context.timers().timeOfDayMs() - entry.record().acceptedMs()) / 1000.0;
-    return Begin.of(false, ageS, context.tunables().beginS()) != Begin.Standing.ORDINARY;
+  private boolean startOverdue(JobTable.Entry entry) {
+    double ageS = (context.timers().wallClockMs() - entry.record().acceptedMs()) / 1000.0;
+    return StartEscalation.stageAtAge(false, ageS, context.tunables().beginS())
+        != StartEscalation.Stage.NONE;
   }
 
-  private static boolean fresh(JobTable.Entry entry) {
+  private static boolean neverClaimed(JobTable.Entry entry) {
     return entry.record().term() == 0 && entry.record().status() == Status.OPEN;
   }
 
   /** The live controllers that precede this one in the job's order of preference. */
-  private List<String> before(String id) {
-    int ownOrder = draw(id, context.settings().node());
+  private List<String> preferredNodes(String id) {
+    int ownOrder = hashOrder(id, context.settings().node());
     List<String> preferred = new ArrayList<>();
     for (String node : context.membership().liveNodes()) {
-      if (draw(id, node) < ownOrder) {
+      if (hashOrder(id, node) < ownOrder) {
         preferred.add(node);
       }
     }
     return preferred;
   }
 
-  private static int draw(String id, String node) {
+  private static int hashOrder(String id, String node) {
     return (id + "@" + node).hashCode() * 0x9E3779B9 >>> 1;
   }
 
   private void write(List<JobTable.Entry> batch) {
-    String self = context.membership().self();
-    String mark = context.store().newMark();
+    String self = context.membership().ownIncarnation();
+    String mark = context.store().newWriteId();
     Txn txn = new Txn();
     Map<String, JobRecord> next = new HashMap<>();
     for (JobTable.Entry entry : batch) {
-      JobRecord record = entry.record().claimedBy(self);
+      JobRecord record = entry.record().withClaimant(self);
       String id = record.spec().id();
       next.put(id, record);
       claiming.add(id);
-      txn.when(JobRecord.key(id), entry.stamp()).put(JobRecord.key(id), record.write(mark));
+      txn.requireRevision(JobRecord.key(id), entry.revision())
+          .put(JobRecord.key(id), record.toDocument(mark));
     }
     context
         .store()
@@ -233,7 +244,7 @@
             txn,
             mark,
             result -> {
-              if (!self.equals(context.membership().self())) {
+              if (!self.equals(context.membership().ownIncarnation())) {
                 return;
               }
               claiming.removeAll(next.keySet());
@@ -248,7 +259,7 @@
                         id,
                         record.term(),
                         result.revision());
-                    context.jobs().wrote(id, record, mark, result.revision());
+                    context.jobs().applyOwnWrite(id, record, mark, result.revision());
                     claims.adopt(id, false);
                   });
             });
--- a/src/main/java/dev/dunefront/claim/Turnover.java
+++ b/src/main/java/dev/dunefront/claim/Turnover.java
@@ -4,7 +4,7 @@
 import dev.dunefront.job.JobTable;
 import dev.dunefront.wire.JobSpec;
 import dev.dunefront.wire.Priority;
-import dev.dunefront.wire.Size;
+import dev.dunefront.wire.Resources;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -17,79 +17,79 @@
  */
 final class Turnover {
   /** Averaging period; at tens of completions per second it contains enough of them. */
-  private static final double SPAN_S = 5;
+  private static final double WINDOW_S = 5;
 
   /** The estimate is reduced by this many standard deviations of the expected completions. */
-  private static final double DOUBT = 1.5;
+  private static final double SAFETY_STDDEVS = 1.5;
 
   /** How long a count of waiting tasks is reused. */
-  private static final double FRESH_S = 0.25;
+  private static final double CACHE_S = 0.25;
 
   /** CPU freed on machines of one kind, with exponential decay over time. */
-  private static final class Flow {
+  private static final class FreedCpu {
     double cpu;
-    double at;
+    double cpuAt;
 
-    double at(double now) {
-      return cpu * Math.exp((at - now) / SPAN_S);
+    double cpuAt(double now) {
+      return cpu * Math.exp((cpuAt - now) / WINDOW_S);
     }
   }
 
   private final ControllerContext context;
-  private final Room room;
+  private final MachineTable machineTable;
   private final Claims claims;
-  private final List<Flow> flows = new ArrayList<>();
-  private final long[] waiting = new long[Priority.values().length];
-  private double waitingAt = Double.NEGATIVE_INFINITY;
+  private final List<FreedCpu> freedByKind = new ArrayList<>();
+  private final long[] waitingTasks = new long[Priority.values().length];
+  private double waitingTasksAt = Double.NEGATIVE_INFINITY;
 
-  Turnover(ControllerContext context, Room room, Claims claims) {
+  Turnover(ControllerContext context, MachineTable room, Claims claims) {
     this.context = context;
-    this.room = room;
+    this.machineTable = room;
     this.claims = claims;
   }
 
   /** Counts a task of this size that has completed on a machine. */
-  void ended(String host, Size size, double now) {
-    Room.Seen machine = room.get(host);
+  void taskCompleted(String host, Resources size, double now) {
+    MachineTable.Entry machine = machineTable.get(host);
     if (machine == null) {
       return;
     }
-    while (flows.size() <= machine.kind().index()) {
-      flows.add(new Flow());
+    while (freedByKind.size() <= machine.kind().index()) {
+      freedByKind.add(new FreedCpu());
     }
-    Flow freed = flows.get(machine.kind().index());
-    freed.cpu = freed.at(now) + size.cpu();
-    freed.at = now;
+    FreedCpu freed = freedByKind.get(machine.kind().index());
+    freed.cpu = freed.cpuAt(now) + size.cpu();
+    freed.cpuAt = now;
   }
 
   /** Number of tasks of this size for which fitting machines free capacity per second. */
-  double slotsPerS(Size size, IntPredicate fits) {
+  double slotsPerS(Resources size, IntPredicate fits) {
     double cpu = 0;
-    for (int kind = 0; kind < flows.size(); kind++) {
+    for (int kind = 0; kind < freedByKind.size(); kind++) {
       if (fits.test(kind)) {
-        cpu += flows.get(kind).at(context.now());
+        cpu += freedByKind.get(kind).cpuAt(context.now());
       }
     }
     int controllers = Math.max(1, context.membership().liveNodes().size());
-    return size.cpu() <= 0 ? 0 : cpu / SPAN_S * controllers / size.cpu();
+    return size.cpu() <= 0 ? 0 : cpu / WINDOW_S * controllers / size.cpu();
   }
 
   /** Unstarted tasks of this or a higher priority, over all controllers. */
-  long waiting(Priority priority) {
+  long waitingTasks(Priority priority) {
     double now = context.now();
-    if (now - waitingAt > FRESH_S) {
-      waitingAt = now;
-      Arrays.fill(waiting, 0);
+    if (now - waitingTasksAt > CACHE_S) {
+      waitingTasksAt = now;
+      Arrays.fill(waitingTasks, 0);
       for (JobTable.Entry entry : context.jobs().all()) {
         if (entry.record().status() == Status.OPEN) {
           JobSpec spec = entry.record().spec();
-          waiting[spec.priority().ordinal()] += claims.account().unstarted(spec);
+          waitingTasks[spec.priority().ordinal()] += claims.statistics().unstarted(spec);
         }
       }
     }
     long total = 0;
     for (int p = 0; p <= priority.ordinal(); p++) {
-      total += waiting[p];
+      total += waitingTasks[p];
     }
     return total;
   }
@@ -109,7 +109,7 @@
       return 0;
     }
     double expected = slotsPerS * Math.max(0, leftS);
-    double certain = Math.max(0, expected - DOUBT * Math.sqrt(expected));
+    double certain = Math.max(0, expected - SAFETY_STDDEVS * Math.sqrt(expected));
     double share = certain * need / Math.max(need, needOfAll);
     return Math.max(0, (int) Math.ceil(need - share - 1e-9));
   }
--- a/src/main/java/dev/dunefront/claim/UnclaimedViews.java
+++ b/src/main/java/dev/dunefront/claim/UnclaimedJobHosts.java
@@ -10,27 +10,27 @@
  * learn of a claim before the claiming controller itself does, and it sends a view only when the
  * machine changes, so the view would otherwise be missed.
  */
-final class UnclaimedViews {
+final class UnclaimedJobHosts {
   /** Entries expire after this time; by then a claim that a holder knows is known here. */
-  private static final double KEPT_S = 30;
+  private static final double RETENTION_S = 30;
 
-  private record Shown(Set<String> hosts, double since) {}
+  private record Entry(Set<String> hosts, double since) {}
 
-  private final Map<String, Shown> byJob = new HashMap<>();
+  private final Map<String, Entry> byJob = new HashMap<>();
 
   /** Records that a machine's view showed tasks of the job. */
-  void shown(String job, String host, double now) {
-    byJob.computeIfAbsent(job, id -> new Shown(new HashSet<>(), now)).hosts.add(host);
+  void add(String job, String host, double now) {
+    byJob.computeIfAbsent(job, id -> new Entry(new HashSet<>(), now)).hosts.add(host);
   }
 
   /** Removes and returns the machines recorded for a job that has just been claimed. */
   Set<String> take(String job) {
-    Shown entry = byJob.remove(job);
+    Entry entry = byJob.remove(job);
     return entry == null ? Set.of() : entry.hosts;
   }
 
   /** Removes expired entries; most belong to jobs that have ended. */
-  void tidy(double now) {
-    byJob.values().removeIf(entry -> now - entry.since > KEPT_S);
+  void expire(double now) {
+    byJob.values().removeIf(entry -> now - entry.since > RETENTION_S);
   }
 }
--- a/src/main/java/dev/dunefront/claim/WantPlacement.java
+++ b/src/main/java/dev/dunefront/claim/WantPlacement.java
@@ -1,8 +1,8 @@
 package dev.dunefront.claim;
 
-import dev.dunefront.claim.Choosing.Choice;
-import dev.dunefront.peer.Detail;
+import dev.dunefront.claim.CandidateSelection.Candidate;
 import dev.dunefront.peer.Message;
+import dev.dunefront.peer.ViewDetail;
 import dev.dunefront.wire.Priority;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -19,172 +19,176 @@
  */
 final class WantPlacement {
   /** First interval between scans of all machines for an unserved job; doubles up to a tick. */
-  static final double LOOK_AGAIN_S = 0.25;
+  static final double MIN_FULL_SCAN_INTERVAL_S = 0.25;
 
   /** Minimum interval between a job's scans of machines with freed capacity. */
-  private static final double OPENINGS_S = 0.1;
+  private static final double FREED_CAPACITY_SCAN_INTERVAL_S = 0.1;
 
   /**
    * Wants queued at machines with free capacity, as a multiple of the wanted tasks, because other
    * jobs compete for the same capacity.
    */
-  private static final double SURPLUS = 1.5;
+  private static final double OVERSUBSCRIPTION = 1.5;
 
   private final ControllerContext context;
-  private final Room room;
-  private final RoomInterest interest;
+  private final MachineTable machineTable;
+  private final CapacitySubscription subscription;
   private final Quotas quotas;
-  private final Urgencies urgencies;
-  private final Choosing choosing;
-  private final GivingWay givingWay;
-  private final Begin begin = new Begin();
-  private final IdleRoom idle;
+  private final DeadlineRanking ranking;
+  private final CandidateSelection candidateSelection;
+  private final PreemptionRequests preemptionRequests;
+  private final StartEscalation startEscalation = new StartEscalation();
+  private final IdleCapacity idleCapacity;
 
   WantPlacement(
       ControllerContext context,
-      Room room,
-      RoomInterest interest,
-      IdleRoom idle,
+      MachineTable room,
+      CapacitySubscription interest,
+      IdleCapacity idle,
       Quotas quotas,
-      Urgencies urgencies,
-      Zones zones,
+      DeadlineRanking urgencies,
+      ZoneConstraints zones,
       Turnover turnover) {
     this.context = context;
-    this.room = room;
-    this.interest = interest;
+    this.machineTable = room;
+    this.subscription = interest;
     this.quotas = quotas;
-    this.urgencies = urgencies;
-    this.choosing = new Choosing(context, room, zones, turnover);
-    this.idle = idle;
-    this.givingWay = new GivingWay(context, interest, urgencies, choosing, turnover);
+    this.ranking = urgencies;
+    this.candidateSelection = new CandidateSelection(context, room, zones, turnover);
+    this.idleCapacity = idle;
+    this.preemptionRequests =
+        new PreemptionRequests(context, interest, urgencies, candidateSelection, turnover);
   }
 
   /** Brings a job's queued wants up to date. */
-  void review(Claim claim) {
+  void updateWants(Claim claim) {
     double now = context.now();
     double reliableAt = now;
-    double ageS = claim.ageS(context.timers().timeOfDayMs());
-    Begin.Standing previous = claim.standing;
-    claim.standing = begin.standing(claim, ageS, context.tunables().beginS(), now);
-    if (claim.standing != previous) {
-      claim.lookAgain = now;
+    double ageS = claim.ageS(context.timers().wallClockMs());
+    StartEscalation.Stage previous = claim.startStage;
+    claim.startStage = startEscalation.updateStage(claim, ageS, context.tunables().beginS(), now);
+    if (claim.startStage != previous) {
+      claim.nextFullScanAt = now;
     }
-    if (claim.queued && claim.standing != Begin.Standing.FIRST) {
-      withdraw(claim);
-      served(claim, now);
+    if (claim.searchThrottled && claim.startStage != StartEscalation.Stage.ACROSS_PRIORITIES) {
+      withdrawWants(claim);
+      resetReach(claim, now);
       return;
     }
-    if (now >= claim.notBefore && unstarted(claim) > 0) {
+    if (now >= claim.notBefore && placeableTasks(claim) > 0) {
       // Subscribes before idle capacity is counted: without views it would be counted as zero, and
       // views would never be requested.
-      reliableAt = interest.need(Detail.ROOM);
+      reliableAt = subscription.require(ViewDetail.CAPACITY);
     }
-    int wanted = wanted(claim);
+    int wanted = wantedTasks(claim);
     if (wanted <= 0 || now < claim.notBefore) {
-      withdraw(claim);
+      withdrawWants(claim);
       if (wanted <= 0) {
-        served(claim, now);
-        claim.lookPause = LOOK_AGAIN_S;
+        resetReach(claim, now);
+        claim.fullScanIntervalS = MIN_FULL_SCAN_INTERVAL_S;
       }
       return;
     }
     if (now - claim.unservedSince > context.tunables().waitS()) {
-      served(claim, now);
+      resetReach(claim, now);
       claim.notBefore = now + context.tunables().requeueDelayS();
-      withdraw(claim);
+      withdrawWants(claim);
       return;
     }
     if (now >= claim.nextTick) {
       claim.nextTick = now + context.tunables().tickS();
       claim.reach = Math.min(context.tunables().reachCap(), claim.reach + 1);
     }
-    if (wanted > claim.parkedFor || now >= claim.lookAgain) {
-      claim.parkedFor = wanted;
-      claim.lookAgain = now + claim.lookPause;
+    if (wanted > claim.tasksAtLastScan || now >= claim.nextFullScanAt) {
+      claim.tasksAtLastScan = wanted;
+      claim.nextFullScanAt = now + claim.fullScanIntervalS;
       double maxIntervalS = context.tunables().tickS() / (claim.spec.priority().urgent() ? 4 : 1);
-      claim.lookPause = Math.min(maxIntervalS, claim.lookPause * 2);
-      claim.openings = room.openings();
-      claim.openingsAt = now;
-      parkAnew(claim, wanted, now);
+      claim.fullScanIntervalS = Math.min(maxIntervalS, claim.fullScanIntervalS * 2);
+      claim.capacityIncreasesSeen = machineTable.capacityIncreases();
+      claim.freedCapacityScanAt = now;
+      rebuildWants(claim, wanted, now);
       if (now < reliableAt) {
         // The known views are outdated; scans again once the current ones have arrived.
-        claim.lookAgain = Math.min(claim.lookAgain, reliableAt);
+        claim.nextFullScanAt = Math.min(claim.nextFullScanAt, reliableAt);
       }
-    } else if (claim.openings != room.openings() && now - claim.openingsAt >= OPENINGS_S) {
-      claim.openings = room.openings();
-      claim.openingsAt = now;
-      parkInOpenings(claim, wanted, now);
+    } else if (claim.capacityIncreasesSeen != machineTable.capacityIncreases()
+        && now - claim.freedCapacityScanAt >= FREED_CAPACITY_SCAN_INTERVAL_S) {
+      claim.capacityIncreasesSeen = machineTable.capacityIncreases();
+      claim.freedCapacityScanAt = now;
+      addWantsAtFreedCapacity(claim, wanted, now);
     }
   }
 
   /** Number of tasks to queue wants for; at most one for a job with an overdue start. */
-  private int wanted(Claim claim) {
-    int wanted = unstarted(claim);
-    return claim.standing == Begin.Standing.ORDINARY
-        ? Math.min(wanted, idle.tasks(claim.spec))
+  private int wantedTasks(Claim claim) {
+    int wanted = placeableTasks(claim);
+    return claim.startStage == StartEscalation.Stage.NONE
+        ? Math.min(wanted, idleCapacity.maxTasks(claim.spec))
         : Math.min(1, wanted);
   }
 
   /** Unstarted tasks that the quota and the failure backoff allow to place now. */
-  private int unstarted(Claim claim) {
-    int wanted = claim.unstarted() - claim.offers.size() - claim.starting;
+  private int placeableTasks(Claim claim) {
+    int wanted = claim.unstarted() - claim.offers.size() - claim.startsInFlight;
     Quotas.Quota quota = quotas.of(claim.spec.team());
     if (quota != null) {
-      wanted = Math.min(wanted, claim.allowed(quota) - claim.offers.size());
+      wanted = Math.min(wanted, claim.startsAllowed(quota) - claim.offers.size());
     }
-    return claim.suspect() ? Math.min(wanted, 1 - claim.live.size()) : wanted;
+    return claim.suspectedFaulty() ? Math.min(wanted, 1 - claim.liveAttempts.size()) : wanted;
   }
 
   /** Resets the reach to its minimum, for a job that has been served or has stopped waiting. */
-  void served(Claim claim, double now) {
+  void resetReach(Claim claim, double now) {
     claim.unservedSince = now;
     claim.nextTick = now + context.tunables().tickS();
     claim.reach = context.tunables().reach();
-    claim.parkedFor = Math.min(claim.parkedFor, Math.max(0, claim.unstarted()));
+    claim.tasksAtLastScan = Math.min(claim.tasksAtLastScan, Math.max(0, claim.unstarted()));
   }
 
-  private void parkAnew(Claim claim, int wanted, double now) {
-    long surplus = (long) Math.ceil(wanted * SURPLUS);
-    claim.slowFetchS = choosing.slowFetchS(claim);
-    List<Choice> candidates = choices(claim, wanted, surplus, now);
+  private void rebuildWants(Claim claim, int wanted, double now) {
+    long surplus = (long) Math.ceil(wanted * OVERSUBSCRIPTION);
+    claim.maxFetchS = candidateSelection.maxFetchS(claim);
+    List<Candidate> candidates = candidates(claim, wanted, surplus, now);
     int fitting = 0;
-    for (Choice candidate : candidates) {
-      fitting += candidate.here() ? candidate.fits() : 0;
+    for (Candidate candidate : candidates) {
+      fitting += candidate.hasRoom() ? candidate.freeSlots() : 0;
     }
-    givingWay.ask(claim, candidates, wanted, now);
+    preemptionRequests.request(claim, candidates, wanted, now);
     // A heap avoids sorting all candidates, as only the best few are used.
-    Queue<Choice> best = new PriorityQueue<>(candidates);
+    Queue<Candidate> best = new PriorityQueue<>(candidates);
     // If enough capacity is free now, no wants are queued at full machines.
     long wantsLeft = fitting >= surplus ? surplus : (long) wanted * claim.reach;
     long leftAtFree = surplus;
     int machineCount = 0;
     Map<String, Integer> targetCounts = new HashMap<>();
     double fetchS = candidates.isEmpty() ? 0 : best.peek().costS();
-    for (Choice candidate = best.poll(); candidate != null; candidate = best.poll()) {
-      if (wantsLeft <= 0 && (machineCount >= claim.reach || !candidate.here())) {
+    for (Candidate candidate = best.poll(); candidate != null; candidate = best.poll()) {
+      if (wantsLeft <= 0 && (machineCount >= claim.reach || !candidate.hasRoom())) {
         break;
       }
-      if (candidate.fits() > 0 && leftAtFree <= 0 && machineCount >= claim.reach) {
+      if (candidate.freeSlots() > 0 && leftAtFree <= 0 && machineCount >= claim.reach) {
         continue;
       }
-      int count = Math.min(wanted, candidate.fits() > 0 ? candidate.fits() : candidate.ever());
-      targetCounts.put(candidate.seen().view().host(), count);
+      int count =
+          Math.min(
+              wanted, candidate.freeSlots() > 0 ? candidate.freeSlots() : candidate.emptySlots());
+      targetCounts.put(candidate.machine().view().host(), count);
       wantsLeft -= count;
-      leftAtFree -= candidate.fits() > 0 ? count : 0;
+      leftAtFree -= candidate.freeSlots() > 0 ? count : 0;
       machineCount++;
     }
-    for (String host : Set.copyOf(claim.parked.keySet())) {
+    for (String host : Set.copyOf(claim.queuedWants.keySet())) {
       if (!targetCounts.containsKey(host)) {
-        want(claim, host, 0);
+        sendWant(claim, host, 0);
       }
     }
-    double ageS = claim.ageS(context.timers().timeOfDayMs());
-    int rank = urgencies.rank(claim.spec, claim.unstarted(), ageS, fetchS);
-    if (claim.standing != Begin.Standing.ORDINARY) {
-      rank = Urgencies.PRESSING;
+    double ageS = claim.ageS(context.timers().wallClockMs());
+    int rank = ranking.rank(claim.spec, claim.unstarted(), ageS, fetchS);
+    if (claim.startStage != StartEscalation.Stage.NONE) {
+      rank = DeadlineRanking.AT_RISK;
     }
     int priority =
-        claim.standing == Begin.Standing.FIRST
+        claim.startStage == StartEscalation.Stage.ACROSS_PRIORITIES
             ? Priority.CRITICAL.ordinal()
             : claim.spec.priority().ordinal();
     boolean orderChanged = rank != claim.rank || priority != claim.priority;
@@ -192,8 +196,8 @@
     claim.priority = priority;
     targetCounts.forEach(
         (host, count) -> {
-          if (orderChanged || !count.equals(claim.parked.get(host))) {
-            want(claim, host, count);
+          if (orderChanged || !count.equals(claim.queuedWants.get(host))) {
+            sendWant(claim, host, count);
           }
         });
   }
@@ -203,19 +207,20 @@
    * free capacity that no wants would be queued at them: a fleet has many, and every new job would
    * iterate over all of them.
    */
-  private List<Choice> choices(Claim claim, int wanted, long surplus, double now) {
-    List<Choice> candidates = new ArrayList<>();
+  private List<Candidate> candidates(Claim claim, int wanted, long surplus, double now) {
+    List<Candidate> candidates = new ArrayList<>();
     long freeSlots = 0;
-    for (Room.Seen machine : room.roomy()) {
-      Choice candidate = choosing.choice(claim, machine, now);
+    for (MachineTable.Entry machine : machineTable.withFreeCapacity()) {
+      Candidate candidate = candidateSelection.candidate(claim, machine, now);
       if (candidate != null) {
         candidates.add(candidate);
-        freeSlots += candidate.here() ? Math.min(wanted, candidate.fits()) : 0;
+        freeSlots += candidate.hasRoom() ? Math.min(wanted, candidate.freeSlots()) : 0;
       }
     }
     if (freeSlots < surplus) {
-      for (Room.Seen machine : room.all()) {
-        Choice candidate = machine.roomy() ? null : choosing.choice(claim, machine, now);
+      for (MachineTable.Entry machine : machineTable.all()) {
+        Candidate candidate =
+            machine.hasFreeCapacity() ? null : candidateSelection.candidate(claim, machine, now);
         if (candidate != null) {
           candidates.add(candidate);
         }
@@ -225,38 +230,38 @@
   }
 
   /** Queues additional wants at machines that have free capacity now, keeping the existing ones. */
-  private void parkInOpenings(Claim claim, int wanted, double now) {
-    List<Choice> candidates = new ArrayList<>();
+  private void addWantsAtFreedCapacity(Claim claim, int wanted, double now) {
+    List<Candidate> candidates = new ArrayList<>();
     int covered = 0;
-    for (Room.Seen machine : room.roomy()) {
-      Integer parked = claim.parked.get(machine.view().host());
+    for (MachineTable.Entry machine : machineTable.withFreeCapacity()) {
+      Integer parked = claim.queuedWants.get(machine.view().host());
       if (parked != null) {
-        covered += Math.min(parked, claim.size.timesIn(machine.view().free()));
+        covered += Math.min(parked, claim.size.countFittingIn(machine.view().free()));
         continue;
       }
-      Choice candidate = choosing.choice(claim, machine, now);
-      if (candidate != null && candidate.fits() > 0 && candidate.here()) {
+      Candidate candidate = candidateSelection.candidate(claim, machine, now);
+      if (candidate != null && candidate.freeSlots() > 0 && candidate.hasRoom()) {
         candidates.add(candidate);
       }
     }
-    Queue<Choice> best = new PriorityQueue<>(candidates);
-    long wantsLeft = (long) Math.ceil(wanted * SURPLUS) - covered;
+    Queue<Candidate> best = new PriorityQueue<>(candidates);
+    long wantsLeft = (long) Math.ceil(wanted * OVERSUBSCRIPTION) - covered;
     while (wantsLeft > 0 && !best.isEmpty()) {
-      Choice candidate = best.poll();
-      int count = Math.min(wanted, candidate.fits());
-      want(claim, candidate.seen().view().host(), count);
+      Candidate candidate = best.poll();
+      int count = Math.min(wanted, candidate.freeSlots());
+      sendWant(claim, candidate.machine().view().host(), count);
       wantsLeft -= count;
     }
   }
 
   /** Sets the number of wants queued at a machine; 0 withdraws them. */
-  private void want(Claim claim, String host, int count) {
+  private void sendWant(Claim claim, String host, int count) {
     if (count > 0) {
-      claim.parked.put(host, count);
+      claim.queuedWants.put(host, count);
     } else {
-      claim.parked.remove(host);
+      claim.queuedWants.remove(host);
     }
-    Room.Seen machine = room.get(host);
+    MachineTable.Entry machine = machineTable.get(host);
     if (machine != null) {
       context
           .peers()
@@ -268,23 +273,24 @@
 
   /** Sorts the claim's offers by cost, cheapest first. */
   void sortOffers(Claim claim) {
-    choosing.sortOffers(claim);
+    candidateSelection.sortOffers(claim);
   }
 
   /** Withdraws all queued wants of a job. */
-  void withdraw(Claim claim) {
-    claim.parkedFor = 0;
-    if (!claim.parked.isEmpty()) {
-      for (String host : Set.copyOf(claim.parked.keySet())) {
-        want(claim, host, 0);
+  void withdrawWants(Claim claim) {
+    claim.tasksAtLastScan = 0;
+    if (!claim.queuedWants.isEmpty()) {
+      for (String host : Set.copyOf(claim.queuedWants.keySet())) {
+        sendWant(claim, host, 0);
       }
     }
   }
 
   /** Handles the loss of a job's wants at a machine whose book was reset or no longer exists. */
-  void lostBook(Claim claim, String host) {
-    if (claim.parked.remove(host) != null) {
-      claim.lookAgain = Math.min(claim.lookAgain, context.now() + LOOK_AGAIN_S);
+  void wantsLost(Claim claim, String host) {
+    if (claim.queuedWants.remove(host) != null) {
+      claim.nextFullScanAt =
+          Math.min(claim.nextFullScanAt, context.now() + MIN_FULL_SCAN_INTERVAL_S);
     }
   }
 }
--- a/src/main/java/dev/dunefront/claim/Zones.java
+++ b/src/main/java/dev/dunefront/claim/ZoneConstraints.java
@@ -1,20 +1,20 @@
 package dev.dunefront.claim;
 
-import dev.dunefront.claim.Claim.Live;
+import dev.dunefront.claim.Claim.LiveAttempt;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 
 /** Checks the zone constraints of a job (all tasks in one zone, or spread over zones). */
-final class Zones {
-  private final Room room;
+final class ZoneConstraints {
+  private final MachineTable machineTable;
 
   /** Zones of machines with placed tasks; kept when the connection to the holder is lost. */
-  private final Map<String, String> zones = new HashMap<>();
+  private final Map<String, String> zoneByHost = new HashMap<>();
 
-  Zones(Room room) {
-    this.room = room;
+  ZoneConstraints(MachineTable room) {
+    this.machineTable = room;
   }
 
   /**
@@ -23,7 +23,7 @@
    * @param starts machines of the tasks that the same transaction places
    */
   boolean allowed(Claim claim, String host, List<String> starts) {
-    Room.Seen machine = room.get(host);
+    MachineTable.Entry machine = machineTable.get(host);
     if (machine == null
         || !claim.spec.allows(
             machine.view().type(), machine.view().zone(), machine.view().spot())) {
@@ -36,7 +36,7 @@
     int sameZone = 0;
     int otherZones = 0;
     boolean unknownZone = false;
-    for (Live attempt : claim.live.values()) {
+    for (LiveAttempt attempt : claim.liveAttempts.values()) {
       String attemptZone = zoneOf(attempt.placement.host());
       unknownZone |= attemptZone == null;
       if (zone.equals(attemptZone)) {
@@ -55,22 +55,22 @@
     if (claim.spec.oneZone()) {
       return otherZones == 0;
     }
-    return sameZone + 1 <= claim.spec.mostInOneZone() && !unknownZone;
+    return sameZone + 1 <= claim.spec.maxTasksPerZone() && !unknownZone;
   }
 
   /** How many more tasks each zone may take; empty if the job has no zone constraint. */
-  Map<String, Integer> left(Claim claim, Set<String> zoneNames) {
+  Map<String, Integer> remainingTasks(Claim claim, Set<String> zoneNames) {
     if (!claim.spec.oneZone() && !claim.spec.spread()) {
       return Map.of();
     }
     Map<String, Integer> placed = new HashMap<>();
-    for (Live attempt : claim.live.values()) {
+    for (LiveAttempt attempt : claim.liveAttempts.values()) {
       String zone = zoneOf(attempt.placement.host());
       if (zone != null) {
         placed.merge(zone, 1, Integer::sum);
       }
     }
-    int maxPerZone = claim.spec.oneZone() ? claim.spec.tasks() : claim.spec.mostInOneZone();
+    int maxPerZone = claim.spec.oneZone() ? claim.spec.tasks() : claim.spec.maxTasksPerZone();
     Map<String, Integer> remaining = new HashMap<>();
     for (String zone : zoneNames) {
       boolean elsewhere = claim.spec.oneZone() && !placed.isEmpty() && !placed.containsKey(zone);
@@ -80,10 +80,10 @@
   }
 
   private String zoneOf(String host) {
-    Room.Seen machine = room.get(host);
+    MachineTable.Entry machine = machineTable.get(host);
     if (machine != null) {
-      zones.put(host, machine.view().zone());
+      zoneByHost.put(host, machine.view().zone());
     }
-    return zones.get(host);
+    return zoneByHost.get(host);
   }
 }
--- a/src/test/java/dev/dunefront/claim/UrgenciesTest.java
+++ b/src/test/java/dev/dunefront/claim/DeadlineRankingTest.java
@@ -3,18 +3,18 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dev.dunefront.config.BadSetting;
+import dev.dunefront.config.InvalidSettingException;
 import dev.dunefront.config.Settings;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.wire.Document;
 import dev.dunefront.wire.JobSpec;
+import dev.dunefront.wire.MalformedMessageException;
 import org.junit.jupiter.api.Test;
 
 /** The order in which jobs of one priority are served. */
-class UrgenciesTest {
-  private static JobSpec job(int tasks) throws BadMessage {
-    return JobSpec.read(
-        Doc.of()
+class DeadlineRankingTest {
+  private static JobSpec job(int tasks) throws MalformedMessageException {
+    return JobSpec.fromDocument(
+        Document.create()
             .put("id", "wk-" + tasks)
             .put("batchclass", "c")
             .put("owner", "t")
@@ -27,7 +27,7 @@
   }
 
   /** The objectives of the jobs, as in the settings file. */
-  private static final String AIMS =
+  private static final String OBJECTIVES =
       """
       [[facts.objectives]]
       kind = "finished"
@@ -50,7 +50,7 @@
       within_s = 20.0
       """;
 
-  private static Settings settings(String objectives) throws BadSetting {
+  private static Settings settings(String objectives) throws InvalidSettingException {
     return Settings.parse(
         """
         host_name = "n"
@@ -82,10 +82,10 @@
   }
 
   @Test
-  void whatCanStillBeWonComesFirstAndLargeJobsAfterSmallOnes() throws Exception {
-    Urgencies ranking = new Urgencies(settings(AIMS));
+  void ranksReachableObjectivesFirstAndLargeJobsAfterSmallOnes() throws Exception {
+    DeadlineRanking ranking = new DeadlineRanking(settings(OBJECTIVES));
     for (int i = 0; i < 20; i++) {
-      ranking.seen(job(40));
+      ranking.jobSeen(job(40));
     }
     int onTime = ranking.rank(job(40), 40, 0, 0);
     int atRisk = ranking.rank(job(40), 40, 65, 0);
@@ -101,19 +101,20 @@
   }
 
   @Test
-  void howLongTasksRunIsLearned() throws Exception {
-    Urgencies ranking = new Urgencies(settings(AIMS));
-    assertEquals(Urgencies.IN_TIME, ranking.rank(job(40), 1, 40, 0));
+  void learnsTaskRunTimes() throws Exception {
+    DeadlineRanking ranking = new DeadlineRanking(settings(OBJECTIVES));
+    assertEquals(DeadlineRanking.ON_TIME, ranking.rank(job(40), 1, 40, 0));
     for (int i = 0; i < 60; i++) {
-      ranking.ran(job(40), 75);
+      ranking.taskCompleted(job(40), 75);
     }
-    assertEquals(Urgencies.LATE, ranking.rank(job(40), 1, 40, 0));
+    assertEquals(DeadlineRanking.LATE, ranking.rank(job(40), 1, 40, 0));
   }
 
   /** The next objective that can still be met counts, regardless of missed ones. */
   @Test
-  void tasksMayWaitUntilTheNextAimForTheirStart() throws BadSetting, BadMessage {
-    Urgencies ranking = new Urgencies(settings(AIMS));
+  void startSlackFollowsNextReachableObjective()
+      throws InvalidSettingException, MalformedMessageException {
+    DeadlineRanking ranking = new DeadlineRanking(settings(OBJECTIVES));
     assertEquals(4.5, ranking.startSlackS(job(1), 0.5), 0.001);
     assertEquals(15, ranking.startSlackS(job(1), 5), 0.001);
     assertEquals(
@@ -125,6 +126,6 @@
     assertEquals(
         Double.POSITIVE_INFINITY, ranking.startSlackS(job(1), 170), "all objectives are missed");
     assertEquals(
-        0, new Urgencies(settings("")).startSlackS(job(1), 0.5), "there are no objectives");
+        0, new DeadlineRanking(settings("")).startSlackS(job(1), 0.5), "there are no objectives");
   }
 }
