--- a/src/main/java/dev/dunefront/claim/AttemptTermination.java
+++ b/src/main/java/dev/dunefront/claim/AttemptTermination.java
@@ -32,10 +32,13 @@
   private final Turnover turnover;
 
   AttemptTermination(
-      ControllerContext context, MachineTable room, DeadlineRanking urgencies, Turnover turnover) {
+      ControllerContext context,
+      MachineTable machineTable,
+      DeadlineRanking ranking,
+      Turnover turnover) {
     this.context = context;
-    this.machineTable = room;
-    this.ranking = urgencies;
+    this.machineTable = machineTable;
+    this.ranking = ranking;
     this.turnover = turnover;
   }
 
@@ -64,7 +67,7 @@
               claim.id() + "/" + number + ", " + attempt.placement + ", by " + proof);
       return;
     }
-    AttemptOutcome end = outcomeOf(proof);
+    AttemptOutcome outcome = outcomeOf(proof);
     attempt.ended = true;
     context.safety().attemptEnded(proof);
     LOG.log(
@@ -73,23 +76,23 @@
         claim.id(),
         number,
         attempt.placement.host(),
-        end,
+        outcome,
         attempt.placement.attempt(),
         attempt.placement.session(),
         proof);
-    claim.unrecordedEnds.add(new EndedAttempt(number, attempt.placement, end, proof));
+    claim.unrecordedEnds.add(new EndedAttempt(number, attempt.placement, outcome, proof));
     double now = context.now();
     String host = attempt.placement.host();
-    if (end == AttemptOutcome.DONE) {
+    if (outcome == AttemptOutcome.DONE) {
       taskSucceeded(claim, now);
       turnover.taskCompleted(host, claim.size, now);
       if (attempt.runningSince > 0) {
         ranking.taskCompleted(claim.spec, now - attempt.runningSince);
       }
     }
-    if (end == AttemptOutcome.FAILED) {
+    if (outcome == AttemptOutcome.FAILED) {
       taskFailed(claim, number, host, now);
-    } else if (end == AttemptOutcome.REFUSED) {
+    } else if (outcome == AttemptOutcome.REFUSED) {
       claim.avoidUntil.put(host, now + AVOID_AFTER_REFUSAL_S);
     }
   }
@@ -132,9 +135,9 @@
     claim.avoidUntil.put(host, now + AVOID_AFTER_FAILURE_S);
     if (firstOnHost && claim.hasCompletedTask()) {
       reportMachineFault(claim, host, Message.FailureReport.PROVEN);
-    } else if (firstOnHost && !claim.suspectedFaulty()) {
+    } else if (firstOnHost && !claim.isSuspectedFaulty()) {
       reportMachineFault(claim, host, Message.FailureReport.UNPROVEN);
-    } else if (!claim.suspectedFaulty() && now - firstFailedAt >= AVOID_AFTER_FAILURE_S) {
+    } else if (!claim.isSuspectedFaulty() && now - firstFailedAt >= AVOID_AFTER_FAILURE_S) {
       // A repeated failure on the only machine tried so far counts like one failure among several
       // machines.
       reportMachineFault(claim, host, Message.FailureReport.PROVEN);
@@ -145,7 +148,7 @@
           .forEach(
               failedHost -> reportMachineFault(claim, failedHost, Message.FailureReport.WITHDRAWN));
     }
-    if (claim.suspectedFaulty()) {
+    if (claim.isSuspectedFaulty()) {
       // Tasks fail on every machine: retries one task at a time with exponential backoff.
       claim.notBefore =
           now
--- a/src/main/java/dev/dunefront/claim/CandidateSelection.java
+++ b/src/main/java/dev/dunefront/claim/CandidateSelection.java
@@ -67,7 +67,7 @@
     }
 
     /** Whether no task fits now, but could later. */
-    boolean full() {
+    boolean isFull() {
       return tier == TIER_FULL;
     }
 
@@ -83,14 +83,17 @@
 
   private final ControllerContext context;
   private final MachineTable machineTable;
-  private final ZoneConstraints zones;
+  private final ZoneConstraints zoneConstraints;
   private final Turnover turnover;
 
   CandidateSelection(
-      ControllerContext context, MachineTable room, ZoneConstraints zones, Turnover turnover) {
+      ControllerContext context,
+      MachineTable machineTable,
+      ZoneConstraints zoneConstraints,
+      Turnover turnover) {
     this.context = context;
-    this.machineTable = room;
-    this.zones = zones;
+    this.machineTable = machineTable;
+    this.zoneConstraints = zoneConstraints;
     this.turnover = turnover;
   }
 
@@ -154,7 +157,7 @@
         || reservedForUrgent(claim.spec, view)
         || !claim.avoidUntil.isEmpty() && claim.avoidUntil.getOrDefault(view.host(), 0.0) > now
         || (claim.spec.oneZone() || claim.spec.spread())
-            && !zones.allowed(claim, view.host(), List.of())) {
+            && !zoneConstraints.allowed(claim, view.host(), List.of())) {
       return null;
     }
     int freeSlots = machine.hasFreeCapacity() ? claim.size.countFittingIn(view.free()) : 0;
--- a/src/main/java/dev/dunefront/claim/CapacitySubscription.java
+++ b/src/main/java/dev/dunefront/claim/CapacitySubscription.java
@@ -30,12 +30,12 @@
   private double reliableAt = Double.NEGATIVE_INFINITY;
 
   /**
-   * @param settled run once the views requested by an increase of the level should have arrived
+   * @param onReliable run once the views requested by an increase of the level should have arrived
    */
-  CapacitySubscription(Peers peers, Timers timers, Runnable settled) {
+  CapacitySubscription(Peers peers, Timers timers, Runnable onReliable) {
     this.peers = peers;
     this.timers = timers;
-    this.onReliable = settled;
+    this.onReliable = onReliable;
   }
 
   /**
--- a/src/main/java/dev/dunefront/claim/Chunk.java
+++ b/src/main/java/dev/dunefront/claim/Chunk.java
@@ -69,13 +69,13 @@
   /** Number of the latest attempt of each task, by task number within the chunk. */
   final Map<Integer, Long> lastAttempts = new HashMap<>();
 
-  Chunk(long stamp) {
-    this.revision = stamp;
+  Chunk(long revision) {
+    this.revision = revision;
   }
 
   /** A mutable copy; it replaces the original only after it has been written. */
-  Chunk copy(long newStamp) {
-    Chunk chunk = new Chunk(newStamp);
+  Chunk copy(long newRevision) {
+    Chunk chunk = new Chunk(newRevision);
     chunk.done.or(done);
     chunk.placed.putAll(placed);
     chunk.lastAttempts.putAll(lastAttempts);
@@ -106,8 +106,8 @@
     return PLACEMENT_BYTES + host.length() + 3;
   }
 
-  static Chunk read(Document doc, long stamp) throws MalformedMessageException {
-    Chunk chunk = new Chunk(stamp);
+  static Chunk fromDocument(Document doc, long revision) throws MalformedMessageException {
+    Chunk chunk = new Chunk(revision);
     List<Long> done = doc.counts("done");
     for (int i = 0; i + 1 < done.size(); i += 2) {
       int from = done.get(i).intValue();
@@ -136,7 +136,7 @@
    * Encodes done tasks as ranges (first, length) and placements as (task, attempt, host index,
    * session).
    */
-  Document write(String mark) {
+  Document toDocument(String writeId) {
     List<Object> ranges = new ArrayList<>();
     for (int from = done.nextSetBit(0); from >= 0; ) {
       int to = done.nextClearBit(from);
@@ -169,7 +169,7 @@
           }
         });
     return Document.create()
-        .put(StateStore.WRITE_ID_FIELD, mark)
+        .put(StateStore.WRITE_ID_FIELD, writeId)
         .put("done", ranges)
         .put("hosts", hosts)
         .put("placed", placements)
--- a/src/main/java/dev/dunefront/claim/Claim.java
+++ b/src/main/java/dev/dunefront/claim/Claim.java
@@ -47,7 +47,7 @@
     final Placement placement;
     Message.State state = Message.State.PENDING;
     double runningSince;
-    double probedAt;
+    double queriedAt;
     double stopSentAt;
     boolean ended;
 
@@ -181,11 +181,11 @@
   /** Whether this claim has seen a task complete; that may not be recorded yet. */
   boolean completedTaskSeen;
 
-  Claim(JobRecord record, long stamp, int reach, double now) {
+  Claim(JobRecord record, long revision, int reach, double now) {
     this.record = record;
     this.spec = record.spec();
     this.size = spec.taskResources();
-    this.revision = stamp;
+    this.revision = revision;
     this.reach = reach;
     this.unservedSince = now;
     this.nextTick = now;
@@ -203,7 +203,7 @@
   }
 
   /** Whether tasks of the job may be placed and started. */
-  boolean startable() {
+  boolean isStartable() {
     return open() && !endRequested;
   }
 
@@ -214,7 +214,7 @@
 
   /** Tasks that are neither done nor placed. */
   int unstarted() {
-    if (!startable()) {
+    if (!isStartable()) {
       return 0;
     }
     int blocked = strays.isEmpty() ? 0 : strays.blockedOutside(doneOrPlaced);
@@ -240,7 +240,7 @@
   }
 
   /** Whether tasks have failed on at least two machines and none has ever completed. */
-  boolean suspectedFaulty() {
+  boolean isSuspectedFaulty() {
     return failedOn.size() >= 2 && !hasCompletedTask();
   }
 
--- a/src/main/java/dev/dunefront/claim/ClaimAdmission.java
+++ b/src/main/java/dev/dunefront/claim/ClaimAdmission.java
@@ -13,9 +13,9 @@
   private final ControllerContext context;
   private final MachineTable machineTable;
 
-  ClaimAdmission(ControllerContext context, MachineTable room) {
+  ClaimAdmission(ControllerContext context, MachineTable machineTable) {
     this.context = context;
-    this.machineTable = room;
+    this.machineTable = machineTable;
   }
 
   /**
--- a/src/main/java/dev/dunefront/claim/ClaimLoader.java
+++ b/src/main/java/dev/dunefront/claim/ClaimLoader.java
@@ -43,16 +43,16 @@
                 try {
                   int index =
                       Integer.parseInt(pair.key().substring(Chunk.prefix(claim.id()).length()));
-                  claim.installChunk(index, Chunk.read(pair.value(), pair.revision()));
+                  claim.installChunk(index, Chunk.fromDocument(pair.value(), pair.revision()));
                 } catch (MalformedMessageException | NumberFormatException e) {
                   throw new IllegalStateException("chunk " + pair.key() + " cannot be read", e);
                 }
               }
               claim.loading = false;
               double now = context.now();
-              // Holders that do not know the new claim owner yet will report the attempts shortly,
-              // so the first probes are delayed.
-              claim.liveAttempts.values().forEach(attempt -> attempt.probedAt = now);
+              // Holders that do not know the new claimant yet will report the attempts shortly,
+              // so the first queries are delayed.
+              claim.liveAttempts.values().forEach(attempt -> attempt.queriedAt = now);
               claim.hostsToCompare.addAll(claim.hosts());
               reconciliation.comparePending(claim);
               claims.reevaluate(claim);
--- a/src/main/java/dev/dunefront/claim/ClaimWriter.java
+++ b/src/main/java/dev/dunefront/claim/ClaimWriter.java
@@ -71,16 +71,16 @@
   ClaimWriter(
       ControllerContext context,
       Quotas quotas,
-      ZoneConstraints zones,
+      ZoneConstraints zoneConstraints,
       WantPlacement wantPlacement,
-      MachineTable room,
+      MachineTable machineTable,
       Claims claims) {
     this.context = context;
     this.quotas = quotas;
     this.wantPlacement = wantPlacement;
-    this.machineTable = room;
+    this.machineTable = machineTable;
     this.claims = claims;
-    this.planner = new TransactionPlanner(context, zones, wantPlacement);
+    this.planner = new TransactionPlanner(context, zoneConstraints, wantPlacement);
   }
 
   /** Schedules a flush once offers of several holders have been collected. */
@@ -156,11 +156,11 @@
     if (claim.committing || claim.loading || claim.released) {
       return;
     }
-    if (!claim.startable()) {
+    if (!claim.isStartable()) {
       declineAll(claim);
     }
     boolean finishing = !claim.open() && claim.liveAttempts.isEmpty();
-    Quotas.Quota quota = quotas.of(claim.spec.team());
+    Quotas.Quota quota = quotas.quotaOf(claim.spec.team());
     boolean returnsGrant = shouldReturnGrant(claim, quota);
     if (claim.offers.isEmpty() && claim.unrecordedEnds.isEmpty() && !finishing && !returnsGrant) {
       return;
@@ -206,7 +206,7 @@
   }
 
   private void write(Claim claim, PlannedTransaction plan, Quotas.Quota quota) {
-    String mark = context.store().newWriteId();
+    String writeId = context.store().newWriteId();
     int txnOps = context.settings().stateLimits().txnOps();
     Txn txn = new Txn().requireRevision(JobRecord.key(claim.id()), claim.revision);
     int doneAfter = claim.done;
@@ -219,11 +219,11 @@
     for (var entry : claim.chunks.entrySet()) {
       anyPlaced |= !plan.chunks().getOrDefault(entry.getKey(), entry.getValue()).placed.isEmpty();
     }
-    Status last = null;
+    Status finalStatus = null;
     if (claim.open() && doneAfter == claim.spec.tasks() && !claim.spec.service()) {
-      last = Status.DONE;
+      finalStatus = Status.DONE;
     } else if (!claim.open() && !anyPlaced) {
-      last = claim.record.status();
+      finalStatus = claim.record.status();
     }
     // A job with more chunks than one transaction can remove is emptied first, a few chunks at a
     // time.
@@ -242,14 +242,14 @@
     }
     JobRecord newRecord = null;
     List<Integer> removedChunks = new ArrayList<>();
-    int granted = last == null ? plan.granted() : 0;
-    if (last != null && fitsOneTransaction) {
-      txn.put(JobRecord.finalKey(claim.id()), JobRecord.finalToDocument(last, mark));
+    int granted = finalStatus == null ? plan.granted() : 0;
+    if (finalStatus != null && fitsOneTransaction) {
+      txn.put(JobRecord.finalKey(claim.id()), JobRecord.finalToDocument(finalStatus, writeId));
       txn.remove(JobRecord.key(claim.id()));
       claim.chunks.keySet().forEach(i -> txn.remove(Chunk.key(claim.id(), i)));
-    } else if (last != null) {
-      newRecord = claim.record.withStatus(last).withGranted(0);
-      txn.put(JobRecord.key(claim.id()), newRecord.toDocument(mark));
+    } else if (finalStatus != null) {
+      newRecord = claim.record.withStatus(finalStatus).withGranted(0);
+      txn.put(JobRecord.key(claim.id()), newRecord.toDocument(writeId));
       for (int i : claim.chunks.keySet()) {
         if (removedChunks.size() + 4 < txnOps) {
           removedChunks.add(i);
@@ -257,10 +257,11 @@
         }
       }
     } else {
-      plan.chunks().forEach((i, chunk) -> txn.put(Chunk.key(claim.id(), i), chunk.write(mark)));
+      plan.chunks()
+          .forEach((i, chunk) -> txn.put(Chunk.key(claim.id(), i), chunk.toDocument(writeId)));
       if (granted != claim.record.granted()) {
         newRecord = claim.record.withGranted(granted);
-        txn.put(JobRecord.key(claim.id()), newRecord.toDocument(mark));
+        txn.put(JobRecord.key(claim.id()), newRecord.toDocument(writeId));
       }
     }
     boolean grantChanged = quota != null && granted != claim.record.granted();
@@ -270,7 +271,8 @@
             : Resources.NONE;
     if (grantChanged) {
       quota.updating = true;
-      txn.requireRevision(quota.key(), quota.revision).put(quota.key(), Quotas.write(used, mark));
+      txn.requireRevision(quota.key(), quota.revision)
+          .put(quota.key(), Quotas.toDocument(used, writeId));
     }
     if (context.store().writeDelayS() > PRESSURE_THRESHOLD_S) {
       // The write may take longer than offers are valid, so holders are notified to keep them.
@@ -285,20 +287,20 @@
     }
     claim.committing = true;
     claim.startsInFlight = plan.starts().size();
-    Status finalStatus = last;
+    Status committedStatus = finalStatus;
     JobRecord record = newRecord;
     context
         .store()
         .commit(
             txn,
-            mark,
+            writeId,
             urgency(claim),
             result -> {
               claim.committing = false;
               claim.startsInFlight = 0;
               if (result.ok()) {
                 if (grantChanged) {
-                  quotas.applyUpdate(quota, Quotas.write(used, mark), result.revision());
+                  quotas.applyUpdate(quota, Quotas.toDocument(used, writeId), result.revision());
                 }
                 // The decision lock contains failures, so that the quota is released in any case.
                 context
@@ -308,10 +310,10 @@
                             committed(
                                 claim,
                                 plan,
-                                finalStatus,
+                                committedStatus,
                                 record,
                                 removedChunks,
-                                mark,
+                                writeId,
                                 result.revision()));
               } else if (!claim.released) {
                 commitRejected(claim, plan, result);
@@ -338,18 +340,18 @@
   }
 
   /** Whether the condition that a machine's hold is unchanged since this version has failed. */
-  private static boolean holdConditionFailed(Set<String> failed, String host, long stamp) {
+  private static boolean isHoldConditionFailed(Set<String> failed, String host, long revision) {
     return failed.contains(HoldTable.key(host))
-        || stamp < 0 && failed.contains(HoldTable.ROSTER_KEY);
+        || revision < 0 && failed.contains(HoldTable.ROSTER_KEY);
   }
 
   private void committed(
       Claim claim,
       PlannedTransaction plan,
-      Status last,
+      Status finalStatus,
       JobRecord newRecord,
       List<Integer> removedChunks,
-      String mark,
+      String writeId,
       long revision) {
     for (EndedAttempt ended : plan.ends()) {
       if (ended.outcome() == AttemptOutcome.LOST) {
@@ -372,9 +374,9 @@
         }
       }
     }
-    if (last != null && newRecord == null) {
+    if (finalStatus != null && newRecord == null) {
       // The replica may have applied the end before the response arrived.
-      claims.jobFinished(claim, last, revision);
+      claims.jobFinished(claim, finalStatus, revision);
       return;
     }
     if (claim.released) {
@@ -383,14 +385,14 @@
     }
     for (PlannedStart start : plan.starts()) {
       Message.Offer offer = start.receivedOffer().offer();
-      if (!claim.startable()) {
+      if (!claim.isStartable()) {
         // The job was cancelled during the write: the attempt is never started, and its holder will
-        // deny it when probed.
+        // deny it when queried.
         decline(start.receivedOffer());
         continue;
       }
       if (claim.strays.blocks(start.number())) {
-        // The placement is recorded but never started; its holder denies the attempt when probed,
+        // The placement is recorded but never started; its holder denies the attempt when queried,
         // and the task is placed again.
         context
             .safety()
@@ -409,7 +411,7 @@
       LOG.log(
           Level.DEBUG,
           "placed task {0}/{1} on {2}: attempt {3}, term {4}, offer from {5}, token {6}, session {7},"
-              + " hold stamp {8}",
+              + " hold revision {8}",
           claim.id(),
           start.number(),
           offer.host(),
@@ -441,9 +443,9 @@
         claim.record = newRecord;
         claim.revision = revision;
       }
-      context.jobs().applyOwnWrite(claim.id(), newRecord, mark, revision);
+      context.jobs().applyOwnWrite(claim.id(), newRecord, writeId, revision);
     }
-    if (last != null) {
+    if (finalStatus != null) {
       removedChunks.forEach(claim.chunks::remove);
       claim.clearLiveAttempts();
       flush(claim);
@@ -451,7 +453,7 @@
     }
     plan.chunks().forEach((i, chunk) -> claim.installChunk(i, chunk.copy(revision)));
     double now = context.now();
-    plan.starts().forEach(start -> claim.liveAttempts.get(start.number()).probedAt = now);
+    plan.starts().forEach(start -> claim.liveAttempts.get(start.number()).queriedAt = now);
     if (!plan.starts().isEmpty()) {
       wantPlacement.resetReach(claim, now);
     }
@@ -486,7 +488,7 @@
     for (PlannedStart start : plan.starts()) {
       if (jobFailed
           || chunkFailed
-          || holdConditionFailed(
+          || isHoldConditionFailed(
               failed, start.placement().host(), start.receivedOffer().offer().holdRevision())) {
         decline(start.receivedOffer());
       } else {
@@ -496,7 +498,7 @@
     for (EndedAttempt ended : plan.ends()) {
       boolean proofInvalid =
           ended.conditional()
-              && holdConditionFailed(failed, ended.placement().host(), ended.holdRevision());
+              && isHoldConditionFailed(failed, ended.placement().host(), ended.holdRevision());
       LiveAttempt attempt = claim.liveAttempts.get(ended.number());
       if (proofInvalid && attempt != null) {
         // Checks the attempt again, because the change of the hold may prove its end as well: a
--- a/src/main/java/dev/dunefront/claim/Claims.java
+++ b/src/main/java/dev/dunefront/claim/Claims.java
@@ -73,8 +73,9 @@
             turnover);
     claimWriter =
         new ClaimWriter(context, quotas, zoneConstraints, wantPlacement, machineTable, this);
-    AttemptTermination ends = new AttemptTermination(context, machineTable, ranking, turnover);
-    reconciliation = new Reconciliation(context, machineTable, claimWriter, ends);
+    AttemptTermination attemptTermination =
+        new AttemptTermination(context, machineTable, ranking, turnover);
+    reconciliation = new Reconciliation(context, machineTable, claimWriter, attemptTermination);
     takeover = new Takeover(context, this);
     loader = new ClaimLoader(context, this, reconciliation);
     admission = new ClaimAdmission(context, machineTable);
@@ -112,9 +113,10 @@
   }
 
   /** Whether a claimed job of this equivalence class has not started yet. */
-  boolean hasUnstartedEquivalent(SearchThrottle.EquivalenceClass shape) {
+  boolean hasUnstartedEquivalent(SearchThrottle.EquivalenceClass equivalenceClass) {
     for (Claim claim : claims.values()) {
-      if (claim.equivalenceClass.equals(shape) && !StartEscalation.startedOrClosed(claim)) {
+      if (claim.equivalenceClass.equals(equivalenceClass)
+          && !StartEscalation.isStartedOrClosed(claim)) {
         return true;
       }
     }
@@ -132,9 +134,9 @@
    * the response to the write arrived. With the written version the claim would wait forever for a
    * change that has already been applied, and the cancellation would never complete.
    *
-   * @param fresh whether no task of the job can have been placed yet
+   * @param neverPlaced whether no task of the job can have been placed yet
    */
-  public void adopt(String id, boolean fresh) {
+  public void adopt(String id, boolean neverPlaced) {
     JobTable.Entry entry = context.jobs().get(id);
     if (claims.containsKey(id)
         || entry == null
@@ -148,7 +150,7 @@
     reconciliation.claimStarted(claim);
     takeover.adopted(claim.id());
     statistics.forgetRemote(claim.id());
-    if (fresh) {
+    if (neverPlaced) {
       reevaluate(claim);
     } else {
       loader.load(claim);
@@ -172,7 +174,7 @@
   /** Handles the notice that another controller has recorded the job's cancellation. */
   public void jobCancelled(String id) {
     Claim claim = claims.get(id);
-    if (claim != null && claim.startable()) {
+    if (claim != null && claim.isStartable()) {
       claim.endRequested = true;
       wantPlacement.withdrawWants(claim);
       claimWriter.declineAll(claim);
@@ -235,8 +237,9 @@
 
   public void received(String from, Message message) {
     if (message instanceof MachineView view) {
-      MachineTable.Entry old = machineTable.put(from, view, context.now());
-      if (old != null && (!old.holder().equals(from) || old.view().token() != view.token())) {
+      MachineTable.Entry previous = machineTable.put(from, view, context.now());
+      if (previous != null
+          && (!previous.holder().equals(from) || previous.view().token() != view.token())) {
         wantsLost(view.host());
       }
       reconciliation.viewReceived(machineTable.get(view.host()), claims);
@@ -270,7 +273,7 @@
     // While the state service is unavailable, a kept offer would only block capacity for others.
     if (claim == null
         || claim.loading
-        || !claim.startable()
+        || !claim.isStartable()
         || context.store().unavailable()
         || !context.standstill().current()) {
       context.peers().send(from, new Message.DeclineOffer(offer.offerId(), offer.host()));
@@ -332,12 +335,12 @@
   }
 
   private void reevaluateAll() {
-    List<Claim> all = new ArrayList<>(claims.values());
-    all.sort(
+    List<Claim> ordered = new ArrayList<>(claims.values());
+    ordered.sort(
         Comparator.comparing((Claim claim) -> claim.spec.priority())
             .thenComparing(claim -> claim.record.acceptedMs()));
-    SearchThrottle.throttle(all);
-    all.forEach(claim -> context.decisionLock().run(() -> reevaluate(claim)));
+    SearchThrottle.throttle(ordered);
+    ordered.forEach(claim -> context.decisionLock().run(() -> reevaluate(claim)));
   }
 
   void reevaluate(Claim claim) {
@@ -362,7 +365,7 @@
           .decisionLock()
           .run(
               () -> {
-                if (!claim.startable() && !claim.loading) {
+                if (!claim.isStartable() && !claim.loading) {
                   stopAllAttempts(claim, now);
                 }
                 reconciliation.recheckMissing(claim);
@@ -375,7 +378,7 @@
 
   /** Logs once that a job has not started within the configured time. */
   private void logIfStartOverdue(Claim claim) {
-    if (claim.overdueLogged || claim.loading || StartEscalation.startedOrClosed(claim)) {
+    if (claim.overdueLogged || claim.loading || StartEscalation.isStartedOrClosed(claim)) {
       return;
     }
     double ageS = claim.ageS(context.timers().wallClockMs());
--- a/src/main/java/dev/dunefront/claim/IdleCapacity.java
+++ b/src/main/java/dev/dunefront/claim/IdleCapacity.java
@@ -29,9 +29,9 @@
   private double idleCpuAt = Double.NEGATIVE_INFINITY;
   private long idleCpu;
 
-  IdleCapacity(ControllerContext context, MachineTable room) {
+  IdleCapacity(ControllerContext context, MachineTable machineTable) {
     this.context = context;
-    this.machineTable = room;
+    this.machineTable = machineTable;
   }
 
   /**
@@ -47,11 +47,11 @@
       idleCpu = freeCpu() - expectedCpu();
     }
     int controllers = Math.max(1, context.membership().liveNodes().size());
-    long part = Math.max(0, idleCpu) / controllers;
+    long share = Math.max(0, idleCpu) / controllers;
     return (int)
         Math.min(
             Integer.MAX_VALUE,
-            (part + spec.taskResources().cpu() - 1) / spec.taskResources().cpu());
+            (share + spec.taskResources().cpu() - 1) / spec.taskResources().cpu());
   }
 
   private long freeCpu() {
--- a/src/main/java/dev/dunefront/claim/JobStatistics.java
+++ b/src/main/java/dev/dunefront/claim/JobStatistics.java
@@ -19,8 +19,8 @@
   private final ControllerContext context;
   private final Map<String, Claim> claims;
   private final Quotas quotas;
-  private final ZoneConstraints zones;
-  private final MachineTable room;
+  private final ZoneConstraints zoneConstraints;
+  private final MachineTable machineTable;
 
   /** Latest task counts received for jobs that other controllers have claimed. */
   private final Map<String, Counts> remoteCounts = new HashMap<>();
@@ -32,13 +32,13 @@
       ControllerContext context,
       Map<String, Claim> claims,
       Quotas quotas,
-      ZoneConstraints zones,
-      MachineTable room) {
+      ZoneConstraints zoneConstraints,
+      MachineTable machineTable) {
     this.context = context;
     this.claims = claims;
     this.quotas = quotas;
-    this.zones = zones;
-    this.room = room;
+    this.zoneConstraints = zoneConstraints;
+    this.machineTable = machineTable;
   }
 
   /** Discards the counts received for a job that is now claimed here or has ended. */
@@ -139,34 +139,34 @@
    * The demand of this controller's claims for capacity, and the machines without a usable view.
    */
   public Message.Demand demand() {
-    List<Message.PendingTasks> waiting = new ArrayList<>();
+    List<Message.PendingTasks> pending = new ArrayList<>();
     Map<SearchThrottle.EquivalenceClass, Integer> firstIndexes = new HashMap<>();
     Map<SearchThrottle.EquivalenceClass, Integer> throttledTasks = new HashMap<>();
     double now = context.now();
     for (Claim claim : claims.values()) {
       int tasks = claim.unstarted();
-      Quotas.Quota quota = quotas.of(claim.spec.team());
+      Quotas.Quota quota = quotas.quotaOf(claim.spec.team());
       if (quota != null) {
         tasks = Math.min(tasks, claim.startsAllowed(quota));
       }
-      if (tasks > 0 && !claim.suspectedFaulty() && now >= claim.notBefore) {
+      if (tasks > 0 && !claim.isSuspectedFaulty() && now >= claim.notBefore) {
         Map<String, Integer> remainingByZone =
-            zones.remainingTasks(claim, context.catalog().zones());
+            zoneConstraints.remainingTasks(claim, context.catalog().zones());
         if (claim.searchThrottled && remainingByZone.isEmpty()) {
           // Added below to the first equivalent job that is listed.
           throttledTasks.merge(claim.equivalenceClass, tasks, Integer::sum);
         } else {
-          waiting.add(new Message.PendingTasks(claim.id(), tasks, remainingByZone));
-          firstIndexes.putIfAbsent(claim.equivalenceClass, waiting.size() - 1);
+          pending.add(new Message.PendingTasks(claim.id(), tasks, remainingByZone));
+          firstIndexes.putIfAbsent(claim.equivalenceClass, pending.size() - 1);
         }
       }
     }
     throttledTasks.forEach(
-        (shape, tasks) -> {
-          Integer firstIndex = firstIndexes.get(shape);
+        (equivalenceClass, tasks) -> {
+          Integer firstIndex = firstIndexes.get(equivalenceClass);
           if (firstIndex != null) {
-            Message.PendingTasks first = waiting.get(firstIndex);
-            waiting.set(
+            Message.PendingTasks first = pending.get(firstIndex);
+            pending.set(
                 firstIndex,
                 new Message.PendingTasks(first.job(), first.count() + tasks, first.roomByZone()));
           }
@@ -176,7 +176,7 @@
       Set<String> hosts = new HashSet<>(claim.hosts());
       hosts.addAll(claim.strays.hosts());
       for (String host : hosts) {
-        MachineTable.Entry machine = room.get(host);
+        MachineTable.Entry machine = machineTable.get(host);
         // Until its worker has reported under the holder's token, the holder cannot prove by its
         // own clock that a lease has expired.
         if (machine == null
@@ -185,6 +185,6 @@
         }
       }
     }
-    return new Message.Demand(waiting, List.copyOf(hostsWithoutView));
+    return new Message.Demand(pending, List.copyOf(hostsWithoutView));
   }
 }
--- a/src/main/java/dev/dunefront/claim/MachineTable.java
+++ b/src/main/java/dev/dunefront/claim/MachineTable.java
@@ -28,7 +28,7 @@
    */
   public record Entry(
       String holder, MachineView view, Kind kind, int tieBreaker, double receivedAt) {
-    /** Whether the machine is open and has free capacity. */
+    /** Whether the machine is schedulable and has free capacity. */
     public boolean hasFreeCapacity() {
       return view.hasFreeCapacity();
     }
@@ -43,29 +43,29 @@
 
   /** Stores a view unless it is older than the known one; returns the previous entry or null. */
   Entry put(String holder, MachineView view, double now) {
-    Entry old = machines.get(view.host());
-    if (old != null && old.view.token() > view.token()) {
+    Entry previous = machines.get(view.host());
+    if (previous != null && previous.view.token() > view.token()) {
       // An outdated view from a former holder.
-      return old;
+      return previous;
     }
-    Kind kind = old != null ? old.kind : kind(view);
-    int tieBreaker = old != null ? old.tieBreaker : view.host().hashCode() * 0x9E3779B9;
+    Kind kind = previous != null ? previous.kind : kind(view);
+    int tieBreaker = previous != null ? previous.tieBreaker : view.host().hashCode() * 0x9E3779B9;
     Entry current = new Entry(holder, view, kind, tieBreaker, now);
     machines.put(view.host(), current);
-    if (old == null) {
+    if (previous == null) {
       counts.set(kind.index, counts.get(kind.index) + 1);
     }
     if (current.hasFreeCapacity()) {
-      Entry previous = withFreeCapacity.put(view.host(), current);
-      if (previous == null
-          || view.free().cpu() > previous.view.free().cpu()
-          || view.free().ram() > previous.view.free().ram()) {
+      Entry previousFree = withFreeCapacity.put(view.host(), current);
+      if (previousFree == null
+          || view.free().cpu() > previousFree.view.free().cpu()
+          || view.free().ram() > previousFree.view.free().ram()) {
         capacityIncreases++;
       }
     } else {
       withFreeCapacity.remove(view.host());
     }
-    return old;
+    return previous;
   }
 
   private Kind kind(MachineView view) {
@@ -81,26 +81,26 @@
 
   /** Removes a machine if it is held by this holder; returns whether it was. */
   boolean remove(String holder, String host) {
-    Entry old = machines.get(host);
-    if (old == null || !old.holder.equals(holder)) {
+    Entry entry = machines.get(host);
+    if (entry == null || !entry.holder.equals(holder)) {
       return false;
     }
     machines.remove(host);
     withFreeCapacity.remove(host);
-    counts.set(old.kind.index, counts.get(old.kind.index) - 1);
+    counts.set(entry.kind.index, counts.get(entry.kind.index) - 1);
     return true;
   }
 
   /** Removes all machines of a holder and returns their names. */
   List<String> removeAll(String holder) {
-    List<String> gone = new ArrayList<>();
+    List<String> hosts = new ArrayList<>();
     for (Entry machine : machines.values()) {
       if (machine.holder.equals(holder)) {
-        gone.add(machine.view.host());
+        hosts.add(machine.view.host());
       }
     }
-    gone.forEach(host -> remove(holder, host));
-    return gone;
+    hosts.forEach(host -> remove(holder, host));
+    return hosts;
   }
 
   /** The entry of a machine; null if unknown. */
@@ -112,7 +112,7 @@
     return machines.values();
   }
 
-  /** Open machines with any free capacity. */
+  /** Schedulable machines with any free capacity. */
   Collection<Entry> withFreeCapacity() {
     return withFreeCapacity.values();
   }
--- a/src/main/java/dev/dunefront/claim/PreemptionRequests.java
+++ b/src/main/java/dev/dunefront/claim/PreemptionRequests.java
@@ -27,8 +27,8 @@
   /** Additional time until tasks that save their state have stopped. */
   private static final double CHECKPOINT_EXTRA_S = 4;
 
-  /** How long a view's count of recently started tasks is valid. */
-  private static final double YOUNG_COUNT_VALID_S = 15;
+  /** How long a view's count of preemptible tasks is valid. */
+  private static final double PREEMPTIBLE_COUNT_VALID_S = 15;
 
   private final ControllerContext context;
   private final CapacitySubscription subscription;
@@ -38,20 +38,20 @@
 
   PreemptionRequests(
       ControllerContext context,
-      CapacitySubscription interest,
-      DeadlineRanking urgencies,
-      CandidateSelection choosing,
+      CapacitySubscription subscription,
+      DeadlineRanking ranking,
+      CandidateSelection candidateSelection,
       Turnover turnover) {
     this.context = context;
-    this.subscription = interest;
-    this.ranking = urgencies;
-    this.candidateSelection = choosing;
+    this.subscription = subscription;
+    this.ranking = ranking;
+    this.candidateSelection = candidateSelection;
     this.turnover = turnover;
   }
 
-  private static boolean noneYielding(List<Candidate> candidates) {
+  private static boolean nonePreemptible(List<Candidate> candidates) {
     for (Candidate candidate : candidates) {
-      if (candidate.full() && candidate.machine().view().preemptibleBestEffort() > 0) {
+      if (candidate.isFull() && candidate.machine().view().preemptibleBestEffort() > 0) {
         return false;
       }
     }
@@ -74,15 +74,16 @@
       return;
     }
     // Preemptions requested recently are still pending.
-    boolean yielding = !noneYielding(candidates);
-    if (now - claim.preemptedAt >= REQUEST_PENDING_S + (yielding ? CHECKPOINT_EXTRA_S : 0)) {
+    boolean bestEffortPreemptible = !nonePreemptible(candidates);
+    if (now - claim.preemptedAt
+        >= REQUEST_PENDING_S + (bestEffortPreemptible ? CHECKPOINT_EXTRA_S : 0)) {
       claim.preemptionsRequested = 0;
     }
     int need = wanted;
     for (Candidate candidate : candidates) {
       need -= candidate.hasRoom() ? candidate.freeSlots() : 0;
     }
-    if (priority.urgent() && !yielding) {
+    if (priority.urgent() && !bestEffortPreemptible) {
       double ageS = claim.ageS(context.timers().wallClockMs());
       // Machines that free capacity usually have to fetch the image first.
       double leftS =
@@ -96,7 +97,7 @@
     }
     need -= claim.preemptionsRequested;
     if (need > 0 && priority.urgent()) {
-      // Counts of recently started tasks are only sent to subscribers of the LOAD level.
+      // Counts of preemptible tasks of every priority are only sent at FULL detail.
       double reliableAt = subscription.require(ViewDetail.FULL);
       if (now < reliableAt) {
         claim.nextFullScanAt = Math.min(claim.nextFullScanAt, reliableAt);
@@ -110,14 +111,14 @@
       }
       // Jobs that are not urgent preempt best-effort tasks only, whose count does not expire.
       boolean countValid =
-          now - candidate.machine().receivedAt() < YOUNG_COUNT_VALID_S && priority.urgent();
+          now - candidate.machine().receivedAt() < PREEMPTIBLE_COUNT_VALID_S && priority.urgent();
       MachineView view = candidate.machine().view();
       int count =
           Math.min(
               candidate.emptySlots(),
               countValid ? view.preemptibleBelow(priority) : view.preemptibleBestEffort());
       count = Math.min(need, count);
-      if (candidate.full() && count > 0) {
+      if (candidate.isFull() && count > 0) {
         need -= count;
         claim.preemptionsRequested += count;
         claim.preemptedAt = now;
--- a/src/main/java/dev/dunefront/claim/Quotas.java
+++ b/src/main/java/dev/dunefront/claim/Quotas.java
@@ -37,14 +37,14 @@
 
     /** How many more tasks of this size the limit allows. */
     int remainingTasks(Resources size) {
-      long n = Integer.MAX_VALUE;
+      long tasks = Integer.MAX_VALUE;
       if (team.cpusMax() > 0 && size.cpu() > 0) {
-        n = Math.min(n, (Math.round(team.cpusMax() * 1e6) - used.cpu()) / size.cpu());
+        tasks = Math.min(tasks, (Math.round(team.cpusMax() * 1e6) - used.cpu()) / size.cpu());
       }
       if (team.gpusMax() > 0 && size.gpu() > 0) {
-        n = Math.min(n, (Math.round(team.gpusMax() * 1e6) - used.gpu()) / size.gpu());
+        tasks = Math.min(tasks, (Math.round(team.gpusMax() * 1e6) - used.gpu()) / size.gpu());
       }
-      return (int) Math.max(0, n);
+      return (int) Math.max(0, tasks);
     }
 
     /** Ends an update and runs waiters until one of them starts the next. */
@@ -68,14 +68,14 @@
     }
     replica.addListener(
         PREFIX,
-        (team, value, stamp) -> {
+        (team, value, revision) -> {
           Quota quota = byTeam.get(team);
           if (quota == null || value == null) {
             return;
           }
           try {
             quota.used = new Resources(value.count("cpu"), value.count("gpu"), 0);
-            quota.revision = stamp;
+            quota.revision = revision;
           } catch (MalformedMessageException e) {
             throw new IllegalStateException("quota record " + team + " cannot be read", e);
           }
@@ -84,19 +84,19 @@
   }
 
   /** The team's quota, or null if it has no limit. */
-  Quota of(String team) {
+  Quota quotaOf(String team) {
     return byTeam.get(team);
   }
 
-  static Document write(Resources used, String mark) {
+  static Document toDocument(Resources used, String writeId) {
     return Document.create()
         .put("cpu", used.cpu())
         .put("gpu", used.gpu())
-        .put(StateStore.WRITE_ID_FIELD, mark);
+        .put(StateStore.WRITE_ID_FIELD, writeId);
   }
 
   /** Applies a value of the team's record that was read or written here to the replica. */
-  void applyUpdate(Quota quota, Document value, long stamp) {
-    replica.apply(quota.key(), value, stamp);
+  void applyUpdate(Quota quota, Document value, long revision) {
+    replica.apply(quota.key(), value, revision);
   }
 }
--- a/src/main/java/dev/dunefront/claim/Reconciliation.java
+++ b/src/main/java/dev/dunefront/claim/Reconciliation.java
@@ -22,8 +22,8 @@
 final class Reconciliation {
   private static final System.Logger LOG = System.getLogger(Reconciliation.class.getName());
 
-  /** Interval between probes for an attempt that is missing from its holder's views. */
-  private static final double PROBE_RETRY_S = 1.5;
+  /** Interval between queries for an attempt that is missing from its holder's views. */
+  private static final double QUERY_RETRY_S = 1.5;
 
   private final ControllerContext context;
   private final MachineTable machineTable;
@@ -33,11 +33,14 @@
   private final UnclaimedJobHosts unclaimedJobHosts = new UnclaimedJobHosts();
 
   Reconciliation(
-      ControllerContext context, MachineTable room, ClaimWriter recorder, AttemptTermination ends) {
+      ControllerContext context,
+      MachineTable machineTable,
+      ClaimWriter claimWriter,
+      AttemptTermination attemptTermination) {
     this.context = context;
-    this.machineTable = room;
-    this.claimWriter = recorder;
-    this.attemptTermination = ends;
+    this.machineTable = machineTable;
+    this.claimWriter = claimWriter;
+    this.attemptTermination = attemptTermination;
     this.strayTermination = new StrayTermination(context);
   }
 
@@ -69,7 +72,7 @@
     claim.hostsToCompare.addAll(unclaimedJobHosts.take(claim.id()));
   }
 
-  /** Stops tracking the strays of a released claim; the next claim owner sees them in its views. */
+  /** Stops tracking the strays of a released claim; the next claimant sees them in its views. */
   void claimEnded(Claim claim) {
     strayTermination.claimEnded(claim);
   }
@@ -133,8 +136,8 @@
       attemptTermination.recordEnd(claim, number, live, proof);
     } else if (reported != null) {
       updateState(claim, number, live, reported, view.host());
-    } else if (view.tokenAcknowledged() && context.now() - live.probedAt > PROBE_RETRY_S) {
-      live.probedAt = context.now();
+    } else if (view.tokenAcknowledged() && context.now() - live.queriedAt > QUERY_RETRY_S) {
+      live.queriedAt = context.now();
       long attempt = live.placement.attempt();
       context
           .peers()
--- a/src/main/java/dev/dunefront/claim/StartEscalation.java
+++ b/src/main/java/dev/dunefront/claim/StartEscalation.java
@@ -31,12 +31,12 @@
   /**
    * The stage that a job's age calls for.
    *
-   * @param begun whether a task of the job was ever placed
+   * @param started whether a task of the job was ever placed
    * @param ageS its age in seconds
    * @param boundS time within which jobs must start, in seconds
    */
-  static Stage stageAtAge(boolean begun, double ageS, double boundS) {
-    if (begun || ageS < boundS * WITHIN_PRIORITY_FRACTION) {
+  static Stage stageAtAge(boolean started, double ageS, double boundS) {
+    if (started || ageS < boundS * WITHIN_PRIORITY_FRACTION) {
       return Stage.NONE;
     }
     return ageS < boundS * ACROSS_PRIORITIES_FRACTION
@@ -49,7 +49,7 @@
    * Stage#ACROSS_PRIORITIES}; others that are due for it stay in {@link Stage#WITHIN_PRIORITY}.
    */
   Stage updateStage(Claim claim, double ageS, double boundS, double now) {
-    Stage stage = stageAtAge(startedOrClosed(claim), ageS, boundS);
+    Stage stage = stageAtAge(isStartedOrClosed(claim), ageS, boundS);
     if (escalated == claim && stage != Stage.ACROSS_PRIORITIES) {
       escalated = null;
     }
@@ -59,7 +59,7 @@
     if (escalated != claim
         && (escalated == null
             || escalated.released
-            || startedOrClosed(escalated)
+            || isStartedOrClosed(escalated)
             || now - escalatedAt > ROTATION_S)) {
       escalated = claim;
       escalatedAt = now;
@@ -68,7 +68,7 @@
   }
 
   /** Whether a task of the job is placed or done, or the job is no longer open. */
-  static boolean startedOrClosed(Claim claim) {
+  static boolean isStartedOrClosed(Claim claim) {
     return !claim.doneOrPlaced.isEmpty() || !claim.open();
   }
 }
--- a/src/main/java/dev/dunefront/claim/StrayTermination.java
+++ b/src/main/java/dev/dunefront/claim/StrayTermination.java
@@ -74,11 +74,11 @@
   }
 
   private void remove(Claim claim, String host, IntPredicate gone) {
-    int forgotten = claim.strays.remove(host, gone);
-    if (forgotten > 0) {
-      context.safety().straysResolved(forgotten);
+    int removed = claim.strays.remove(host, gone);
+    if (removed > 0) {
+      context.safety().straysResolved(removed);
       LOG.log(
-          Level.INFO, "{0} stray attempts of job {1} on {2} are gone", forgotten, claim.id(), host);
+          Level.INFO, "{0} stray attempts of job {1} on {2} are gone", removed, claim.id(), host);
     }
   }
 
@@ -86,8 +86,8 @@
   private void stop(Claim claim, MachineTable.Entry machine) {
     String host = machine.view().host();
     for (Strays.Stray stray : claim.strays.onHost(host).values()) {
-      if (context.now() - stray.stoppedAt > STOP_RETRY_S) {
-        stray.stoppedAt = context.now();
+      if (context.now() - stray.stopSentAt > STOP_RETRY_S) {
+        stray.stopSentAt = context.now();
         long term = claim.record.term();
         context
             .peers()
--- a/src/main/java/dev/dunefront/claim/Strays.java
+++ b/src/main/java/dev/dunefront/claim/Strays.java
@@ -17,7 +17,7 @@
     final int number;
     final long attempt;
     final long session;
-    double stoppedAt = Double.NEGATIVE_INFINITY;
+    double stopSentAt = Double.NEGATIVE_INFINITY;
 
     Stray(int number, long attempt, long session) {
       this.number = number;
--- a/src/main/java/dev/dunefront/claim/Takeover.java
+++ b/src/main/java/dev/dunefront/claim/Takeover.java
@@ -17,8 +17,8 @@
 import java.util.Set;
 
 /**
- * Claims jobs that have no claim or whose claim owner is no longer alive. All live controllers
- * compute the same order of preference for a job from its id and the set of live nodes (rendezvous
+ * Claims jobs that have no claim or whose claimant is no longer alive. All live controllers compute
+ * the same order of preference for a job from its id and the set of live nodes (rendezvous
  * hashing), so hundreds of claims that lapse at once are distributed without a coordinator and
  * without additional writes. The first node in the order claims the job immediately, by priority
  * and in batches. Each following node waits as long as the nodes before it are seen to make
@@ -73,8 +73,8 @@
    *
    * @param progress when each controller was last seen to take over a job
    */
-  static List<String> claimable(List<UnownedJob> lapsed, Map<String, Double> progress, double now) {
-    return lapsed.stream()
+  static List<String> claimable(List<UnownedJob> jobs, Map<String, Double> progress, double now) {
+    return jobs.stream()
         .filter(job -> now >= claimableFrom(job, progress))
         .sorted(Comparator.comparing(UnownedJob::priority).thenComparing(UnownedJob::revision))
         .map(UnownedJob::id)
@@ -105,10 +105,10 @@
 
   /** Records the progress of a controller that has taken over a job from another one. */
   void jobChanged(JobTable.Entry before, JobTable.Entry entry) {
-    String previousClaim = before == null ? null : before.record().claimant();
-    String newClaim = entry == null ? null : entry.record().claimant();
-    if (previousClaim != null && newClaim != null && !newClaim.equals(previousClaim)) {
-      lastTakeoverAt.put(Membership.nodeOf(newClaim), context.now());
+    String previousClaimant = before == null ? null : before.record().claimant();
+    String newClaimant = entry == null ? null : entry.record().claimant();
+    if (previousClaimant != null && newClaimant != null && !newClaimant.equals(previousClaimant)) {
+      lastTakeoverAt.put(Membership.nodeOf(newClaimant), context.now());
     }
   }
 
@@ -126,9 +126,9 @@
     List<JobTable.Entry> unadopted = new ArrayList<>();
     Set<String> found = new HashSet<>();
     for (JobTable.Entry entry : context.jobs().all()) {
-      String claim = entry.record().claimant();
+      String claimant = entry.record().claimant();
       String id = entry.record().spec().id();
-      if (claim == null || !context.membership().alive(claim)) {
+      if (claimant == null || !context.membership().alive(claimant)) {
         unowned.put(id, entry);
         found.add(id);
       } else if (entry.record().isClaimedBy(self) && !claims.has(id) && !claiming.contains(id)) {
@@ -181,13 +181,13 @@
         // A job that was never claimed is claimed only within this controller's share, unless its
         // start is overdue: one huge job may fill the shares of all controllers. An overdue job is
         // not claimed behind an equivalent one that waits here, as it would have to wait as well.
-        SearchThrottle.EquivalenceClass shape =
+        SearchThrottle.EquivalenceClass equivalenceClass =
             SearchThrottle.EquivalenceClass.of(entry.record().spec());
-        if (!refused.contains(shape) && claims.admits(entry.record().spec())
-            || startOverdue(entry) && !claims.hasUnstartedEquivalent(shape)) {
+        if (!refused.contains(equivalenceClass) && claims.admits(entry.record().spec())
+            || startOverdue(entry) && !claims.hasUnstartedEquivalent(equivalenceClass)) {
           write(List.of(entry));
         } else {
-          refused.add(shape);
+          refused.add(equivalenceClass);
         }
       } else if (!writeInFlight && batch.size() < MAX_BATCH_JOBS) {
         // One batch at a time, so that the next one excludes jobs claimed by others meanwhile.
@@ -227,31 +227,31 @@
 
   private void write(List<JobTable.Entry> batch) {
     String self = context.membership().ownIncarnation();
-    String mark = context.store().newWriteId();
+    String writeId = context.store().newWriteId();
     Txn txn = new Txn();
-    Map<String, JobRecord> next = new HashMap<>();
+    Map<String, JobRecord> newRecords = new HashMap<>();
     for (JobTable.Entry entry : batch) {
       JobRecord record = entry.record().withClaimant(self);
       String id = record.spec().id();
-      next.put(id, record);
+      newRecords.put(id, record);
       claiming.add(id);
       txn.requireRevision(JobRecord.key(id), entry.revision())
-          .put(JobRecord.key(id), record.toDocument(mark));
+          .put(JobRecord.key(id), record.toDocument(writeId));
     }
     context
         .store()
         .commit(
             txn,
-            mark,
+            writeId,
             result -> {
               if (!self.equals(context.membership().ownIncarnation())) {
                 return;
               }
-              claiming.removeAll(next.keySet());
+              claiming.removeAll(newRecords.keySet());
               if (!result.ok()) {
                 return;
               }
-              next.forEach(
+              newRecords.forEach(
                   (id, record) -> {
                     LOG.log(
                         Level.INFO,
@@ -259,7 +259,7 @@
                         id,
                         record.term(),
                         result.revision());
-                    context.jobs().applyOwnWrite(id, record, mark, result.revision());
+                    context.jobs().applyOwnWrite(id, record, writeId, result.revision());
                     claims.adopt(id, false);
                   });
             });
--- a/src/main/java/dev/dunefront/claim/TransactionPlanner.java
+++ b/src/main/java/dev/dunefront/claim/TransactionPlanner.java
@@ -33,9 +33,9 @@
   private final WantPlacement wantPlacement;
 
   TransactionPlanner(
-      ControllerContext context, ZoneConstraints zones, WantPlacement wantPlacement) {
+      ControllerContext context, ZoneConstraints zoneConstraints, WantPlacement wantPlacement) {
     this.context = context;
-    this.zoneConstraints = zones;
+    this.zoneConstraints = zoneConstraints;
     this.wantPlacement = wantPlacement;
   }
 
@@ -71,7 +71,7 @@
     Map<Integer, Chunk> chunks = new TreeMap<>();
     List<EndedAttempt> ends = new ArrayList<>();
     List<PlannedStart> starts = new ArrayList<>();
-    Map<String, Long> holdStamps = new HashMap<>();
+    Map<String, Long> holdRevisions = new HashMap<>();
     List<EndedAttempt> pending = List.copyOf(claim.unrecordedEnds);
     claim.unrecordedEnds.clear();
     for (EndedAttempt ended : pending) {
@@ -85,8 +85,10 @@
       // Proofs that exceed the transaction's limits are left for the next one: all machines of a
       // zone may be lost at once, and an oversized transaction would be rejected on every retry.
       if (!chunks.containsKey(index) && chunks.size() >= maxChunks
-          || ended.conditional() && holdStamps.size() >= maxHosts && !holdStamps.containsKey(host)
-          || ended.conditional() && !addCondition(holdStamps, host, ended.holdRevision())) {
+          || ended.conditional()
+              && holdRevisions.size() >= maxHosts
+              && !holdRevisions.containsKey(host)
+          || ended.conditional() && !addCondition(holdRevisions, host, ended.holdRevision())) {
         claim.unrecordedEnds.add(ended);
         continue;
       }
@@ -113,7 +115,7 @@
     int maxBytes = (int) (context.settings().stateLimits().valueKb() * 1024);
     int number = 0;
     int maxStarts =
-        claim.suspectedFaulty() ? Math.max(0, 1 - claim.liveAttempts.size()) : Integer.MAX_VALUE;
+        claim.isSuspectedFaulty() ? Math.max(0, 1 - claim.liveAttempts.size()) : Integer.MAX_VALUE;
     List<String> startHosts = new ArrayList<>();
     List<ReceivedOffer> offers = List.copyOf(claim.offers);
     List<ReceivedOffer> kept = new ArrayList<>();
@@ -123,7 +125,7 @@
         declined.accept(received);
         continue;
       }
-      if (holdStamps.size() >= maxHosts && !holdStamps.containsKey(offer.host())) {
+      if (holdRevisions.size() >= maxHosts && !holdRevisions.containsKey(offer.host())) {
         // The transaction cannot hold a condition for another machine; the next one takes it.
         kept.add(received);
         continue;
@@ -131,7 +133,7 @@
       number = claim.nextUnplaced(number);
       int index = number / Chunk.TASKS_PER_CHUNK;
       boolean accept =
-          claim.startable()
+          claim.isStartable()
               && number < claim.spec.tasks()
               && starts.size() < maxStarts
               && placed + starts.size() < limit
@@ -140,7 +142,7 @@
               && bytesLeft.computeIfAbsent(index, i -> maxBytes - chunkBytes(claim, chunks, i))
                   >= Chunk.placementBytes(offer.host())
               && zoneConstraints.allowed(claim, offer.host(), startHosts)
-              && addCondition(holdStamps, offer.host(), offer.holdRevision());
+              && addCondition(holdRevisions, offer.host(), offer.holdRevision());
       if (!accept) {
         declined.accept(received);
         continue;
@@ -229,15 +231,15 @@
    * Adds the condition on a machine's hold record. False if it contradicts an earlier condition:
    * two proofs that depend on different versions of one hold record cannot share a transaction.
    */
-  private static boolean addCondition(Map<String, Long> stamps, String host, long stamp) {
-    if (stamp < 0) {
+  private static boolean addCondition(Map<String, Long> holdRevisions, String host, long revision) {
+    if (revision < 0) {
       // A machine without a hold record is also conditional on the roster, which has one version.
-      Long roster = stamps.putIfAbsent(HoldTable.ROSTER_KEY, stamp);
-      if (roster != null && roster != stamp) {
+      Long roster = holdRevisions.putIfAbsent(HoldTable.ROSTER_KEY, revision);
+      if (roster != null && roster != revision) {
         return false;
       }
     }
-    Long known = stamps.putIfAbsent(host, stamp);
-    return known == null || known == stamp;
+    Long known = holdRevisions.putIfAbsent(host, revision);
+    return known == null || known == revision;
   }
 }
--- a/src/main/java/dev/dunefront/claim/Turnover.java
+++ b/src/main/java/dev/dunefront/claim/Turnover.java
@@ -28,10 +28,13 @@
   /** CPU freed on machines of one kind, with exponential decay over time. */
   private static final class FreedCpu {
     double cpu;
-    double cpuAt;
 
+    /** Time to which the value has decayed. */
+    double updatedAt;
+
+    /** The value decayed to this time. */
     double cpuAt(double now) {
-      return cpu * Math.exp((cpuAt - now) / WINDOW_S);
+      return cpu * Math.exp((updatedAt - now) / WINDOW_S);
     }
   }
 
@@ -42,9 +45,9 @@
   private final long[] waitingTasks = new long[Priority.values().length];
   private double waitingTasksAt = Double.NEGATIVE_INFINITY;
 
-  Turnover(ControllerContext context, MachineTable room, Claims claims) {
+  Turnover(ControllerContext context, MachineTable machineTable, Claims claims) {
     this.context = context;
-    this.machineTable = room;
+    this.machineTable = machineTable;
     this.claims = claims;
   }
 
@@ -59,7 +62,7 @@
     }
     FreedCpu freed = freedByKind.get(machine.kind().index());
     freed.cpu = freed.cpuAt(now) + size.cpu();
-    freed.cpuAt = now;
+    freed.updatedAt = now;
   }
 
   /** Number of tasks of this size for which fitting machines free capacity per second. */
--- a/src/main/java/dev/dunefront/claim/WantPlacement.java
+++ b/src/main/java/dev/dunefront/claim/WantPlacement.java
@@ -42,22 +42,23 @@
 
   WantPlacement(
       ControllerContext context,
-      MachineTable room,
-      CapacitySubscription interest,
-      IdleCapacity idle,
+      MachineTable machineTable,
+      CapacitySubscription subscription,
+      IdleCapacity idleCapacity,
       Quotas quotas,
-      DeadlineRanking urgencies,
-      ZoneConstraints zones,
+      DeadlineRanking ranking,
+      ZoneConstraints zoneConstraints,
       Turnover turnover) {
     this.context = context;
-    this.machineTable = room;
-    this.subscription = interest;
+    this.machineTable = machineTable;
+    this.subscription = subscription;
     this.quotas = quotas;
-    this.ranking = urgencies;
-    this.candidateSelection = new CandidateSelection(context, room, zones, turnover);
-    this.idleCapacity = idle;
+    this.ranking = ranking;
+    this.candidateSelection =
+        new CandidateSelection(context, machineTable, zoneConstraints, turnover);
+    this.idleCapacity = idleCapacity;
     this.preemptionRequests =
-        new PreemptionRequests(context, interest, urgencies, candidateSelection, turnover);
+        new PreemptionRequests(context, subscription, ranking, candidateSelection, turnover);
   }
 
   /** Brings a job's queued wants up to date. */
@@ -130,11 +131,11 @@
   /** Unstarted tasks that the quota and the failure backoff allow to place now. */
   private int placeableTasks(Claim claim) {
     int wanted = claim.unstarted() - claim.offers.size() - claim.startsInFlight;
-    Quotas.Quota quota = quotas.of(claim.spec.team());
+    Quotas.Quota quota = quotas.quotaOf(claim.spec.team());
     if (quota != null) {
       wanted = Math.min(wanted, claim.startsAllowed(quota) - claim.offers.size());
     }
-    return claim.suspectedFaulty() ? Math.min(wanted, 1 - claim.liveAttempts.size()) : wanted;
+    return claim.isSuspectedFaulty() ? Math.min(wanted, 1 - claim.liveAttempts.size()) : wanted;
   }
 
   /** Resets the reach to its minimum, for a job that has been served or has stopped waiting. */
@@ -149,15 +150,15 @@
     long surplus = (long) Math.ceil(wanted * OVERSUBSCRIPTION);
     claim.maxFetchS = candidateSelection.maxFetchS(claim);
     List<Candidate> candidates = candidates(claim, wanted, surplus, now);
-    int fitting = 0;
+    int freeSlots = 0;
     for (Candidate candidate : candidates) {
-      fitting += candidate.hasRoom() ? candidate.freeSlots() : 0;
+      freeSlots += candidate.hasRoom() ? candidate.freeSlots() : 0;
     }
     preemptionRequests.request(claim, candidates, wanted, now);
     // A heap avoids sorting all candidates, as only the best few are used.
     Queue<Candidate> best = new PriorityQueue<>(candidates);
     // If enough capacity is free now, no wants are queued at full machines.
-    long wantsLeft = fitting >= surplus ? surplus : (long) wanted * claim.reach;
+    long wantsLeft = freeSlots >= surplus ? surplus : (long) wanted * claim.reach;
     long leftAtFree = surplus;
     int machineCount = 0;
     Map<String, Integer> targetCounts = new HashMap<>();
@@ -234,9 +235,9 @@
     List<Candidate> candidates = new ArrayList<>();
     int covered = 0;
     for (MachineTable.Entry machine : machineTable.withFreeCapacity()) {
-      Integer parked = claim.queuedWants.get(machine.view().host());
-      if (parked != null) {
-        covered += Math.min(parked, claim.size.countFittingIn(machine.view().free()));
+      Integer queued = claim.queuedWants.get(machine.view().host());
+      if (queued != null) {
+        covered += Math.min(queued, claim.size.countFittingIn(machine.view().free()));
         continue;
       }
       Candidate candidate = candidateSelection.candidate(claim, machine, now);
--- a/src/main/java/dev/dunefront/claim/ZoneConstraints.java
+++ b/src/main/java/dev/dunefront/claim/ZoneConstraints.java
@@ -13,8 +13,8 @@
   /** Zones of machines with placed tasks; kept when the connection to the holder is lost. */
   private final Map<String, String> zoneByHost = new HashMap<>();
 
-  ZoneConstraints(MachineTable room) {
-    this.machineTable = room;
+  ZoneConstraints(MachineTable machineTable) {
+    this.machineTable = machineTable;
   }
 
   /**
--- a/src/test/java/dev/dunefront/claim/CapacitySubscriptionTest.java
+++ b/src/test/java/dev/dunefront/claim/CapacitySubscriptionTest.java
@@ -44,7 +44,7 @@
     subscription.tick();
     sent.clear();
     double reliableAt = subscription.require(ViewDetail.CAPACITY);
-    assertEquals(List.of("all ROOM"), sent);
+    assertEquals(List.of("all CAPACITY"), sent);
     assertTrue(reliableAt > clock.now(), "the known views are outdated");
     clock.advance(CapacitySubscription.PROPAGATION_S + 0.01);
     assertEquals(1, reliableCalls, "the callback runs once the views are reliable");
@@ -52,7 +52,7 @@
         subscription.require(ViewDetail.CAPACITY) <= clock.now(), "the views are reliable now");
     assertEquals(1, sent.size(), "an unchanged level is not sent again");
     ticks(CapacitySubscription.NEED_EXPIRY_S + 0.5);
-    assertEquals(List.of("all ROOM", "all STANDING"), sent);
+    assertEquals(List.of("all CAPACITY", "all STATUS"), sent);
   }
 
   @Test
@@ -60,21 +60,22 @@
     subscription.require(ViewDetail.CAPACITY);
     subscription.require(ViewDetail.FULL);
     subscription.require(ViewDetail.CAPACITY);
-    assertEquals(List.of("all ROOM", "all LOAD"), sent);
+    assertEquals(List.of("all CAPACITY", "all FULL"), sent);
     for (int i = 0; i < 8; i++) {
       subscription.require(ViewDetail.CAPACITY);
       ticks(0.25);
     }
-    assertTrue(sent.contains("all ROOM") && sent.get(2).equals("all ROOM"), sent.toString());
+    assertTrue(
+        sent.contains("all CAPACITY") && sent.get(2).equals("all CAPACITY"), sent.toString());
   }
 
   @Test
   void redeclaresPeriodicallyAndAfterReconnect() {
     ticks(3 * CapacitySubscription.REDECLARE_S);
-    assertEquals(List.of("all STANDING", "all STANDING", "all STANDING"), sent);
+    assertEquals(List.of("all STATUS", "all STATUS", "all STATUS"), sent);
     sent.clear();
     subscription.require(ViewDetail.FULL);
     subscription.peerConnected("node-1");
-    assertEquals(List.of("all LOAD", "node-1 LOAD"), sent, "also sent to a reconnected controller");
+    assertEquals(List.of("all FULL", "node-1 FULL"), sent, "also sent to a reconnected controller");
   }
 }
--- a/src/test/java/dev/dunefront/claim/TakeoverTest.java
+++ b/src/test/java/dev/dunefront/claim/TakeoverTest.java
@@ -12,8 +12,9 @@
 class TakeoverTest {
   private static final double WAIT_S = Takeover.RANK_WAIT_S;
 
-  private static UnownedJob unowned(String id, Priority priority, long stamp, String... before) {
-    return new UnownedJob(id, priority, stamp, false, 10, List.of(before));
+  private static UnownedJob unowned(
+      String id, Priority priority, long revision, String... preferredNodes) {
+    return new UnownedJob(id, priority, revision, false, 10, List.of(preferredNodes));
   }
 
   @Test
