--- a/src/main/java/dev/dunefront/claim/ClaimWriter.java
+++ b/src/main/java/dev/dunefront/claim/ClaimWriter.java
@@ -294,7 +294,7 @@
         .commit(
             txn,
             writeId,
-            urgency(claim),
+            requestPriority(claim),
             result -> {
               claim.committing = false;
               claim.startsInFlight = 0;
@@ -329,10 +329,11 @@
   }
 
   /**
-   * Writes of best-effort jobs have the lowest urgency: many small jobs could otherwise use up the
-   * write budget and delay the starts of other jobs that already have capacity.
+   * Writes of best-effort jobs have the lowest request priority, unless the job's start is
+   * escalated: many small jobs could otherwise use up the write budget and delay the starts of
+   * other jobs that already have capacity.
    */
-  private static StateStore.RequestPriority urgency(Claim claim) {
+  private static StateStore.RequestPriority requestPriority(Claim claim) {
     return claim.spec.priority() == Priority.BEST_EFFORT
             && claim.startStage == StartEscalation.Stage.NONE
         ? StateStore.RequestPriority.BACKGROUND
@@ -410,8 +411,8 @@
       }
       LOG.log(
           Level.DEBUG,
-          "placed task {0}/{1} on {2}: attempt {3}, term {4}, offer from {5}, token {6}, session {7},"
-              + " hold revision {8}",
+          "placed task {0}/{1} on {2}: attempt {3}, term {4}, offer from {5}, token {6},"
+              + " session {7}, hold revision {8}",
           claim.id(),
           start.number(),
           offer.host(),
--- a/src/main/java/dev/dunefront/claim/Claims.java
+++ b/src/main/java/dev/dunefront/claim/Claims.java
@@ -386,8 +386,8 @@
       claim.overdueLogged = true;
       LOG.log(
           Level.INFO,
-          "job {0}, class {1}, team {2}, has not started after {3} s; each task needs {4} CPUs, {5} GB,"
-              + " machine types {6}",
+          "job {0}, class {1}, team {2}, has not started after {3} s; each task needs {4} CPUs,"
+              + " {5} GB, machine types {6}",
           claim.id(),
           claim.spec.jobClass(),
           claim.spec.team(),
--- a/src/main/java/dev/dunefront/claim/StrayTermination.java
+++ b/src/main/java/dev/dunefront/claim/StrayTermination.java
@@ -42,7 +42,8 @@
           context.safety().straySeen();
           LOG.log(
               Level.INFO,
-              "stopping stray attempt on {0}: task {1}/{2}, attempt {3}, session {4} is not recorded",
+              "stopping stray attempt on {0}: task {1}/{2}, attempt {3}, session {4}"
+                  + " is not recorded",
               view.host(),
               claim.id(),
               task.number(),
