--- a/src/main/java/dev/dunefront/claim/AttemptTermination.java
+++ b/src/main/java/dev/dunefront/claim/AttemptTermination.java
@@ -9,18 +9,19 @@
 import java.lang.System.Logger.Level;
 
 /**
- * Ends placed attempts, each by a proof, and tells what ends and failures say of machines and jobs.
+ * Ends placed attempts, each on the basis of a proof, and applies the consequences: machines to
+ * avoid, faults to report, retry backoff and learned run times.
  */
 final class AttemptTermination {
   private static final System.Logger LOG = System.getLogger(AttemptTermination.class.getName());
 
-  /** A machine that has refused a task is not asked again for so long, in seconds. */
+  /** How long a job avoids a machine that refused one of its tasks. */
   private static final double AVOID_AFTER_REFUSAL_S = 3;
 
-  /** One on which a task has failed is not asked again for so long, in seconds. */
+  /** How long a job avoids a machine on which one of its tasks failed. */
   private static final double AVOID_AFTER_FAILURE_S = 60;
 
-  /** The longest pause between tries of a job that fails everywhere, in seconds. */
+  /** Maximum delay between retries of a job whose tasks fail on every machine. */
   private static final double MAX_BACKOFF_S = 60;
 
   private static final int MAX_BACKOFF_DOUBLINGS = 6;
@@ -31,10 +32,13 @@
   private final Turnover turnover;
 
   AttemptTermination(
-      ControllerContext context, MachineTable room, DeadlineRanking urgencies, Turnover turnover) {
+      ControllerContext context,
+      MachineTable machineTable,
+      DeadlineRanking ranking,
+      Turnover turnover) {
     this.context = context;
-    this.machineTable = room;
-    this.ranking = urgencies;
+    this.machineTable = machineTable;
+    this.ranking = ranking;
     this.turnover = turnover;
   }
 
@@ -50,88 +54,107 @@
     };
   }
 
-  /** The only way in which a placed attempt ends; it is recorded with the claim's next write. */
-  void recordEnd(Claim c, int number, LiveAttempt l, EndProof proof) {
-    if (!proof.appliesTo(l.placement.toAttempt())) {
+  /**
+   * Ends a placed attempt. This is the only place where that happens; the end is recorded with the
+   * claim's next transaction.
+   */
+  void recordEnd(Claim claim, int number, LiveAttempt attempt, EndProof proof) {
+    if (!proof.appliesTo(attempt.placement.toAttempt())) {
       context
           .safety()
           .invariantViolated(
               Invariant.PROOF_OF_ANOTHER_SESSION,
-              c.id() + "/" + number + ", " + l.placement + ", by " + proof);
+              claim.id() + "/" + number + ", " + attempt.placement + ", by " + proof);
       return;
     }
-    AttemptOutcome end = outcomeOf(proof);
-    l.ended = true;
+    AttemptOutcome outcome = outcomeOf(proof);
+    attempt.ended = true;
     context.safety().attemptEnded(proof);
     LOG.log(
         Level.DEBUG,
-        "{0}/{1} is over on {2}: {3}, attempt {4} of session {5} by {6}",
-        c.id(),
+        "task {0}/{1} ended on {2}: {3}, attempt {4}, session {5}, proof {6}",
+        claim.id(),
         number,
-        l.placement.host(),
-        end,
-        l.placement.attempt(),
-        l.placement.session(),
+        attempt.placement.host(),
+        outcome,
+        attempt.placement.attempt(),
+        attempt.placement.session(),
         proof);
-    c.unrecordedEnds.add(new EndedAttempt(number, l.placement, end, proof));
+    claim.unrecordedEnds.add(new EndedAttempt(number, attempt.placement, outcome, proof));
     double now = context.now();
-    String host = l.placement.host();
-    if (end == AttemptOutcome.DONE) {
-      taskSucceeded(c, now);
-      turnover.taskCompleted(host, c.size, now);
-      if (l.runningSince > 0) {
-        ranking.taskCompleted(c.spec, now - l.runningSince);
+    String host = attempt.placement.host();
+    if (outcome == AttemptOutcome.DONE) {
+      taskSucceeded(claim, now);
+      turnover.taskCompleted(host, claim.size, now);
+      if (attempt.runningSince > 0) {
+        ranking.taskCompleted(claim.spec, now - attempt.runningSince);
       }
     }
-    if (end == AttemptOutcome.FAILED) {
-      taskFailed(c, number, host, now);
-    } else if (end == AttemptOutcome.REFUSED) {
-      c.avoidUntil.put(host, now + AVOID_AFTER_REFUSAL_S);
+    if (outcome == AttemptOutcome.FAILED) {
+      taskFailed(claim, number, host, now);
+    } else if (outcome == AttemptOutcome.REFUSED) {
+      claim.avoidUntil.put(host, now + AVOID_AFTER_REFUSAL_S);
     }
   }
 
-  private void reportMachineFault(Claim c, String host, int weight) {
-    MachineTable.Entry s = machineTable.get(host);
-    if (s != null) {
-      context.peers().send(s.holder(), new Message.FailureReport(host, c.id(), weight));
+  /**
+   * Reports failures of a job's tasks to the machine's holder.
+   *
+   * @param weight one of the constants of {@link Message.FailureReport}
+   */
+  private void reportMachineFault(Claim claim, String host, int weight) {
+    MachineTable.Entry machine = machineTable.get(host);
+    if (machine != null) {
+      context.peers().send(machine.holder(), new Message.FailureReport(host, claim.id(), weight));
     }
   }
 
   /**
-   * A task of a job has been done: what failed of it before speaks against the machines that it
-   * failed on, and it need not wait for its next try any longer.
+   * Handles the first completed task of a job: its earlier failures now count against the machines
+   * that they happened on, and the retry backoff ends.
    */
-  private void taskSucceeded(Claim c, double now) {
-    if (c.hasCompletedTask()) {
+  private void taskSucceeded(Claim claim, double now) {
+    if (claim.hasCompletedTask()) {
       return;
     }
-    c.completedTaskSeen = true;
-    if (!c.failedOn.isEmpty()) {
-      c.notBefore = Math.min(c.notBefore, now);
-      c.failedOn.keySet().forEach(h -> reportMachineFault(c, h, Message.FailureReport.PROVEN));
+    claim.completedTaskSeen = true;
+    if (!claim.failedOn.isEmpty()) {
+      claim.notBefore = Math.min(claim.notBefore, now);
+      claim
+          .failedOn
+          .keySet()
+          .forEach(
+              failedHost -> reportMachineFault(claim, failedHost, Message.FailureReport.PROVEN));
     }
   }
 
-  private void taskFailed(Claim c, int number, String host, double now) {
-    c.failures++;
-    Double before = c.failedOn.putIfAbsent(host, now);
-    boolean first = before == null;
-    c.avoidUntil.put(host, now + AVOID_AFTER_FAILURE_S);
-    if (first && c.hasCompletedTask()) {
-      reportMachineFault(c, host, Message.FailureReport.PROVEN);
-    } else if (first && !c.suspectedFaulty()) {
-      reportMachineFault(c, host, Message.FailureReport.UNPROVEN);
-    } else if (!c.suspectedFaulty() && now - before >= AVOID_AFTER_FAILURE_S) {
-      // Tried again on the one machine that there is: that says as much as once among others.
-      reportMachineFault(c, host, Message.FailureReport.PROVEN);
-    } else if (first) {
-      c.failedOn.keySet().forEach(h -> reportMachineFault(c, h, Message.FailureReport.WITHDRAWN));
+  private void taskFailed(Claim claim, int number, String host, double now) {
+    claim.failures++;
+    Double firstFailedAt = claim.failedOn.putIfAbsent(host, now);
+    boolean firstOnHost = firstFailedAt == null;
+    claim.avoidUntil.put(host, now + AVOID_AFTER_FAILURE_S);
+    if (firstOnHost && claim.hasCompletedTask()) {
+      reportMachineFault(claim, host, Message.FailureReport.PROVEN);
+    } else if (firstOnHost && !claim.isSuspectedFaulty()) {
+      reportMachineFault(claim, host, Message.FailureReport.UNPROVEN);
+    } else if (!claim.isSuspectedFaulty() && now - firstFailedAt >= AVOID_AFTER_FAILURE_S) {
+      // A repeated failure on the only machine tried so far counts like one failure among several
+      // machines.
+      reportMachineFault(claim, host, Message.FailureReport.PROVEN);
+    } else if (firstOnHost) {
+      claim
+          .failedOn
+          .keySet()
+          .forEach(
+              failedHost -> reportMachineFault(claim, failedHost, Message.FailureReport.WITHDRAWN));
     }
-    if (c.suspectedFaulty()) {
-      // Fails everywhere: it is tried again ever more rarely, one task at a time.
-      c.notBefore =
-          now + Math.min(MAX_BACKOFF_S, Math.pow(2, Math.min(MAX_BACKOFF_DOUBLINGS, c.failures)));
+    if (claim.isSuspectedFaulty()) {
+      // Tasks fail on every machine: retries one task at a time with exponential backoff.
+      claim.notBefore =
+          now
+              + Math.min(
+                  MAX_BACKOFF_S, Math.pow(2, Math.min(MAX_BACKOFF_DOUBLINGS, claim.failures)));
     }
-    LOG.log(Level.INFO, "{0}/{1} failed on {2}", c.id(), number, host);
+    LOG.log(Level.INFO, "task {0}/{1} failed on {2}", claim.id(), number, host);
   }
 }
--- a/src/main/java/dev/dunefront/claim/CandidateSelection.java
+++ b/src/main/java/dev/dunefront/claim/CandidateSelection.java
@@ -11,42 +11,48 @@
 import java.util.Map;
 import java.util.function.IntPredicate;
 
-/** What machines are to a job: whether it may park there, and what a start there costs. */
+/** Selects the machines at which a job may queue wants, and rates the cost of a start there. */
 final class CandidateSelection {
-  /** What besides its boot passes until a machine of the cheapest type takes replicas. */
+  /** Time in addition to its boot until a machine of the cheapest type accepts replicas. */
   private static final double REPLICA_MACHINE_EXTRA_S = 10;
 
-  /** How much of its fetch a task counts that is in no hurry. */
+  /** Weight of the image fetch time in the cost for tasks that are not urgent. */
   private static final double NON_URGENT_FETCH_WEIGHT = 0.25;
 
-  /** What taking room beside another job's image costs, in seconds of an earlier start. */
+  /** Cost of each image of another job on the machine, in seconds of start delay. */
   private static final double OTHER_IMAGE_COST_S = 0.5;
 
-  /** What using a machine many times too large costs, in seconds of an earlier start. */
+  /** Cost of a machine that is many times too large, in seconds of start delay. */
   private static final double OVERSIZE_COST_S = 3;
 
   /**
-   * What a wholly free machine costs an urgent task against a nearly full one, in seconds of an
-   * earlier start: full machines stay anyway, and empty ones can be returned.
+   * Cost of an empty machine relative to a nearly full one for a service replica, in seconds of
+   * start delay: full machines are kept anyway, and empty ones can be returned.
    */
   private static final double EMPTY_MACHINE_COST_S = 0.2;
 
   /**
-   * What an ordinary machine costs a task that may run on a spot machine, in seconds of an earlier
-   * start, where there is work that may not: what stays empty can be returned.
+   * Cost of an on-demand machine for a task that may run on a spot machine, in seconds of start
+   * delay, while there is urgent work that may not: on-demand machines that stay empty can be
+   * returned.
    */
   private static final double ON_DEMAND_COST_S = 10;
 
-  /** Fetches that take up to this many times as long as the quickest are as good as it. */
+  /** Fetch times up to this multiple of the fastest count as equally fast. */
   private static final double FAST_FETCH_FACTOR = 1.25;
 
   private static final int TIER_FREE = 0;
   private static final int TIER_FULL = 1;
 
-  /** Machines that are better left to others, or to a later time. */
+  /** Machines that should be left to other jobs or used only later. */
   private static final int TIER_LAST_RESORT = 2;
 
-  /** A machine on which a job could park; the lower the tier, the sooner it is chosen. */
+  /**
+   * A machine at which a job could queue wants. Natural order: lower tier, then lower cost first.
+   *
+   * @param emptySlots number of the job's tasks that fit on the empty machine
+   * @param freeSlots number of the job's tasks that fit into the free capacity
+   */
   record Candidate(
       MachineTable.Entry machine,
       int emptySlots,
@@ -55,13 +61,13 @@
       double costS,
       int tieBreaker)
       implements Comparable<Candidate> {
-    /** There is room now. */
+    /** Whether a task fits now. */
     boolean hasRoom() {
       return tier == TIER_FREE;
     }
 
-    /** There is none now, but some will be. */
-    boolean full() {
+    /** Whether no task fits now, but could later. */
+    boolean isFull() {
       return tier == TIER_FULL;
     }
 
@@ -77,25 +83,35 @@
 
   private final ControllerContext context;
   private final MachineTable machineTable;
-  private final ZoneConstraints zones;
+  private final ZoneConstraints zoneConstraints;
   private final Turnover turnover;
 
   CandidateSelection(
-      ControllerContext context, MachineTable room, ZoneConstraints zones, Turnover turnover) {
+      ControllerContext context,
+      MachineTable machineTable,
+      ZoneConstraints zoneConstraints,
+      Turnover turnover) {
     this.context = context;
-    this.machineTable = room;
-    this.zones = zones;
+    this.machineTable = machineTable;
+    this.zoneConstraints = zoneConstraints;
     this.turnover = turnover;
   }
 
-  /** What a kind of machine is to a job; worked out once for each job and kind. */
+  /**
+   * How a kind of machine suits a job; computed once per job and kind.
+   *
+   * @param emptySlots number of the job's tasks that fit on the empty machine
+   * @param oversized whether the machine is oversized and should be left to larger tasks
+   * @param fetchS time to fetch the job's image, in seconds
+   * @param cheaperTypeWaitS time for which the job waits for a cheaper type first, in seconds
+   */
   record MachineFit(int emptySlots, boolean oversized, double fetchS, double cheaperTypeWaitS) {}
 
-  private MachineFit machineFit(Claim c, MachineTable.Kind kind) {
-    while (c.machineFits.size() <= kind.index()) {
-      c.machineFits.add(null);
+  private MachineFit machineFit(Claim claim, MachineTable.Kind kind) {
+    while (claim.machineFits.size() <= kind.index()) {
+      claim.machineFits.add(null);
     }
-    MachineFit known = c.machineFits.get(kind.index());
+    MachineFit known = claim.machineFits.get(kind.index());
     if (known != null) {
       return known;
     }
@@ -103,149 +119,169 @@
     if (type == null) {
       return new MachineFit(0, false, 0, 0);
     }
-    JobSpec spec = c.spec;
-    int ever =
+    JobSpec spec = claim.spec;
+    int emptySlots =
         spec.allows(kind.type(), kind.zone(), kind.spot())
-            ? c.size.countFittingIn(type.resources())
+            ? claim.size.countFittingIn(type.resources())
             : 0;
-    double fetch =
+    double fetchS =
         spec.image() == null || type.fetchGbPerS() <= 0 ? 0 : spec.imageGb() / type.fetchGbPerS();
-    boolean large =
-        ever >= MachineCatalog.OVERSIZE_TASKS && context.catalog().avoidsOversized(spec);
-    // A replica stays where it starts, so it waits for the type on which it costs least for as long
-    // as such a machine takes to come.
-    boolean dear = !large && context.catalog().isExpensive(spec, type);
-    double comes =
-        dear ? context.catalog().cheapestType(spec).bootS() + REPLICA_MACHINE_EXTRA_S : 0;
-    MachineFit fit = new MachineFit(ever, large, fetch, comes);
-    c.machineFits.set(kind.index(), fit);
+    boolean oversized =
+        emptySlots >= MachineCatalog.OVERSIZE_TASKS && context.catalog().avoidsOversized(spec);
+    // A replica stays where it starts, so it waits for the cheapest type as long as renting such a
+    // machine takes.
+    boolean waitsForCheaper = !oversized && context.catalog().isExpensive(spec, type);
+    double cheaperTypeWaitS =
+        waitsForCheaper
+            ? context.catalog().cheapestType(spec).bootS() + REPLICA_MACHINE_EXTRA_S
+            : 0;
+    MachineFit fit = new MachineFit(emptySlots, oversized, fetchS, cheaperTypeWaitS);
+    claim.machineFits.set(kind.index(), fit);
     return fit;
   }
 
-  /** Whether a machine of a kind, by its index, could ever take a task of the job. */
-  IntPredicate fittingKinds(Claim c) {
+  /** Matches the indexes of the machine kinds that fit a task of the job when empty. */
+  IntPredicate fittingKinds(Claim claim) {
     return index ->
         index < machineTable.kinds().size()
-            && machineFit(c, machineTable.kinds().get(index)).emptySlots > 0;
+            && machineFit(claim, machineTable.kinds().get(index)).emptySlots > 0;
   }
 
-  /** The machine as the job sees it, or null if it cannot park there. */
-  Candidate candidate(Claim c, MachineTable.Entry s, double now) {
-    MachineFit fit = machineFit(c, s.kind());
-    MachineView v = s.view();
+  /** Rates a machine for a job; null if the job cannot queue wants there. */
+  Candidate candidate(Claim claim, MachineTable.Entry machine, double now) {
+    MachineFit fit = machineFit(claim, machine.kind());
+    MachineView view = machine.view();
     if (fit.emptySlots == 0
-        || !v.schedulable()
-        || now - c.unservedSince < fit.cheaperTypeWaitS
-        || reservedForUrgent(c.spec, v)
-        || !c.avoidUntil.isEmpty() && c.avoidUntil.getOrDefault(v.host(), 0.0) > now
-        || (c.spec.oneZone() || c.spec.spread()) && !zones.allowed(c, v.host(), List.of())) {
+        || !view.schedulable()
+        || now - claim.unservedSince < fit.cheaperTypeWaitS
+        || reservedForUrgent(claim.spec, view)
+        || !claim.avoidUntil.isEmpty() && claim.avoidUntil.getOrDefault(view.host(), 0.0) > now
+        || (claim.spec.oneZone() || claim.spec.spread())
+            && !zoneConstraints.allowed(claim, view.host(), List.of())) {
       return null;
     }
-    int fits = s.hasFreeCapacity() ? c.size.countFittingIn(v.free()) : 0;
-    boolean urgent = c.spec.priority().urgent();
-    // Large machines are left to tasks that fit nowhere else, as long as others may turn up.
-    boolean spare =
+    int freeSlots = machine.hasFreeCapacity() ? claim.size.countFittingIn(view.free()) : 0;
+    boolean urgent = claim.spec.priority().urgent();
+    // Oversized machines are left to tasks that fit nowhere else, as long as smaller machines may
+    // still become available.
+    boolean leaveToLarger =
         fit.oversized
             && !urgent
-            && now - c.unservedSince
+            && now - claim.unservedSince
                 < context.tunables().gatherTicks() * context.tunables().tickS();
-    boolean slow = fit.fetchS > c.maxFetchS && !hasImage(c, v);
+    boolean slowFetch = fit.fetchS > claim.maxFetchS && !hasImage(claim, view);
     int tier =
-        slow ? TIER_LAST_RESORT : fits == 0 ? TIER_FULL : spare ? TIER_LAST_RESORT : TIER_FREE;
+        slowFetch
+            ? TIER_LAST_RESORT
+            : freeSlots == 0 ? TIER_FULL : leaveToLarger ? TIER_LAST_RESORT : TIER_FREE;
     return new Candidate(
-        s, fit.emptySlots, fits, tier, costS(c, s, fit), s.tieBreaker() ^ c.tieBreaker);
+        machine,
+        fit.emptySlots,
+        freeSlots,
+        tier,
+        costS(claim, machine, fit),
+        machine.tieBreaker() ^ claim.tieBreaker);
   }
 
   /**
-   * Whether the machine's room is kept for urgent tasks that may run on ordinary machines alone:
-   * some run there, so it has their images, and the job may run elsewhere.
+   * Whether the machine's capacity is reserved for urgent tasks that may run on on-demand machines
+   * only: such tasks run there already, so their images are present, and this job can run
+   * elsewhere.
    */
-  private boolean reservedForUrgent(JobSpec spec, MachineView v) {
+  private boolean reservedForUrgent(JobSpec spec, MachineView view) {
     return spec.spotAllowed()
-        && !v.spot()
+        && !view.spot()
         && !spec.priority().urgent()
-        && v.hasUrgentTasks()
-        && context.catalog().isCheapestForUrgent(v.type());
+        && view.hasUrgentTasks()
+        && context.catalog().isCheapestForUrgent(view.type());
   }
 
-  private static boolean hasImage(Claim c, MachineView v) {
-    return c.spec.image() == null || v.images().contains(c.spec.image());
+  private static boolean hasImage(Claim claim, MachineView view) {
+    return claim.spec.image() == null || view.images().contains(claim.spec.image());
   }
 
-  /** The quickest fetch of the job's image on any kind of machine that fits. */
-  double fastestFetchS(Claim c) {
-    double quick = Double.POSITIVE_INFINITY;
-    for (MachineTable.Kind k : machineTable.kinds()) {
-      MachineFit fit = machineFit(c, k);
-      quick = Math.min(quick, fit.emptySlots > 0 ? fit.fetchS : quick);
+  /** The shortest fetch time of the job's image over all fitting kinds; 0 if there is none. */
+  double fastestFetchS(Claim claim) {
+    double fastest = Double.POSITIVE_INFINITY;
+    for (MachineTable.Kind kind : machineTable.kinds()) {
+      MachineFit fit = machineFit(claim, kind);
+      fastest = Math.min(fastest, fit.emptySlots > 0 ? fit.fetchS : fastest);
     }
-    return quick == Double.POSITIVE_INFINITY ? 0 : quick;
+    return fastest == Double.POSITIVE_INFINITY ? 0 : fastest;
   }
 
   /**
-   * A fetch that takes longer than this is too slow for an urgent job: room on machines that fetch
-   * quickly becomes free so soon that its tasks start there earlier, though they wait for it.
+   * The longest acceptable image fetch of an urgent job: capacity on machines with a faster fetch
+   * becomes free so soon that its tasks start earlier there, including the wait. Infinite if there
+   * is no such limit.
    */
-  double maxFetchS(Claim c) {
-    Priority priority = c.spec.priority();
+  double maxFetchS(Claim claim) {
+    Priority priority = claim.spec.priority();
     if (!priority.urgent()) {
       return Double.POSITIVE_INFINITY;
     }
-    double quick = fastestFetchS(c);
-    double slow = 0;
-    for (MachineTable.Kind k : machineTable.kinds()) {
-      MachineFit fit = machineFit(c, k);
-      slow = Math.max(slow, fit.emptySlots > 0 ? fit.fetchS : 0);
+    double fastest = fastestFetchS(claim);
+    double slowest = 0;
+    for (MachineTable.Kind kind : machineTable.kinds()) {
+      MachineFit fit = machineFit(claim, kind);
+      slowest = Math.max(slowest, fit.emptySlots > 0 ? fit.fetchS : 0);
     }
-    if (slow <= quick * FAST_FETCH_FACTOR) {
+    if (slowest <= fastest * FAST_FETCH_FACTOR) {
       return Double.POSITIVE_INFINITY;
     }
-    double most = quick * FAST_FETCH_FACTOR;
-    IntPredicate fits = fittingKinds(c);
-    double slots =
+    double limitS = fastest * FAST_FETCH_FACTOR;
+    IntPredicate fitting = fittingKinds(claim);
+    double slotsPerS =
         turnover.slotsPerS(
-            c.size, k -> fits.test(k) && machineFit(c, machineTable.kinds().get(k)).fetchS <= most);
-    return slots <= 0
+            claim.size,
+            index ->
+                fitting.test(index)
+                    && machineFit(claim, machineTable.kinds().get(index)).fetchS <= limitS);
+    return slotsPerS <= 0
         ? Double.POSITIVE_INFINITY
-        : Math.max(most, quick + turnover.waitingTasks(priority) / slots);
+        : Math.max(limitS, fastest + turnover.waitingTasks(priority) / slotsPerS);
   }
 
-  /** What a start there costs, in seconds. */
-  private double costS(Claim c, MachineTable.Entry s, MachineFit fit) {
-    List<String> images = s.view().images();
-    boolean warm = hasImage(c, s.view());
-    double fetch = warm ? 0 : fit.fetchS;
-    int others = images.size() - (warm && c.spec.image() != null ? 1 : 0);
-    // A task in no hurry leaves the machines that have others' images to those others.
-    double cost =
-        c.spec.priority().urgent()
-            ? fetch
-            : fetch * NON_URGENT_FETCH_WEIGHT + others * OTHER_IMAGE_COST_S;
-    if (c.spec.service()) {
-      cost +=
+  /** The cost of a start on a machine, in seconds. */
+  private double costS(Claim claim, MachineTable.Entry machine, MachineFit fit) {
+    List<String> images = machine.view().images();
+    boolean hasImage = hasImage(claim, machine.view());
+    double fetchS = hasImage ? 0 : fit.fetchS;
+    int otherImages = images.size() - (hasImage && claim.spec.image() != null ? 1 : 0);
+    // Tasks that are not urgent leave machines with the images of other jobs to those jobs.
+    double costS =
+        claim.spec.priority().urgent()
+            ? fetchS
+            : fetchS * NON_URGENT_FETCH_WEIGHT + otherImages * OTHER_IMAGE_COST_S;
+    if (claim.spec.service()) {
+      costS +=
           EMPTY_MACHINE_COST_S
-              * c.size.countFittingIn(s.view().free())
+              * claim.size.countFittingIn(machine.view().free())
               / Math.max(1, fit.emptySlots);
     }
-    if (c.spec.spotAllowed() && !s.view().spot() && !c.spec.priority().urgent()) {
-      cost += context.catalog().needsOnDemand() ? ON_DEMAND_COST_S : 0;
+    if (claim.spec.spotAllowed() && !machine.view().spot() && !claim.spec.priority().urgent()) {
+      costS += context.catalog().needsOnDemand() ? ON_DEMAND_COST_S : 0;
     }
-    return cost + (fit.oversized ? OVERSIZE_COST_S : 0);
+    return costS + (fit.oversized ? OVERSIZE_COST_S : 0);
   }
 
-  /** Puts the best of several offers first. */
-  void sortOffers(Claim c) {
-    if (c.offers.size() < 2) {
+  /** Sorts the claim's offers by cost, cheapest first. */
+  void sortOffers(Claim claim) {
+    if (claim.offers.size() < 2) {
       return;
     }
     Map<String, Double> costs = new HashMap<>();
-    for (Claim.ReceivedOffer h : c.offers) {
-      String host = h.offer().host();
+    for (Claim.ReceivedOffer received : claim.offers) {
+      String host = received.offer().host();
       if (!costs.containsKey(host)) {
-        MachineTable.Entry s = machineTable.get(host);
-        costs.put(host, s == null ? Double.MAX_VALUE : costS(c, s, machineFit(c, s.kind())));
+        MachineTable.Entry machine = machineTable.get(host);
+        costs.put(
+            host,
+            machine == null
+                ? Double.MAX_VALUE
+                : costS(claim, machine, machineFit(claim, machine.kind())));
       }
     }
-    c.offers.sort(Comparator.comparingDouble(h -> costs.get(h.offer().host())));
+    claim.offers.sort(Comparator.comparingDouble(received -> costs.get(received.offer().host())));
   }
 }
--- a/src/main/java/dev/dunefront/claim/Claim.java
+++ b/src/main/java/dev/dunefront/claim/Claim.java
@@ -15,12 +15,12 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** A job that this controller has claimed. */
+/** The in-memory state of a job that this controller has claimed. */
 final class Claim {
-  /** An offer that waits to be taken or declined. */
+  /** An offer that has not been accepted or declined yet. */
   record ReceivedOffer(String holder, Message.Offer offer, double receivedAt) {}
 
-  /** Why an attempt is over. */
+  /** How an attempt ended. */
   enum AttemptOutcome {
     DONE,
     STOPPED,
@@ -29,29 +29,29 @@
     LOST
   }
 
-  /** An end to be recorded, with its proof. */
+  /** The end of an attempt that is still to be recorded, with its proof. */
   record EndedAttempt(int number, Placement placement, AttemptOutcome outcome, EndProof proof) {
-    /** Whether the proof rests on the record of who holds the machine. */
+    /** Whether the proof is valid only while the machine's hold record is unchanged. */
     boolean conditional() {
       return proof.conditional();
     }
 
-    /** The version of that record on which it rests. */
+    /** The version of the hold record that the proof depends on. */
     long holdRevision() {
       return proof.basis().holdRevision();
     }
   }
 
-  /** What is known of a placed task beyond its record. */
+  /** A placed attempt with the runtime state that is not part of its record. */
   static final class LiveAttempt {
     final Placement placement;
     Message.State state = Message.State.PENDING;
     double runningSince;
-    double probedAt;
+    double queriedAt;
     double stopSentAt;
     boolean ended;
 
-    /** The holder's last word showed this attempt. */
+    /** Whether the latest view of the machine included this attempt. */
     boolean reported;
 
     LiveAttempt(Placement placement) {
@@ -69,104 +69,123 @@
   boolean released;
 
   /**
-   * Its record says that the job is to end, and this claim has yet to read that: the state service
-   * may refuse this controller alone. Until then nothing of it is placed or started.
+   * The job's record says that it is to end, but this claim has not read that version yet: the
+   * state service may be refusing only this controller's requests. No task of the job is placed or
+   * started meanwhile.
    */
   boolean endRequested;
 
   final TreeMap<Integer, Chunk> chunks = new TreeMap<>();
 
-  /** Tasks that are done or placed. */
+  /** Numbers of the tasks that are done or placed. */
   final BitSet doneOrPlaced = new BitSet();
 
   int done;
   final Map<Integer, LiveAttempt> liveAttempts = new HashMap<>();
 
-  /** The same by machine, for what a holder says concerns one machine. */
+  /** The live attempts by machine, because each view covers one machine. */
   private final Map<String, Map<Integer, LiveAttempt>> liveAttemptsOn = new HashMap<>();
 
   final List<ReceivedOffer> offers = new ArrayList<>();
   final List<EndedAttempt> unrecordedEnds = new ArrayList<>();
 
-  /** Attempts that are shown and not recorded. */
+  /** Attempts that appear in views but are not recorded. */
   final Strays strays = new Strays();
 
-  /** Machines whose last view has not been compared with what is recorded now. */
+  /** Machines whose latest view has not been compared with the current records. */
   final Set<String> hostsToCompare = new HashSet<>();
 
-  /** Wants parked, by machine. */
+  /** Number of wants queued, by machine. */
   final Map<String, Integer> queuedWants = new HashMap<>();
 
+  /** Until when each machine is not considered, after it refused or failed a task. */
   final Map<String, Double> avoidUntil = new HashMap<>();
 
-  /** On which machines its tasks have failed, and since when. */
+  /** When a task of the job first failed on each machine. */
   final Map<String, Double> failedOn = new HashMap<>();
 
-  /** What each kind of machine is to this job, by the kind's index. */
+  /** How well each kind of machine suits this job, by index of the kind. */
   final List<CandidateSelection.MachineFit> machineFits = new ArrayList<>();
 
-  /** Spreads jobs over machines that are equally good. */
+  /** Spreads jobs over machines of equal cost. */
   final int tieBreaker;
 
-  /** Starts in the transaction under way. */
+  /** Number of starts in the transaction in flight. */
   int startsInFlight;
 
-  /** For how many tasks wants were last parked, and when all machines are looked at again. */
+  /** Number of tasks that wants were queued for in the last scan of all machines. */
   int tasksAtLastScan;
 
+  /** When all machines are scanned again. */
   double nextFullScanAt;
+
+  /** Interval until the scan after the next one; see {@link WantPlacement}. */
   double fullScanIntervalS = WantPlacement.MIN_FULL_SCAN_INTERVAL_S;
 
-  /** The openings of room that have been looked at, and when. */
+  /** Value of {@link MachineTable#capacityIncreases} at the last scan for freed capacity. */
   long capacityIncreasesSeen;
 
+  /** When freed capacity was last scanned for. */
   double freedCapacityScanAt;
 
-  /** When what waits to be recorded is written at the latest. */
+  /** Latest time at which pending changes are written; infinite if no flush is scheduled. */
   double flushDueAt = Double.POSITIVE_INFINITY;
 
-  /** Since when it has been granted more of its team's limit than it is to have. */
+  /** Since when more of the team's limit is granted than the job should keep; infinite if not. */
   double grantUnusedSince = Double.POSITIVE_INFINITY;
 
-  /** Counts last told to the other controllers. */
+  /** Task counts last published to the other controllers. */
   int publishedDone;
 
   int publishedRunning;
   int publishedPlaced;
+
+  /**
+   * Under scarcity, the number of machines and, as a multiple of the wanted tasks, the number of
+   * wants that a scan covers; grows by one per tick.
+   */
   int reach;
+
   int rank = DeadlineRanking.ON_TIME;
 
-  /** Under which its wants are parked; that of the job, or a greater one until it has begun. */
+  /** Priority of the queued wants: the job's own, or a higher one while its start is overdue. */
   int priority;
 
-  /** What it has in common with jobs like it, and whether it waits behind such. */
+  /** Jobs of the same class are interchangeable when they search for capacity. */
   final SearchThrottle.EquivalenceClass equivalenceClass;
 
+  /** Whether the job does not search because enough equivalent jobs before it do. */
   boolean searchThrottled;
 
   StartEscalation.Stage startStage = StartEscalation.Stage.NONE;
+
+  /** When the reach grows next. */
   double nextTick;
+
+  /** Since when the job has waited for capacity without being served. */
   double unservedSince;
+
+  /** No task is placed before this time, after failures or as a requeue delay. */
   double notBefore;
 
-  /** A longer fetch is too slow, for other machines become free before. */
+  /** Image fetches longer than this lose to waiting for a machine with a faster fetch. */
   double maxFetchS = Double.POSITIVE_INFINITY;
 
   double preemptedAt = Double.NEGATIVE_INFINITY;
   int preemptionsRequested;
   int failures;
 
-  /** That it has not begun in time has been said. */
+  /** Whether the log already has a line that the job's start is overdue. */
   boolean overdueLogged;
 
-  /** A task has been done, as far as this claim has seen; perhaps not recorded yet. */
+  /** Whether this claim has seen a task complete; that may not be recorded yet. */
   boolean completedTaskSeen;
 
-  Claim(JobRecord record, long stamp, int reach, double now) {
+  Claim(JobRecord record, long revision, int reach, double now) {
     this.record = record;
     this.spec = record.spec();
     this.size = spec.taskResources();
-    this.revision = stamp;
+    this.revision = revision;
     this.reach = reach;
     this.unservedSince = now;
     this.nextTick = now;
@@ -183,8 +202,8 @@
     return record.status() == JobRecord.Status.OPEN;
   }
 
-  /** Whether tasks of it may be placed and started. */
-  boolean startable() {
+  /** Whether tasks of the job may be placed and started. */
+  boolean isStartable() {
     return open() && !endRequested;
   }
 
@@ -195,14 +214,17 @@
 
   /** Tasks that are neither done nor placed. */
   int unstarted() {
-    if (!startable()) {
+    if (!isStartable()) {
       return 0;
     }
     int blocked = strays.isEmpty() ? 0 : strays.blockedOutside(doneOrPlaced);
     return spec.tasks() - doneOrPlaced.cardinality() - blocked;
   }
 
-  /** The first task from this number on that may be placed; there may be none so high. */
+  /**
+   * The first task at or after this number that may be placed. The result may exceed the job's last
+   * task number.
+   */
   int nextUnplaced(int from) {
     int number = doneOrPlaced.nextClearBit(from);
     while (!strays.isEmpty() && strays.blocks(number)) {
@@ -211,22 +233,23 @@
     return number;
   }
 
-  /** How many tasks more the team's limit lets start: what is granted already, and what is left. */
+  /** How many more tasks the team's limit allows: unused grants plus the remaining quota. */
   int startsAllowed(Quotas.Quota quota) {
     long granted = Math.max(0, record.granted() - liveAttempts.size() - startsInFlight);
     return (int) Math.min(Integer.MAX_VALUE, granted + quota.remainingTasks(size));
   }
 
-  /** A job whose tasks fail wherever they run, as far as has been seen. */
-  boolean suspectedFaulty() {
+  /** Whether tasks have failed on at least two machines and none has ever completed. */
+  boolean isSuspectedFaulty() {
     return failedOn.size() >= 2 && !hasCompletedTask();
   }
 
-  /** Whether a task of it has ever been done, recorded or about to be. */
+  /** Whether any task has completed, recorded or about to be. */
   boolean hasCompletedTask() {
     return completedTaskSeen || done > 0;
   }
 
+  /** Replaces a chunk and brings the derived task and attempt state up to date. */
   void installChunk(int index, Chunk chunk) {
     Chunk old = chunks.put(index, chunk);
     int base = index * Chunk.TASKS_PER_CHUNK;
@@ -234,17 +257,17 @@
     doneOrPlaced.clear(base, base + Chunk.TASKS_PER_CHUNK);
     chunk.done.stream().forEach(n -> doneOrPlaced.set(base + n));
     for (int n = base; n < base + Chunk.TASKS_PER_CHUNK && n < spec.tasks(); n++) {
-      Placement p = chunk.placed.get(n - base);
+      Placement placement = chunk.placed.get(n - base);
       LiveAttempt known = liveAttempts.get(n);
-      if (p == null) {
+      if (placement == null) {
         removeLiveAttempt(n);
       } else {
         doneOrPlaced.set(n);
-        if (known == null || !known.placement.equals(p)) {
+        if (known == null || !known.placement.equals(placement)) {
           removeLiveAttempt(n);
-          LiveAttempt l = new LiveAttempt(p);
-          liveAttempts.put(n, l);
-          liveAttemptsOn.computeIfAbsent(p.host(), h -> new HashMap<>()).put(n, l);
+          LiveAttempt attempt = new LiveAttempt(placement);
+          liveAttempts.put(n, attempt);
+          liveAttemptsOn.computeIfAbsent(placement.host(), host -> new HashMap<>()).put(n, attempt);
         }
       }
     }
@@ -255,19 +278,19 @@
     if (old != null) {
       liveAttemptsOn.computeIfPresent(
           old.placement.host(),
-          (h, on) -> {
-            on.remove(number);
-            return on.isEmpty() ? null : on;
+          (host, attempts) -> {
+            attempts.remove(number);
+            return attempts.isEmpty() ? null : attempts;
           });
     }
   }
 
-  /** The placed tasks on a machine. */
+  /** The live attempts on a machine, by task number. */
   Map<Integer, LiveAttempt> liveAttemptsOn(String host) {
     return liveAttemptsOn.getOrDefault(host, Map.of());
   }
 
-  /** The machines with placed tasks. */
+  /** The machines with live attempts. */
   Set<String> hosts() {
     return liveAttemptsOn.keySet();
   }
--- a/src/main/java/dev/dunefront/claim/ClaimLoader.java
+++ b/src/main/java/dev/dunefront/claim/ClaimLoader.java
@@ -5,10 +5,11 @@
 import dev.dunefront.wire.MalformedMessageException;
 
 /**
- * Reads what is recorded of a claimed job: its record, and which of its tasks are placed or done.
+ * Loads the recorded state of a claimed job: the job record and the chunks that list placed and
+ * done tasks.
  */
 final class ClaimLoader {
-  /** A read that had no answer is tried again after so long, in seconds. */
+  /** Delay before a failed read is retried. */
   private static final double RETRY_S = 0.3;
 
   private final ControllerContext context;
@@ -21,66 +22,68 @@
     this.reconciliation = reconciliation;
   }
 
-  /** Reads which tasks are placed and done. */
-  void load(Claim c) {
-    c.loading = true;
+  /** Reads the job's chunks, which list the placed and done tasks. */
+  void load(Claim claim) {
+    claim.loading = true;
     context
         .store()
         .range(
-            Chunk.prefix(c.id()),
+            Chunk.prefix(claim.id()),
             StateStore.RequestPriority.CORE,
             range -> {
-              if (c.released) {
+              if (claim.released) {
                 return;
               }
               if (range.outcome() != Outcome.OK) {
-                context.schedule(RETRY_S, () -> load(c));
+                context.schedule(RETRY_S, () -> load(claim));
                 return;
               }
-              c.clearChunks();
-              for (StateStore.KeyValue p : range.pairs()) {
+              claim.clearChunks();
+              for (StateStore.KeyValue pair : range.pairs()) {
                 try {
-                  int index = Integer.parseInt(p.key().substring(Chunk.prefix(c.id()).length()));
-                  c.installChunk(index, Chunk.read(p.value(), p.revision()));
+                  int index =
+                      Integer.parseInt(pair.key().substring(Chunk.prefix(claim.id()).length()));
+                  claim.installChunk(index, Chunk.fromDocument(pair.value(), pair.revision()));
                 } catch (MalformedMessageException | NumberFormatException e) {
-                  throw new IllegalStateException("chunk " + p.key() + " cannot be read", e);
+                  throw new IllegalStateException("chunk " + pair.key() + " cannot be read", e);
                 }
               }
-              c.loading = false;
+              claim.loading = false;
               double now = context.now();
-              // Holders that have yet to learn who claims the job now show it in a moment.
-              c.liveAttempts.values().forEach(l -> l.probedAt = now);
-              c.hostsToCompare.addAll(c.hosts());
-              reconciliation.comparePending(c);
-              claims.reevaluate(c);
+              // Holders that do not know the new claimant yet will report the attempts shortly,
+              // so the first queries are delayed.
+              claim.liveAttempts.values().forEach(attempt -> attempt.queriedAt = now);
+              claim.hostsToCompare.addAll(claim.hosts());
+              reconciliation.comparePending(claim);
+              claims.reevaluate(claim);
             });
   }
 
-  /** Reads the job's record anew, and with it whether the claim still stands. */
-  void reload(Claim c) {
-    c.loading = true;
+  /** Reads the job's record again and releases the claim if it is no longer valid. */
+  void reload(Claim claim) {
+    claim.loading = true;
     context
         .jobs()
         .readCurrent(
-            c.id(),
+            claim.id(),
             StateStore.RequestPriority.CORE,
             found -> {
-              if (c.released) {
+              if (claim.released) {
                 return;
               }
               if (found.outcome() == Outcome.OK && found.entry() != null) {
                 String self = context.membership().ownIncarnation();
                 if (self == null || !self.equals(found.entry().record().claimant())) {
-                  claims.release(c);
+                  claims.release(claim);
                   return;
                 }
-                c.record = found.entry().record();
-                c.revision = found.entry().revision();
-                load(c);
+                claim.record = found.entry().record();
+                claim.revision = found.entry().revision();
+                load(claim);
               } else if (found.outcome() == Outcome.OK || found.outcome() == Outcome.NOT_FOUND) {
-                claims.release(c);
+                claims.release(claim);
               } else {
-                context.schedule(RETRY_S, () -> reload(c));
+                context.schedule(RETRY_S, () -> reload(claim));
               }
             });
   }
--- a/src/main/java/dev/dunefront/claim/ClaimWriter.java
+++ b/src/main/java/dev/dunefront/claim/ClaimWriter.java
@@ -22,42 +22,43 @@
 import java.util.Set;
 
 /**
- * Writes placements and ends. A job has one transaction under way at a time, which carries all that
- * has gathered; a placement is written before its start is sent, an end before its clear.
+ * Records placements and ends of attempts. Each job has one transaction in flight at a time, which
+ * contains all changes collected until then. A placement is recorded before its start message is
+ * sent, and an end before its clear message.
  */
 final class ClaimWriter {
   private static final System.Logger LOG = System.getLogger(ClaimWriter.class.getName());
 
-  /** Offers from several holders come close together; the best are taken, not the first. */
+  /** Offers of several holders arrive close together; collects them to accept the cheapest. */
   private static final double OFFER_COLLECTION_S = 0.012;
 
   /**
-   * Ends wait this long for others to share their transaction, and under pressure up to as much
-   * again for each second that a change has to wait: the worker keeps what has ended, its room is
-   * dealt already, and the last end of a job is written at once.
+   * Delay of ends, so that several share a transaction; grows by the same amount for each second
+   * that writes are delayed by the rate limit (up to {@link #MAX_PRESSURE_DELAY_S}). The delay is
+   * harmless: the worker keeps the ended attempt, its capacity is already offered again, and the
+   * last end of a job is written immediately.
    */
   private static final double END_BATCHING_S = 2;
 
   /**
-   * While changes have to wait for the budget anyway, what is to be recorded gathers before its
-   * transaction is made, so that each carries the more; but no longer than this.
+   * Maximum time for which changes are collected while the write budget is exhausted. They would
+   * wait anyway, and each transaction then contains more of them.
    */
   private static final double MAX_PRESSURE_DELAY_S = 1;
 
+  /** Write delays below this are treated as none. */
   private static final double PRESSURE_THRESHOLD_S = 0.05;
 
-  /** Changes of a transaction that places some tasks: the job, its team, two chunks. */
+  /** Number of changes in a typical placement: the job, its team and two chunks. */
   private static final int TYPICAL_CHANGES = 4;
 
-  /** By then other controllers have answered whether they lend changes, in seconds. */
+  /** Time within which other controllers answer a request to lend write budget. */
   private static final double BORROWED_BUDGET_REPLY_S = 0.05;
 
-  /**
-   * What a job has been granted and does not use for so long it gives back; sooner where its team
-   * has less left than that job has been granted.
-   */
+  /** A job returns granted quota that it has not used for this time. */
   private static final double UNUSED_GRANT_RETURN_S = 30;
 
+  /** The same if the team has less quota left than the job has been granted. */
   private static final double SCARCE_GRANT_RETURN_S = 5;
 
   private final ControllerContext context;
@@ -70,408 +71,450 @@
   ClaimWriter(
       ControllerContext context,
       Quotas quotas,
-      ZoneConstraints zones,
+      ZoneConstraints zoneConstraints,
       WantPlacement wantPlacement,
-      MachineTable room,
+      MachineTable machineTable,
       Claims claims) {
     this.context = context;
     this.quotas = quotas;
     this.wantPlacement = wantPlacement;
-    this.machineTable = room;
+    this.machineTable = machineTable;
     this.claims = claims;
-    this.planner = new TransactionPlanner(context, zones, wantPlacement);
+    this.planner = new TransactionPlanner(context, zoneConstraints, wantPlacement);
   }
 
-  void scheduleFlush(Claim c) {
-    if (c.flushScheduled) {
+  /** Schedules a flush once offers of several holders have been collected. */
+  void scheduleFlush(Claim claim) {
+    if (claim.flushScheduled) {
       return;
     }
-    c.flushScheduled = true;
+    claim.flushScheduled = true;
     context.schedule(
         OFFER_COLLECTION_S,
         () -> {
-          c.flushScheduled = false;
-          flush(c);
+          claim.flushScheduled = false;
+          flush(claim);
         });
   }
 
-  void declineAll(Claim c) {
-    c.offers.forEach(this::decline);
-    c.offers.clear();
+  /** Declines all received offers of a claim. */
+  void declineAll(Claim claim) {
+    claim.offers.forEach(this::decline);
+    claim.offers.clear();
   }
 
-  private void decline(ReceivedOffer h) {
+  private void decline(ReceivedOffer received) {
     context
         .peers()
-        .send(h.holder(), new Message.DeclineOffer(h.offer().offerId(), h.offer().host()));
+        .send(
+            received.holder(),
+            new Message.DeclineOffer(received.offer().offerId(), received.offer().host()));
   }
 
-  /** Whether what there is to record can wait for more. */
-  private boolean canBatch(Claim c, Quotas.Quota quota) {
-    if (!c.offers.isEmpty() || !c.open()) {
+  /** Whether the pending changes may wait for others to share their transaction. */
+  private boolean canBatch(Claim claim, Quotas.Quota quota) {
+    if (!claim.offers.isEmpty() || !claim.open()) {
       return false;
     }
-    int done = c.done;
-    for (EndedAttempt e : c.unrecordedEnds) {
-      if (e.outcome() != AttemptOutcome.DONE) {
+    int done = claim.done;
+    for (EndedAttempt ended : claim.unrecordedEnds) {
+      if (ended.outcome() != AttemptOutcome.DONE) {
         return false;
       }
       done++;
     }
-    // With little left of the team's limit others wait for what these give back.
-    return done < c.spec.tasks()
-        && (quota == null || quota.remainingTasks(c.size) > c.liveAttempts.size());
+    // With little of the team's limit left, other jobs wait for the quota that these ends return.
+    return done < claim.spec.tasks()
+        && (quota == null || quota.remainingTasks(claim.size) > claim.liveAttempts.size());
   }
 
+  /** Delay of writes by the rate limit, at most {@link #MAX_PRESSURE_DELAY_S}; 0 if small. */
   private double writePressureS() {
     double delay = context.store().writeDelayS();
     return delay < PRESSURE_THRESHOLD_S ? 0 : Math.min(MAX_PRESSURE_DELAY_S, delay);
   }
 
-  /** Whether what there is has waited long enough; if not, it is looked at again in time. */
-  private boolean isDue(Claim c, double waitS) {
+  /** Whether the pending changes have waited long enough; if not, schedules another flush. */
+  private boolean isDue(Claim claim, double waitS) {
     double now = context.now();
-    if (waitS > 0 && now + 0.002 < c.flushDueAt) {
-      if (now + waitS < c.flushDueAt) {
-        c.flushDueAt = now + waitS;
-        context.schedule(waitS, () -> flush(c));
-        if (!c.offers.isEmpty() && waitS > BORROWED_BUDGET_REPLY_S) {
-          context.schedule(BORROWED_BUDGET_REPLY_S, () -> flush(c));
+    if (waitS > 0 && now + 0.002 < claim.flushDueAt) {
+      if (now + waitS < claim.flushDueAt) {
+        claim.flushDueAt = now + waitS;
+        context.schedule(waitS, () -> flush(claim));
+        if (!claim.offers.isEmpty() && waitS > BORROWED_BUDGET_REPLY_S) {
+          context.schedule(BORROWED_BUDGET_REPLY_S, () -> flush(claim));
         }
       }
       return false;
     }
-    c.flushDueAt = Double.POSITIVE_INFINITY;
+    claim.flushDueAt = Double.POSITIVE_INFINITY;
     return true;
   }
 
-  void flush(Claim c) {
-    if (c.committing || c.loading || c.released) {
+  /** Records the pending changes of a claim if they are due and no transaction is in flight. */
+  void flush(Claim claim) {
+    if (claim.committing || claim.loading || claim.released) {
       return;
     }
-    if (!c.startable()) {
-      declineAll(c);
+    if (!claim.isStartable()) {
+      declineAll(claim);
     }
-    boolean over = !c.open() && c.liveAttempts.isEmpty();
-    Quotas.Quota quota = quotas.of(c.spec.team());
-    boolean returns = shouldReturnGrant(c, quota);
-    if (c.offers.isEmpty() && c.unrecordedEnds.isEmpty() && !over && !returns) {
+    boolean finishing = !claim.open() && claim.liveAttempts.isEmpty();
+    Quotas.Quota quota = quotas.quotaOf(claim.spec.team());
+    boolean returnsGrant = shouldReturnGrant(claim, quota);
+    if (claim.offers.isEmpty() && claim.unrecordedEnds.isEmpty() && !finishing && !returnsGrant) {
       return;
     }
-    if (!c.offers.isEmpty()) {
+    if (!claim.offers.isEmpty()) {
       context.store().anticipateWrites(TYPICAL_CHANGES);
     }
     double pressure = writePressureS();
-    if (!over
-        && !returns
-        && !isDue(c, canBatch(c, quota) ? END_BATCHING_S * (1 + pressure) : pressure)) {
+    if (!finishing
+        && !returnsGrant
+        && !isDue(claim, canBatch(claim, quota) ? END_BATCHING_S * (1 + pressure) : pressure)) {
       return;
     }
     if (quota != null && quota.updating) {
-      quota.waiters.add(() -> flush(c));
+      quota.waiters.add(() -> flush(claim));
       return;
     }
-    PlannedTransaction f = planner.plan(c, quota, returns, this::decline);
-    if (f.starts().isEmpty() && f.ends().isEmpty() && !over && f.granted() == c.record.granted()) {
+    PlannedTransaction plan = planner.plan(claim, quota, returnsGrant, this::decline);
+    if (plan.starts().isEmpty()
+        && plan.ends().isEmpty()
+        && !finishing
+        && plan.granted() == claim.record.granted()) {
       return;
     }
-    write(c, f, quota);
+    write(claim, plan, quota);
   }
 
   /**
-   * Whether the job is to give back what it was granted of its team's limit and has not used for a
-   * while. Its next end may do so, but that may be minutes away, and until then other jobs of the
-   * team would wait beside room, with the team below its limit; how large their tasks are is not
-   * known here, so little is much to some of them.
+   * Whether the job must return granted quota that it has not used for a while. Its next recorded
+   * end could return it, but that may be minutes away, and until then other jobs of the team would
+   * wait although capacity is free and the team is below its limit. Even a small amount is
+   * returned, because the task sizes of the other jobs are not known here.
    */
-  private boolean shouldReturnGrant(Claim c, Quotas.Quota quota) {
-    if (!planner.hasUnusedGrant(c, quota)) {
-      c.grantUnusedSince = Double.POSITIVE_INFINITY;
+  private boolean shouldReturnGrant(Claim claim, Quotas.Quota quota) {
+    if (!planner.hasUnusedGrant(claim, quota)) {
+      claim.grantUnusedSince = Double.POSITIVE_INFINITY;
       return false;
     }
     double now = context.now();
-    c.grantUnusedSince = Math.min(c.grantUnusedSince, now);
-    boolean tight = quota.remainingTasks(c.size) < c.record.granted();
-    return now - c.grantUnusedSince >= (tight ? SCARCE_GRANT_RETURN_S : UNUSED_GRANT_RETURN_S);
+    claim.grantUnusedSince = Math.min(claim.grantUnusedSince, now);
+    boolean scarce = quota.remainingTasks(claim.size) < claim.record.granted();
+    return now - claim.grantUnusedSince >= (scarce ? SCARCE_GRANT_RETURN_S : UNUSED_GRANT_RETURN_S);
   }
 
-  private void write(Claim c, PlannedTransaction f, Quotas.Quota quota) {
-    String mark = context.store().newWriteId();
+  private void write(Claim claim, PlannedTransaction plan, Quotas.Quota quota) {
+    String writeId = context.store().newWriteId();
     int txnOps = context.settings().stateLimits().txnOps();
-    Txn txn = new Txn().requireRevision(JobRecord.key(c.id()), c.revision);
-    int doneAfter = c.done;
+    Txn txn = new Txn().requireRevision(JobRecord.key(claim.id()), claim.revision);
+    int doneAfter = claim.done;
     boolean anyPlaced = false;
-    for (var e : f.chunks().entrySet()) {
-      Chunk old = c.chunks.get(e.getKey());
-      txn.requireRevision(Chunk.key(c.id(), e.getKey()), old == null ? 0 : old.revision);
-      doneAfter += e.getValue().done.cardinality() - (old == null ? 0 : old.done.cardinality());
+    for (var entry : plan.chunks().entrySet()) {
+      Chunk old = claim.chunks.get(entry.getKey());
+      txn.requireRevision(Chunk.key(claim.id(), entry.getKey()), old == null ? 0 : old.revision);
+      doneAfter += entry.getValue().done.cardinality() - (old == null ? 0 : old.done.cardinality());
     }
-    for (var e : c.chunks.entrySet()) {
-      anyPlaced |= !f.chunks().getOrDefault(e.getKey(), e.getValue()).placed.isEmpty();
+    for (var entry : claim.chunks.entrySet()) {
+      anyPlaced |= !plan.chunks().getOrDefault(entry.getKey(), entry.getValue()).placed.isEmpty();
     }
-    Status last = null;
-    if (c.open() && doneAfter == c.spec.tasks() && !c.spec.service()) {
-      last = Status.DONE;
-    } else if (!c.open() && !anyPlaced) {
-      last = c.record.status();
+    Status finalStatus = null;
+    if (claim.open() && doneAfter == claim.spec.tasks() && !claim.spec.service()) {
+      finalStatus = Status.DONE;
+    } else if (!claim.open() && !anyPlaced) {
+      finalStatus = claim.record.status();
     }
-    // A job in more chunks than a transaction takes is emptied first, a few chunks at a time.
-    boolean fits = c.chunks.size() + f.chunks().size() + 4 <= txnOps;
+    // A job with more chunks than one transaction can remove is emptied first, a few chunks at a
+    // time.
+    boolean fitsOneTransaction = claim.chunks.size() + plan.chunks().size() + 4 <= txnOps;
     Set<String> hosts = new HashSet<>();
-    for (PlannedStart s : f.starts()) {
-      if (hosts.add(s.placement().host())) {
-        HoldTable.condition(txn, s.placement().host(), s.receivedOffer().offer().holdRevision());
+    for (PlannedStart start : plan.starts()) {
+      if (hosts.add(start.placement().host())) {
+        HoldTable.condition(
+            txn, start.placement().host(), start.receivedOffer().offer().holdRevision());
       }
     }
-    for (EndedAttempt e : f.ends()) {
-      if (e.conditional() && hosts.add(e.placement().host())) {
-        HoldTable.condition(txn, e.placement().host(), e.holdRevision());
+    for (EndedAttempt ended : plan.ends()) {
+      if (ended.conditional() && hosts.add(ended.placement().host())) {
+        HoldTable.condition(txn, ended.placement().host(), ended.holdRevision());
       }
     }
-    JobRecord rewritten = null;
-    List<Integer> emptied = new ArrayList<>();
-    int granted = last == null ? f.granted() : 0;
-    if (last != null && fits) {
-      txn.put(JobRecord.finalKey(c.id()), JobRecord.finalToDocument(last, mark));
-      txn.remove(JobRecord.key(c.id()));
-      c.chunks.keySet().forEach(i -> txn.remove(Chunk.key(c.id(), i)));
-    } else if (last != null) {
-      rewritten = c.record.withStatus(last).withGranted(0);
-      txn.put(JobRecord.key(c.id()), rewritten.toDocument(mark));
-      for (int i : c.chunks.keySet()) {
-        if (emptied.size() + 4 < txnOps) {
-          emptied.add(i);
-          txn.remove(Chunk.key(c.id(), i));
+    JobRecord newRecord = null;
+    List<Integer> removedChunks = new ArrayList<>();
+    int granted = finalStatus == null ? plan.granted() : 0;
+    if (finalStatus != null && fitsOneTransaction) {
+      txn.put(JobRecord.finalKey(claim.id()), JobRecord.finalToDocument(finalStatus, writeId));
+      txn.remove(JobRecord.key(claim.id()));
+      claim.chunks.keySet().forEach(i -> txn.remove(Chunk.key(claim.id(), i)));
+    } else if (finalStatus != null) {
+      newRecord = claim.record.withStatus(finalStatus).withGranted(0);
+      txn.put(JobRecord.key(claim.id()), newRecord.toDocument(writeId));
+      for (int i : claim.chunks.keySet()) {
+        if (removedChunks.size() + 4 < txnOps) {
+          removedChunks.add(i);
+          txn.remove(Chunk.key(claim.id(), i));
         }
       }
     } else {
-      f.chunks().forEach((i, chunk) -> txn.put(Chunk.key(c.id(), i), chunk.write(mark)));
-      if (granted != c.record.granted()) {
-        rewritten = c.record.withGranted(granted);
-        txn.put(JobRecord.key(c.id()), rewritten.toDocument(mark));
+      plan.chunks()
+          .forEach((i, chunk) -> txn.put(Chunk.key(claim.id(), i), chunk.toDocument(writeId)));
+      if (granted != claim.record.granted()) {
+        newRecord = claim.record.withGranted(granted);
+        txn.put(JobRecord.key(claim.id()), newRecord.toDocument(writeId));
       }
     }
-    boolean regrant = quota != null && granted != c.record.granted();
+    boolean grantChanged = quota != null && granted != claim.record.granted();
     Resources used =
-        regrant ? quota.used.plus(c.size.times(granted - c.record.granted())) : Resources.NONE;
-    if (regrant) {
+        grantChanged
+            ? quota.used.plus(claim.size.times(granted - claim.record.granted()))
+            : Resources.NONE;
+    if (grantChanged) {
       quota.updating = true;
-      txn.requireRevision(quota.key(), quota.revision).put(quota.key(), Quotas.write(used, mark));
+      txn.requireRevision(quota.key(), quota.revision)
+          .put(quota.key(), Quotas.toDocument(used, writeId));
     }
     if (context.store().writeDelayS() > PRESSURE_THRESHOLD_S) {
-      // The record may come later than offers live: their holders hear that they are answered.
-      for (PlannedStart s : f.starts()) {
-        Message.Offer o = s.receivedOffer().offer();
+      // The write may take longer than offers are valid, so holders are notified to keep them.
+      for (PlannedStart start : plan.starts()) {
+        Message.Offer offer = start.receivedOffer().offer();
         context
             .peers()
-            .send(s.receivedOffer().holder(), new Message.ReserveOffer(o.offerId(), o.host()));
+            .send(
+                start.receivedOffer().holder(),
+                new Message.ReserveOffer(offer.offerId(), offer.host()));
       }
     }
-    c.committing = true;
-    c.startsInFlight = f.starts().size();
-    Status finalStatus = last;
-    JobRecord record = rewritten;
+    claim.committing = true;
+    claim.startsInFlight = plan.starts().size();
+    Status committedStatus = finalStatus;
+    JobRecord record = newRecord;
     context
         .store()
         .commit(
             txn,
-            mark,
-            urgency(c),
-            done -> {
-              c.committing = false;
-              c.startsInFlight = 0;
-              if (done.ok()) {
-                if (regrant) {
-                  quotas.applyUpdate(quota, Quotas.write(used, mark), done.revision());
+            writeId,
+            requestPriority(claim),
+            result -> {
+              claim.committing = false;
+              claim.startsInFlight = 0;
+              if (result.ok()) {
+                if (grantChanged) {
+                  quotas.applyUpdate(quota, Quotas.toDocument(used, writeId), result.revision());
                 }
-                // Whatever comes of it, the team's record is free for others again.
+                // The decision lock contains failures, so that the quota is released in any case.
                 context
                     .decisionLock()
                     .run(
-                        () -> committed(c, f, finalStatus, record, emptied, mark, done.revision()));
-              } else if (!c.released) {
-                commitRejected(c, f, done);
+                        () ->
+                            committed(
+                                claim,
+                                plan,
+                                committedStatus,
+                                record,
+                                removedChunks,
+                                writeId,
+                                result.revision()));
+              } else if (!claim.released) {
+                commitRejected(claim, plan, result);
               } else {
-                f.starts().forEach(s -> decline(s.receivedOffer()));
+                plan.starts().forEach(start -> decline(start.receivedOffer()));
               }
-              if (regrant && !done.ok() && done.failed().contains(quota.key())) {
-                refreshQuota(quota, c);
-              } else if (regrant) {
+              if (grantChanged && !result.ok() && result.failed().contains(quota.key())) {
+                refreshQuota(quota, claim);
+              } else if (grantChanged) {
                 quota.release();
               }
             });
   }
 
   /**
-   * What the lowest priority has to record waits behind all else: a swarm of small jobs would use
-   * up the budget, and the others' starts would wait for room that they have.
+   * Writes of best-effort jobs have the lowest request priority, unless the job's start is
+   * escalated: many small jobs could otherwise use up the write budget and delay the starts of
+   * other jobs that already have capacity.
    */
-  private static StateStore.RequestPriority urgency(Claim c) {
-    return c.spec.priority() == Priority.BEST_EFFORT && c.startStage == StartEscalation.Stage.NONE
+  private static StateStore.RequestPriority requestPriority(Claim claim) {
+    return claim.spec.priority() == Priority.BEST_EFFORT
+            && claim.startStage == StartEscalation.Stage.NONE
         ? StateStore.RequestPriority.BACKGROUND
         : StateStore.RequestPriority.CORE;
   }
 
-  /** Whether the hold of a machine is not any more what it was at that stamp. */
-  private static boolean holdConditionFailed(Set<String> failed, String host, long stamp) {
+  /** Whether the condition that a machine's hold is unchanged since this version has failed. */
+  private static boolean isHoldConditionFailed(Set<String> failed, String host, long revision) {
     return failed.contains(HoldTable.key(host))
-        || stamp < 0 && failed.contains(HoldTable.ROSTER_KEY);
+        || revision < 0 && failed.contains(HoldTable.ROSTER_KEY);
   }
 
   private void committed(
-      Claim c,
-      PlannedTransaction f,
-      Status last,
-      JobRecord rewritten,
-      List<Integer> emptied,
-      String mark,
+      Claim claim,
+      PlannedTransaction plan,
+      Status finalStatus,
+      JobRecord newRecord,
+      List<Integer> removedChunks,
+      String writeId,
       long revision) {
-    for (EndedAttempt e : f.ends()) {
-      if (e.outcome() == AttemptOutcome.LOST) {
-        // While this was written the machine may have shown the attempt, which counted as placed.
-        c.hostsToCompare.add(e.placement().host());
+    for (EndedAttempt ended : plan.ends()) {
+      if (ended.outcome() == AttemptOutcome.LOST) {
+        // A view that arrived during the write may show this attempt, which still counted as placed
+        // then; it is compared again.
+        claim.hostsToCompare.add(ended.placement().host());
       } else {
-        MachineTable.Entry s = machineTable.get(e.placement().host());
-        if (s != null) {
+        MachineTable.Entry machine = machineTable.get(ended.placement().host());
+        if (machine != null) {
           context
               .peers()
               .send(
-                  s.holder(),
+                  machine.holder(),
                   new Message.ClearTask(
-                      e.placement().host(),
-                      c.record.term(),
-                      c.id(),
-                      e.number(),
-                      e.placement().attempt()));
+                      ended.placement().host(),
+                      claim.record.term(),
+                      claim.id(),
+                      ended.number(),
+                      ended.placement().attempt()));
         }
       }
     }
-    if (last != null && rewritten == null) {
-      // The replica may have shown the end before the answer came.
-      claims.jobFinished(c, last, revision);
+    if (finalStatus != null && newRecord == null) {
+      // The replica may have applied the end before the response arrived.
+      claims.jobFinished(claim, finalStatus, revision);
       return;
     }
-    if (c.released) {
-      // Written just before the claim went to another controller, which will find it.
+    if (claim.released) {
+      // Recorded just before another controller took over the claim; that one reads it.
       return;
     }
-    for (PlannedStart s : f.starts()) {
-      Message.Offer o = s.receivedOffer().offer();
-      if (!c.startable()) {
-        // Cancelled while it was recorded: it is never started, and its holder soon says so.
-        decline(s.receivedOffer());
+    for (PlannedStart start : plan.starts()) {
+      Message.Offer offer = start.receivedOffer().offer();
+      if (!claim.isStartable()) {
+        // The job was cancelled during the write: the attempt is never started, and its holder will
+        // deny it when queried.
+        decline(start.receivedOffer());
         continue;
       }
-      if (c.strays.blocks(s.number())) {
-        // It is recorded; never started, its holder denies it when asked, and it is placed anew.
+      if (claim.strays.blocks(start.number())) {
+        // The placement is recorded but never started; its holder denies the attempt when queried,
+        // and the task is placed again.
         context
             .safety()
             .invariantViolated(
                 Invariant.STARTED_BESIDE_ANOTHER_ATTEMPT,
-                c.id() + "/" + s.number() + " on " + o.host() + " as " + s.placement());
-        decline(s.receivedOffer());
+                claim.id()
+                    + "/"
+                    + start.number()
+                    + " on "
+                    + offer.host()
+                    + " as "
+                    + start.placement());
+        decline(start.receivedOffer());
         continue;
       }
       LOG.log(
           Level.DEBUG,
-          "placed {0}/{1} on {2}: attempt {3}, term {4}, offer of {5}, token {6}, session {7},"
-              + " hold stamp {8}",
-          c.id(),
-          s.number(),
-          o.host(),
-          s.placement().attempt(),
-          c.record.term(),
-          s.receivedOffer().holder(),
-          o.token(),
-          o.session(),
-          o.holdRevision());
+          "placed task {0}/{1} on {2}: attempt {3}, term {4}, offer from {5}, token {6},"
+              + " session {7}, hold revision {8}",
+          claim.id(),
+          start.number(),
+          offer.host(),
+          start.placement().attempt(),
+          claim.record.term(),
+          start.receivedOffer().holder(),
+          offer.token(),
+          offer.session(),
+          offer.holdRevision());
       context
           .peers()
           .send(
-              s.receivedOffer().holder(),
+              start.receivedOffer().holder(),
               new Message.StartTask(
-                  o.offerId(),
-                  o.host(),
-                  o.token(),
-                  s.placement().session(),
-                  c.record.term(),
-                  c.id(),
-                  s.number(),
-                  s.placement().attempt()));
+                  offer.offerId(),
+                  offer.host(),
+                  offer.token(),
+                  start.placement().session(),
+                  claim.record.term(),
+                  claim.id(),
+                  start.number(),
+                  start.placement().attempt()));
     }
-    if (rewritten != null) {
-      if (revision > c.revision) {
-        // Otherwise somebody has cancelled the job since, and the replica has shown that before
-        // the answer came: taken for open again, the job would never end.
-        c.record = rewritten;
-        c.revision = revision;
+    if (newRecord != null) {
+      if (revision > claim.revision) {
+        // Otherwise another controller has cancelled the job since, and the replica has applied
+        // that before the response arrived. Replacing it with the older open record would keep the
+        // job from ever ending.
+        claim.record = newRecord;
+        claim.revision = revision;
       }
-      context.jobs().applyOwnWrite(c.id(), rewritten, mark, revision);
+      context.jobs().applyOwnWrite(claim.id(), newRecord, writeId, revision);
     }
-    if (last != null) {
-      emptied.forEach(c.chunks::remove);
-      c.clearLiveAttempts();
-      flush(c);
+    if (finalStatus != null) {
+      removedChunks.forEach(claim.chunks::remove);
+      claim.clearLiveAttempts();
+      flush(claim);
       return;
     }
-    f.chunks().forEach((i, chunk) -> c.installChunk(i, chunk.copy(revision)));
+    plan.chunks().forEach((i, chunk) -> claim.installChunk(i, chunk.copy(revision)));
     double now = context.now();
-    f.starts().forEach(s -> c.liveAttempts.get(s.number()).probedAt = now);
-    if (!f.starts().isEmpty()) {
-      wantPlacement.resetReach(c, now);
+    plan.starts().forEach(start -> claim.liveAttempts.get(start.number()).queriedAt = now);
+    if (!plan.starts().isEmpty()) {
+      wantPlacement.resetReach(claim, now);
     }
-    claims.reevaluate(c);
+    claims.reevaluate(claim);
   }
 
-  /** Another controller has changed the team's record: it is read before it is changed again. */
-  private void refreshQuota(Quotas.Quota quota, Claim c) {
+  /** Reads the team's record again after another controller has changed it, then retries. */
+  private void refreshQuota(Quotas.Quota quota, Claim claim) {
     context
         .store()
         .get(
             quota.key(),
             StateStore.RequestPriority.CORE,
-            got -> {
-              if (got.outcome() == StateStore.Outcome.OK) {
-                quotas.applyUpdate(quota, got.value(), got.revision());
+            result -> {
+              if (result.outcome() == StateStore.Outcome.OK) {
+                quotas.applyUpdate(quota, result.value(), result.revision());
               }
               quota.release();
-              flush(c);
+              flush(claim);
             });
   }
 
-  private void commitRejected(Claim c, PlannedTransaction f, StateStore.WriteResult done) {
-    Set<String> failed = new HashSet<>(done.failed());
-    LOG.log(Level.DEBUG, "recording of {0} refused: {1}", c.id(), failed);
-    boolean jobFailed = failed.contains(JobRecord.key(c.id()));
-    boolean chunkFailed = failed.stream().anyMatch(k -> k.startsWith(Chunk.prefix(c.id())));
-    for (PlannedStart s : f.starts()) {
+  private void commitRejected(Claim claim, PlannedTransaction plan, StateStore.WriteResult result) {
+    Set<String> failed = new HashSet<>(result.failed());
+    LOG.log(
+        Level.DEBUG,
+        "transaction for job {0} rejected, failed conditions: {1}",
+        claim.id(),
+        failed);
+    boolean jobFailed = failed.contains(JobRecord.key(claim.id()));
+    boolean chunkFailed = failed.stream().anyMatch(k -> k.startsWith(Chunk.prefix(claim.id())));
+    for (PlannedStart start : plan.starts()) {
       if (jobFailed
           || chunkFailed
-          || holdConditionFailed(
-              failed, s.placement().host(), s.receivedOffer().offer().holdRevision())) {
-        decline(s.receivedOffer());
+          || isHoldConditionFailed(
+              failed, start.placement().host(), start.receivedOffer().offer().holdRevision())) {
+        decline(start.receivedOffer());
       } else {
-        c.offers.add(s.receivedOffer());
+        claim.offers.add(start.receivedOffer());
       }
     }
-    for (EndedAttempt e : f.ends()) {
-      boolean proofGone =
-          e.conditional() && holdConditionFailed(failed, e.placement().host(), e.holdRevision());
-      LiveAttempt l = c.liveAttempts.get(e.number());
-      if (proofGone && l != null) {
-        // Looked at again, for what has changed the hold may prove it as well: the machine's end,
-        // confirmed while this was believed, is not told of a second time.
-        l.ended = false;
-        l.reported = false;
+    for (EndedAttempt ended : plan.ends()) {
+      boolean proofInvalid =
+          ended.conditional()
+              && isHoldConditionFailed(failed, ended.placement().host(), ended.holdRevision());
+      LiveAttempt attempt = claim.liveAttempts.get(ended.number());
+      if (proofInvalid && attempt != null) {
+        // Checks the attempt again, because the change of the hold may prove its end as well: a
+        // machine deletion that was confirmed while this proof was pending is not reported twice.
+        attempt.ended = false;
+        attempt.reported = false;
       } else {
-        c.unrecordedEnds.add(e);
+        claim.unrecordedEnds.add(ended);
       }
     }
     if (jobFailed || chunkFailed || failed.isEmpty()) {
-      declineAll(c);
-      claims.reload(c);
+      declineAll(claim);
+      claims.reload(claim);
       return;
     }
-    context.schedule(0.05, () -> flush(c));
+    context.schedule(0.05, () -> flush(claim));
   }
 }
--- a/src/main/java/dev/dunefront/claim/Claims.java
+++ b/src/main/java/dev/dunefront/claim/Claims.java
@@ -18,9 +18,9 @@
 import java.util.Set;
 
 /**
- * The jobs that this controller has claimed: claims them and gives them up, and hands what happens
- * to {@link WantPlacement}, which asks for room, {@link ClaimWriter}, which writes what is placed
- * and what has ended, and {@link Reconciliation}, which finds out how attempts ended.
+ * The jobs that this controller has claimed. Adopts and releases claims, and dispatches events to
+ * {@link WantPlacement}, which queues wants for capacity, {@link ClaimWriter}, which records
+ * placements and ends, and {@link Reconciliation}, which determines how attempts ended.
  */
 public final class Claims {
   private static final System.Logger LOG = System.getLogger(Claims.class.getName());
@@ -44,7 +44,7 @@
   private final ClaimAdmission admission;
   private final JobStatistics statistics;
 
-  /** Jobs whose size has been learned from. */
+  /** Ids of the jobs that the ranking and the arrival rate already include. */
   private final Set<String> learnedJobs = new HashSet<>();
 
   private boolean reevaluationScheduled;
@@ -73,8 +73,9 @@
             turnover);
     claimWriter =
         new ClaimWriter(context, quotas, zoneConstraints, wantPlacement, machineTable, this);
-    AttemptTermination ends = new AttemptTermination(context, machineTable, ranking, turnover);
-    reconciliation = new Reconciliation(context, machineTable, claimWriter, ends);
+    AttemptTermination attemptTermination =
+        new AttemptTermination(context, machineTable, ranking, turnover);
+    reconciliation = new Reconciliation(context, machineTable, claimWriter, attemptTermination);
     takeover = new Takeover(context, this);
     loader = new ClaimLoader(context, this, reconciliation);
     admission = new ClaimAdmission(context, machineTable);
@@ -85,7 +86,7 @@
     return machineTable;
   }
 
-  /** What this controller asks the others to tell of their machines. */
+  /** How much detail this controller requests about machines held by other controllers. */
   public CapacitySubscription capacitySubscription() {
     return capacitySubscription;
   }
@@ -94,27 +95,28 @@
     return ranking;
   }
 
-  /** What there is to tell of jobs. */
+  /** Task counts and unmet demand of jobs. */
   public JobStatistics statistics() {
     return statistics;
   }
 
   // ---- claiming ----
 
-  /** Whether a job may be claimed beside what is claimed already. */
+  /** Whether a job may be claimed in addition to the present claims. */
   boolean admits(JobSpec spec) {
     return admission.admits(spec, claims.values());
   }
 
-  /** Whether a job that has just come may be claimed at once. */
+  /** Whether a newly submitted job may be claimed immediately. */
   public boolean admitsAtOnce(JobSpec spec) {
     return admission.admitsAtOnce(spec, claims.values());
   }
 
-  /** Whether a claimed job like these has yet to begin. */
-  boolean hasUnstartedEquivalent(SearchThrottle.EquivalenceClass shape) {
-    for (Claim c : claims.values()) {
-      if (c.equivalenceClass.equals(shape) && !StartEscalation.startedOrClosed(c)) {
+  /** Whether a claimed job of this equivalence class has not started yet. */
+  boolean hasUnstartedEquivalent(SearchThrottle.EquivalenceClass equivalenceClass) {
+    for (Claim claim : claims.values()) {
+      if (claim.equivalenceClass.equals(equivalenceClass)
+          && !StartEscalation.isStartedOrClosed(claim)) {
         return true;
       }
     }
@@ -127,79 +129,84 @@
   }
 
   /**
-   * Takes charge of a job whose record names this incarnation already. It goes by the record as the
+   * Starts to manage a job whose record already names this incarnation. Uses the record as the
    * replica shows it, not as it was written: another controller may have cancelled the job before
-   * the answer to the write was here. By what was written the claim would wait for ever for a
-   * change that has been, and the cancellation never end.
+   * the response to the write arrived. With the written version the claim would wait forever for a
+   * change that has already been applied, and the cancellation would never complete.
    *
-   * @param fresh nothing of it can have been placed yet
+   * @param neverPlaced whether no task of the job can have been placed yet
    */
-  public void adopt(String id, boolean fresh) {
-    JobTable.Entry e = context.jobs().get(id);
+  public void adopt(String id, boolean neverPlaced) {
+    JobTable.Entry entry = context.jobs().get(id);
     if (claims.containsKey(id)
-        || e == null
-        || !e.record().isClaimedBy(context.membership().ownIncarnation())) {
+        || entry == null
+        || !entry.record().isClaimedBy(context.membership().ownIncarnation())) {
       return;
     }
-    Claim c = new Claim(e.record(), e.revision(), context.tunables().reach(), context.now());
-    c.endRequested = context.jobs().isEndingOrEnded(id);
-    claims.put(c.id(), c);
-    reconciliation.claimStarted(c);
-    takeover.adopted(c.id());
-    statistics.forgetRemote(c.id());
-    if (fresh) {
-      reevaluate(c);
+    Claim claim =
+        new Claim(entry.record(), entry.revision(), context.tunables().reach(), context.now());
+    claim.endRequested = context.jobs().isEndingOrEnded(id);
+    claims.put(claim.id(), claim);
+    reconciliation.claimStarted(claim);
+    takeover.adopted(claim.id());
+    statistics.forgetRemote(claim.id());
+    if (neverPlaced) {
+      reevaluate(claim);
     } else {
-      loader.load(c);
+      loader.load(claim);
     }
   }
 
-  /** Reads the job's record anew, and with it whether the claim still stands. */
-  void reload(Claim c) {
-    loader.reload(c);
+  /** Reads the job's record again and releases the claim if it is no longer valid. */
+  void reload(Claim claim) {
+    loader.reload(claim);
   }
 
-  /** Gives a claim up: another controller has the job, or it is over. */
-  void release(Claim c) {
-    c.released = true;
-    reconciliation.claimEnded(c);
-    wantPlacement.withdrawWants(c);
-    claimWriter.declineAll(c);
-    claims.remove(c.id(), c);
+  /** Releases a claim because another controller has claimed the job or the job has ended. */
+  void release(Claim claim) {
+    claim.released = true;
+    reconciliation.claimEnded(claim);
+    wantPlacement.withdrawWants(claim);
+    claimWriter.declineAll(claim);
+    claims.remove(claim.id(), claim);
   }
 
-  /** Another controller has recorded that the job is to end. */
+  /** Handles the notice that another controller has recorded the job's cancellation. */
   public void jobCancelled(String id) {
-    Claim c = claims.get(id);
-    if (c != null && c.startable()) {
-      c.endRequested = true;
-      wantPlacement.withdrawWants(c);
-      claimWriter.declineAll(c);
+    Claim claim = claims.get(id);
+    if (claim != null && claim.isStartable()) {
+      claim.endRequested = true;
+      wantPlacement.withdrawWants(claim);
+      claimWriter.declineAll(claim);
     }
   }
 
-  /** The job's end is written. */
-  void jobFinished(Claim c, Status last, long revision) {
-    c.released = true;
-    reconciliation.claimEnded(c);
-    claims.remove(c.id(), c);
-    wantPlacement.withdrawWants(c);
-    claimWriter.declineAll(c);
-    LOG.log(Level.INFO, "{0} is {1}", c.id(), last);
-    context.jobs().applyOwnFinalWrite(c.id(), last, revision);
-    // Users ask anywhere; told so, nobody need read it.
-    context.peers().broadcast(new Message.JobEnded(c.id(), last == Status.DONE));
+  /** Releases the claim of a job whose final state has been recorded. */
+  void jobFinished(Claim claim, Status status, long revision) {
+    claim.released = true;
+    reconciliation.claimEnded(claim);
+    claims.remove(claim.id(), claim);
+    wantPlacement.withdrawWants(claim);
+    claimWriter.declineAll(claim);
+    LOG.log(Level.INFO, "job {0} finished with status {1}", claim.id(), status);
+    context.jobs().applyOwnFinalWrite(claim.id(), status, revision);
+    // Users may query any controller; the broadcast saves the others a read of the record.
+    context.peers().broadcast(new Message.JobEnded(claim.id(), status == Status.DONE));
   }
 
-  /** Forgets all claims, for this controller has become another incarnation. */
+  /** Releases all claims because this controller has become a new incarnation. */
   public void incarnationChanged() {
-    for (Claim c : List.copyOf(claims.values())) {
-      release(c);
+    for (Claim claim : List.copyOf(claims.values())) {
+      release(claim);
     }
     takeover.incarnationChanged();
   }
 
-  /** A live record has changed; null means that it is gone. */
+  /**
+   * Handles a change of the record of an unfinished job.
+   *
+   * @param entry the new record; null if it has been removed
+   */
   public void jobChanged(String id, JobTable.Entry before, JobTable.Entry entry) {
     takeover.jobChanged(before, entry);
     if (entry == null) {
@@ -209,73 +216,74 @@
       ranking.jobSeen(entry.record().spec());
       idleCapacity.arrived(entry.record());
     }
-    Claim c = claims.get(id);
-    if (c == null || entry != null && entry.revision() <= c.revision) {
+    Claim claim = claims.get(id);
+    if (claim == null || entry != null && entry.revision() <= claim.revision) {
       return;
     }
     if (entry == null || !entry.record().isClaimedBy(context.membership().ownIncarnation())) {
-      release(c);
+      release(claim);
       return;
     }
-    c.record = entry.record();
-    c.revision = entry.revision();
-    if (!c.open()) {
-      wantPlacement.withdrawWants(c);
-      claimWriter.declineAll(c);
+    claim.record = entry.record();
+    claim.revision = entry.revision();
+    if (!claim.open()) {
+      wantPlacement.withdrawWants(claim);
+      claimWriter.declineAll(claim);
     }
-    reevaluate(c);
+    reevaluate(claim);
   }
 
   // ---- messages ----
 
   public void received(String from, Message message) {
-    if (message instanceof MachineView v) {
-      MachineTable.Entry old = machineTable.put(from, v, context.now());
-      if (old != null && (!old.holder().equals(from) || old.view().token() != v.token())) {
-        wantsLost(v.host());
+    if (message instanceof MachineView view) {
+      MachineTable.Entry previous = machineTable.put(from, view, context.now());
+      if (previous != null
+          && (!previous.holder().equals(from) || previous.view().token() != view.token())) {
+        wantsLost(view.host());
       }
-      reconciliation.viewReceived(machineTable.get(v.host()), claims);
+      reconciliation.viewReceived(machineTable.get(view.host()), claims);
       scheduleReevaluation();
-    } else if (message instanceof Message.HoldReleased u) {
-      if (machineTable.remove(from, u.host())) {
-        wantsLost(u.host());
+    } else if (message instanceof Message.HoldReleased unheld) {
+      if (machineTable.remove(from, unheld.host())) {
+        wantsLost(unheld.host());
         scheduleReevaluation();
       }
-    } else if (message instanceof Message.Offer o) {
-      offerReceived(from, o);
-    } else if (message instanceof Message.AttemptAbsent a) {
-      Claim c = claims.get(a.job());
-      LiveAttempt l = c == null ? null : c.liveAttempts.get(a.number());
-      if (l != null
-          && !l.ended
-          && l.placement.attempt() == a.attempt()
-          && l.placement.host().equals(a.host())) {
-        reconciliation.attemptDenied(from, a, c, l);
+    } else if (message instanceof Message.Offer offer) {
+      offerReceived(from, offer);
+    } else if (message instanceof Message.AttemptAbsent absent) {
+      Claim claim = claims.get(absent.job());
+      LiveAttempt attempt = claim == null ? null : claim.liveAttempts.get(absent.number());
+      if (attempt != null
+          && !attempt.ended
+          && attempt.placement.attempt() == absent.attempt()
+          && attempt.placement.host().equals(absent.host())) {
+        reconciliation.attemptDenied(from, absent, claim, attempt);
       }
-    } else if (message instanceof Message.JobProgress p) {
-      statistics.progressReceived(p);
+    } else if (message instanceof Message.JobProgress progress) {
+      statistics.progressReceived(progress);
     }
   }
 
-  private void offerReceived(String from, Message.Offer o) {
-    Claim c = claims.get(o.job());
-    if (c != null) {
-      c.queuedWants.computeIfPresent(o.host(), (h, n) -> n > 1 ? n - 1 : null);
+  private void offerReceived(String from, Message.Offer offer) {
+    Claim claim = claims.get(offer.job());
+    if (claim != null) {
+      claim.queuedWants.computeIfPresent(offer.host(), (host, n) -> n > 1 ? n - 1 : null);
     }
-    // While the state cannot be written an offer would only keep room from others.
-    if (c == null
-        || c.loading
-        || !c.startable()
+    // While the state service is unavailable, a kept offer would only block capacity for others.
+    if (claim == null
+        || claim.loading
+        || !claim.isStartable()
         || context.store().unavailable()
         || !context.standstill().current()) {
-      context.peers().send(from, new Message.DeclineOffer(o.offerId(), o.host()));
+      context.peers().send(from, new Message.DeclineOffer(offer.offerId(), offer.host()));
     } else {
-      c.offers.add(new ReceivedOffer(from, o, context.now()));
-      claimWriter.scheduleFlush(c);
+      claim.offers.add(new ReceivedOffer(from, offer, context.now()));
+      claimWriter.scheduleFlush(claim);
     }
   }
 
-  /** A controller's link here is gone: what it told of its machines no longer holds. */
+  /** Discards the views received from a controller whose connection is lost. */
   public void peerDisconnected(String node) {
     for (String host : machineTable.removeAll(node)) {
       wantsLost(host);
@@ -283,36 +291,36 @@
     scheduleReevaluation();
   }
 
-  /** A controller can be reached again: all wants are parked anew with it. */
+  /** Queues all wants again at the machines of a controller that is reachable again. */
   public void peerConnected(String node) {
     capacitySubscription.peerConnected(node);
-    for (MachineTable.Entry s : machineTable.all()) {
-      if (s.holder().equals(node)) {
-        wantsLost(s.view().host());
+    for (MachineTable.Entry machine : machineTable.all()) {
+      if (machine.holder().equals(node)) {
+        wantsLost(machine.view().host());
       }
     }
     scheduleReevaluation();
   }
 
-  /** The hold record of a machine has changed; only its confirmed end matters here. */
+  /** Handles a change of a machine's hold record; only its confirmed deletion matters here. */
   public void holdChanged(String host) {
     HoldTable.Hold hold = context.holds().recordOf(host);
     if (hold != null && hold.machineDeleted()) {
-      for (Claim c : List.copyOf(claims.values())) {
-        reconciliation.endAttemptsOn(c, host);
+      for (Claim claim : List.copyOf(claims.values())) {
+        reconciliation.endAttemptsOn(claim, host);
       }
     }
   }
 
   private void wantsLost(String host) {
-    for (Claim c : claims.values()) {
-      wantPlacement.wantsLost(c, host);
+    for (Claim claim : claims.values()) {
+      wantPlacement.wantsLost(claim, host);
     }
   }
 
   // ---- time ----
 
-  /** Looks at all claims shortly; changes that come together are looked at once. */
+  /** Schedules a reevaluation of all claims; changes that arrive meanwhile share it. */
   private void scheduleReevaluation() {
     if (reevaluationScheduled) {
       return;
@@ -327,84 +335,85 @@
   }
 
   private void reevaluateAll() {
-    List<Claim> all = new ArrayList<>(claims.values());
-    all.sort(
-        Comparator.comparing((Claim c) -> c.spec.priority())
-            .thenComparing(c -> c.record.acceptedMs()));
-    SearchThrottle.throttle(all);
-    all.forEach(c -> context.decisionLock().run(() -> reevaluate(c)));
+    List<Claim> ordered = new ArrayList<>(claims.values());
+    ordered.sort(
+        Comparator.comparing((Claim claim) -> claim.spec.priority())
+            .thenComparing(claim -> claim.record.acceptedMs()));
+    SearchThrottle.throttle(ordered);
+    ordered.forEach(claim -> context.decisionLock().run(() -> reevaluate(claim)));
   }
 
-  void reevaluate(Claim c) {
-    if (c.released || c.loading) {
+  void reevaluate(Claim claim) {
+    if (claim.released || claim.loading) {
       return;
     }
-    reconciliation.comparePending(c);
-    claimWriter.flush(c);
-    if (!c.released && !context.store().unavailable()) {
-      wantPlacement.updateWants(c);
+    reconciliation.comparePending(claim);
+    claimWriter.flush(claim);
+    if (!claim.released && !context.store().unavailable()) {
+      wantPlacement.updateWants(claim);
     }
   }
 
-  /** Called several times a second. */
+  /** Runs periodic work; called several times per second. */
   public void tick() {
     double now = context.now();
     takeover.tick(now);
     reconciliation.tick();
-    for (Claim c : List.copyOf(claims.values())) {
-      // What cannot be done for one job is no reason to leave the others alone.
+    for (Claim claim : List.copyOf(claims.values())) {
+      // Each claim is a decision of its own, so that a failure in one does not affect the others.
       context
           .decisionLock()
           .run(
               () -> {
-                if (!c.startable() && !c.loading) {
-                  stopAllAttempts(c, now);
+                if (!claim.isStartable() && !claim.loading) {
+                  stopAllAttempts(claim, now);
                 }
-                reconciliation.recheckMissing(c);
-                logIfStartOverdue(c);
+                reconciliation.recheckMissing(claim);
+                logIfStartOverdue(claim);
               });
     }
     reevaluateAll();
     capacitySubscription.tick();
   }
 
-  /** Names what the fleet has not served in time, once. */
-  private void logIfStartOverdue(Claim c) {
-    if (c.overdueLogged || c.loading || StartEscalation.startedOrClosed(c)) {
+  /** Logs once that a job has not started within the configured time. */
+  private void logIfStartOverdue(Claim claim) {
+    if (claim.overdueLogged || claim.loading || StartEscalation.isStartedOrClosed(claim)) {
       return;
     }
-    double ageS = c.ageS(context.timers().wallClockMs());
+    double ageS = claim.ageS(context.timers().wallClockMs());
     if (ageS > context.tunables().beginS()) {
-      c.overdueLogged = true;
+      claim.overdueLogged = true;
       LOG.log(
           Level.INFO,
-          "{0}, a {1} of {2}, has not begun after {3} s: its tasks take {4} CPUs, {5} GB, types {6}",
-          c.id(),
-          c.spec.jobClass(),
-          c.spec.team(),
+          "job {0}, class {1}, team {2}, has not started after {3} s; each task needs {4} CPUs,"
+              + " {5} GB, machine types {6}",
+          claim.id(),
+          claim.spec.jobClass(),
+          claim.spec.team(),
           Math.round(ageS),
-          c.size.cpu(),
-          c.size.ram(),
-          c.spec.machineTypes());
+          claim.size.cpu(),
+          claim.size.ram(),
+          claim.spec.machineTypes());
     }
   }
 
-  private void stopAllAttempts(Claim c, double now) {
-    for (var e : c.liveAttempts.entrySet()) {
-      LiveAttempt l = e.getValue();
-      MachineTable.Entry s = machineTable.get(l.placement.host());
-      if (s != null && now - l.stopSentAt > STOP_RETRY_S) {
-        l.stopSentAt = now;
+  private void stopAllAttempts(Claim claim, double now) {
+    for (var entry : claim.liveAttempts.entrySet()) {
+      LiveAttempt attempt = entry.getValue();
+      MachineTable.Entry machine = machineTable.get(attempt.placement.host());
+      if (machine != null && now - attempt.stopSentAt > STOP_RETRY_S) {
+        attempt.stopSentAt = now;
         context
             .peers()
             .send(
-                s.holder(),
+                machine.holder(),
                 new Message.StopTask(
-                    l.placement.host(),
-                    c.record.term(),
-                    c.id(),
-                    e.getKey(),
-                    l.placement.attempt(),
+                    attempt.placement.host(),
+                    claim.record.term(),
+                    claim.id(),
+                    entry.getKey(),
+                    attempt.placement.attempt(),
                     0));
       }
     }
--- a/src/main/java/dev/dunefront/claim/IdleCapacity.java
+++ b/src/main/java/dev/dunefront/claim/IdleCapacity.java
@@ -6,21 +6,22 @@
 import java.util.ArrayDeque;
 
 /**
- * How much of the free room is idle, which the lowest priority may have. Room that will be wanted
- * in a moment is not: whoever takes it has to save and leave again, and whoever wants it waits for
- * that. As much is expected to come as came just now, so where nothing else comes all is idle.
+ * Estimates how much of the free capacity is idle and so available to best-effort jobs. Capacity
+ * that other jobs will request shortly does not count: a best-effort task placed there would have
+ * to save its state and leave, and the other job would wait for that. The expected demand equals
+ * the recent arrivals, so without other arrivals all free capacity is idle.
  */
 final class IdleCapacity {
-  /** What came in the last so many seconds is expected in the next as many. */
+  /** The arrivals of the last such period are expected in the next one. */
   private static final double ARRIVAL_WINDOW_S = 10;
 
-  /** How long a count is good for, in seconds. */
+  /** How long a computed value is reused. */
   private static final double CACHE_S = 0.25;
 
   private final ControllerContext context;
   private final MachineTable machineTable;
 
-  /** Jobs that have come lately, whatever has become of them since. */
+  /** A recently submitted job, regardless of its present state. */
   private record Arrival(long atMs, long cpu) {}
 
   private final ArrayDeque<Arrival> arrived = new ArrayDeque<>();
@@ -28,12 +29,14 @@
   private double idleCpuAt = Double.NEGATIVE_INFINITY;
   private long idleCpu;
 
-  IdleCapacity(ControllerContext context, MachineTable room) {
+  IdleCapacity(ControllerContext context, MachineTable machineTable) {
     this.context = context;
-    this.machineTable = room;
+    this.machineTable = machineTable;
   }
 
-  /** How many tasks of the job this controller may have parked wants for in idle room. */
+  /**
+   * How many tasks of the job this controller may queue wants for; unlimited unless best-effort.
+   */
   int maxTasks(JobSpec spec) {
     if (spec.priority() != Priority.BEST_EFFORT || spec.taskResources().cpu() <= 0) {
       return Integer.MAX_VALUE;
@@ -44,37 +47,37 @@
       idleCpu = freeCpu() - expectedCpu();
     }
     int controllers = Math.max(1, context.membership().liveNodes().size());
-    long part = Math.max(0, idleCpu) / controllers;
+    long share = Math.max(0, idleCpu) / controllers;
     return (int)
         Math.min(
             Integer.MAX_VALUE,
-            (part + spec.taskResources().cpu() - 1) / spec.taskResources().cpu());
+            (share + spec.taskResources().cpu() - 1) / spec.taskResources().cpu());
   }
 
   private long freeCpu() {
     long cpu = 0;
-    for (MachineTable.Entry s : machineTable.withFreeCapacity()) {
-      cpu += s.view().free().cpu();
+    for (MachineTable.Entry machine : machineTable.withFreeCapacity()) {
+      cpu += machine.view().free().cpu();
     }
     return cpu;
   }
 
   private long expectedCpu() {
-    long since = context.timers().wallClockMs() - Math.round(ARRIVAL_WINDOW_S * 1000);
-    while (!arrived.isEmpty() && arrived.peek().atMs() < since) {
+    long sinceMs = context.timers().wallClockMs() - Math.round(ARRIVAL_WINDOW_S * 1000);
+    while (!arrived.isEmpty() && arrived.peek().atMs() < sinceMs) {
       arrivedCpu -= arrived.poll().cpu();
     }
     return arrivedCpu;
   }
 
-  /** A job has been seen for the first time. */
+  /** Counts a job that is seen for the first time. */
   void arrived(JobRecord job) {
     JobSpec spec = job.spec();
-    long since = context.timers().wallClockMs() - Math.round(ARRIVAL_WINDOW_S * 1000);
-    if (spec.priority() != Priority.BEST_EFFORT && job.acceptedMs() >= since) {
-      Arrival a = new Arrival(job.acceptedMs(), spec.tasks() * spec.taskResources().cpu());
-      arrived.add(a);
-      arrivedCpu += a.cpu;
+    long sinceMs = context.timers().wallClockMs() - Math.round(ARRIVAL_WINDOW_S * 1000);
+    if (spec.priority() != Priority.BEST_EFFORT && job.acceptedMs() >= sinceMs) {
+      Arrival arrival = new Arrival(job.acceptedMs(), spec.tasks() * spec.taskResources().cpu());
+      arrived.add(arrival);
+      arrivedCpu += arrival.cpu;
     }
   }
 }
--- a/src/main/java/dev/dunefront/claim/JobStatistics.java
+++ b/src/main/java/dev/dunefront/claim/JobStatistics.java
@@ -11,50 +11,55 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What users, operators and the other controllers are told of jobs: counts, and what waits. */
+/**
+ * Task counts and waiting demand of jobs, as reported to users, operators and the other
+ * controllers.
+ */
 public final class JobStatistics {
   private final ControllerContext context;
   private final Map<String, Claim> claims;
   private final Quotas quotas;
-  private final ZoneConstraints zones;
-  private final MachineTable room;
+  private final ZoneConstraints zoneConstraints;
+  private final MachineTable machineTable;
 
-  /** Task counts of jobs that others have claimed, as they tell. */
+  /** Latest task counts received for jobs that other controllers have claimed. */
   private final Map<String, Counts> remoteCounts = new HashMap<>();
 
-  /** The claims are those of this controller, by job, as they are at any time. */
+  /**
+   * @param claims live view of this controller's claims, by job id
+   */
   JobStatistics(
       ControllerContext context,
       Map<String, Claim> claims,
       Quotas quotas,
-      ZoneConstraints zones,
-      MachineTable room) {
+      ZoneConstraints zoneConstraints,
+      MachineTable machineTable) {
     this.context = context;
     this.claims = claims;
     this.quotas = quotas;
-    this.zones = zones;
-    this.room = room;
+    this.zoneConstraints = zoneConstraints;
+    this.machineTable = machineTable;
   }
 
-  /** What another controller has told of a job no longer counts: it is claimed here, or over. */
+  /** Discards the counts received for a job that is now claimed here or has ended. */
   void forgetRemote(String id) {
     remoteCounts.remove(id);
   }
 
-  /** Another controller tells of the jobs that it has claimed. */
+  /** Stores the counts that another controller sent for its claimed jobs. */
   void progressReceived(Message.JobProgress progress) {
-    for (Message.JobCounts n : progress.counts()) {
-      if (!claims.containsKey(n.job()) && context.jobs().get(n.job()) != null) {
-        remoteCounts.put(n.job(), new Counts(n.done(), n.running(), n.placed()));
+    for (Message.JobCounts count : progress.counts()) {
+      if (!claims.containsKey(count.job()) && context.jobs().get(count.job()) != null) {
+        remoteCounts.put(count.job(), new Counts(count.done(), count.running(), count.placed()));
       }
     }
   }
 
-  /** Tasks of an open job that are neither done nor placed, as its claimant has told last. */
+  /** Tasks of an open job that are neither done nor placed, by the latest counts known here. */
   int unstarted(JobSpec spec) {
-    Claim c = claims.get(spec.id());
-    if (c != null) {
-      return c.unstarted();
+    Claim claim = claims.get(spec.id());
+    if (claim != null) {
+      return claim.unstarted();
     }
     Counts counts = counts(spec.id());
     return Math.max(0, spec.tasks() - counts.done() - counts.placed());
@@ -64,62 +69,63 @@
   public record Counts(int done, int running, int placed) {}
 
   public Counts counts(String id) {
-    Claim c = claims.get(id);
-    return c == null
+    Claim claim = claims.get(id);
+    return claim == null
         ? remoteCounts.getOrDefault(id, new Counts(0, 0, 0))
-        : new Counts(c.done, running(c), c.liveAttempts.size());
+        : new Counts(claim.done, running(claim), claim.liveAttempts.size());
   }
 
-  private static int running(Claim c) {
+  private static int running(Claim claim) {
     int running = 0;
-    for (Claim.LiveAttempt l : c.liveAttempts.values()) {
-      if (l.state == Message.State.RUNNING || l.state == Message.State.SAVING) {
+    for (Claim.LiveAttempt attempt : claim.liveAttempts.values()) {
+      if (attempt.state == Message.State.RUNNING || attempt.state == Message.State.SAVING) {
         running++;
       }
     }
     return running;
   }
 
-  /** What has changed in the counts of claimed jobs since this was last asked. */
+  /** Counts of the claimed jobs that have changed since the previous call. */
   public Message.JobProgress changedProgress() {
     List<Message.JobCounts> changed = new ArrayList<>();
-    for (Claim c : claims.values()) {
-      int running = running(c);
-      int placed = c.liveAttempts.size();
-      if (c.done != c.publishedDone
-          || running != c.publishedRunning
-          || placed != c.publishedPlaced) {
-        c.publishedDone = c.done;
-        c.publishedRunning = running;
-        c.publishedPlaced = placed;
-        changed.add(new Message.JobCounts(c.id(), c.done, running, placed));
+    for (Claim claim : claims.values()) {
+      int running = running(claim);
+      int placed = claim.liveAttempts.size();
+      if (claim.done != claim.publishedDone
+          || running != claim.publishedRunning
+          || placed != claim.publishedPlaced) {
+        claim.publishedDone = claim.done;
+        claim.publishedRunning = running;
+        claim.publishedPlaced = placed;
+        changed.add(new Message.JobCounts(claim.id(), claim.done, running, placed));
       }
     }
     return new Message.JobProgress(changed);
   }
 
-  /** A class of jobs of one team. */
+  /** The jobs of one class and team. */
   public record JobGroup(String jobClass, String team) {}
 
-  /** By group the age in seconds of its oldest open job of which nothing has ever been placed. */
+  /** For each group, the age in seconds of its oldest open job with no task placed or done. */
   public Map<JobGroup, Integer> oldestUnstartedAgesS() {
     long now = context.timers().wallClockMs();
     Map<JobGroup, Integer> oldest = new HashMap<>();
-    for (JobTable.Entry e : context.jobs().all()) {
-      JobSpec spec = e.record().spec();
-      if (e.record().status() == Status.OPEN && unstarted(spec) == spec.tasks()) {
-        int ageS = (int) (Math.max(0, now - e.record().acceptedMs()) / 1000);
+    for (JobTable.Entry entry : context.jobs().all()) {
+      JobSpec spec = entry.record().spec();
+      if (entry.record().status() == Status.OPEN && unstarted(spec) == spec.tasks()) {
+        int ageS = (int) (Math.max(0, now - entry.record().acceptedMs()) / 1000);
         oldest.merge(new JobGroup(spec.jobClass(), spec.team()), ageS, Math::max);
       }
     }
     return oldest;
   }
 
-  /** The greatest of these; 0 if there is none. */
+  /** The maximum over all groups of {@link #oldestUnstartedAgesS}; 0 if there is none. */
   public int oldestUnstartedAgeS() {
     return oldestUnstartedAgesS().values().stream().mapToInt(Integer::intValue).max().orElse(0);
   }
 
+  /** Number of jobs claimed by this controller. */
   public int claimedJobs() {
     return claims.size();
   }
@@ -129,49 +135,56 @@
     return claims.values().stream().mapToInt(Claim::unstarted).sum();
   }
 
-  /** What waits for room here. */
+  /**
+   * The demand of this controller's claims for capacity, and the machines without a usable view.
+   */
   public Message.Demand demand() {
-    List<Message.PendingTasks> waiting = new ArrayList<>();
-    Map<SearchThrottle.EquivalenceClass, Integer> heads = new HashMap<>();
-    Map<SearchThrottle.EquivalenceClass, Integer> behind = new HashMap<>();
+    List<Message.PendingTasks> pending = new ArrayList<>();
+    Map<SearchThrottle.EquivalenceClass, Integer> firstIndexes = new HashMap<>();
+    Map<SearchThrottle.EquivalenceClass, Integer> throttledTasks = new HashMap<>();
     double now = context.now();
-    for (Claim c : claims.values()) {
-      int n = c.unstarted();
-      Quotas.Quota q = quotas.of(c.spec.team());
-      if (q != null) {
-        n = Math.min(n, c.startsAllowed(q));
+    for (Claim claim : claims.values()) {
+      int tasks = claim.unstarted();
+      Quotas.Quota quota = quotas.quotaOf(claim.spec.team());
+      if (quota != null) {
+        tasks = Math.min(tasks, claim.startsAllowed(quota));
       }
-      if (n > 0 && !c.suspectedFaulty() && now >= c.notBefore) {
-        Map<String, Integer> left = zones.remainingTasks(c, context.catalog().zones());
-        if (c.searchThrottled && left.isEmpty()) {
-          // In the place of the one at the head of the line, whoever that is.
-          behind.merge(c.equivalenceClass, n, Integer::sum);
+      if (tasks > 0 && !claim.isSuspectedFaulty() && now >= claim.notBefore) {
+        Map<String, Integer> remainingByZone =
+            zoneConstraints.remainingTasks(claim, context.catalog().zones());
+        if (claim.searchThrottled && remainingByZone.isEmpty()) {
+          // Added below to the first equivalent job that is listed.
+          throttledTasks.merge(claim.equivalenceClass, tasks, Integer::sum);
         } else {
-          waiting.add(new Message.PendingTasks(c.id(), n, left));
-          heads.putIfAbsent(c.equivalenceClass, waiting.size() - 1);
+          pending.add(new Message.PendingTasks(claim.id(), tasks, remainingByZone));
+          firstIndexes.putIfAbsent(claim.equivalenceClass, pending.size() - 1);
         }
       }
     }
-    behind.forEach(
-        (shape, n) -> {
-          Integer head = heads.get(shape);
-          if (head != null) {
-            Message.PendingTasks w = waiting.get(head);
-            waiting.set(head, new Message.PendingTasks(w.job(), w.count() + n, w.roomByZone()));
+    throttledTasks.forEach(
+        (equivalenceClass, tasks) -> {
+          Integer firstIndex = firstIndexes.get(equivalenceClass);
+          if (firstIndex != null) {
+            Message.PendingTasks first = pending.get(firstIndex);
+            pending.set(
+                firstIndex,
+                new Message.PendingTasks(first.job(), first.count() + tasks, first.roomByZone()));
           }
         });
-    Set<String> unheard = new HashSet<>();
-    for (Claim c : claims.values()) {
-      Set<String> hosts = new HashSet<>(c.hosts());
-      hosts.addAll(c.strays.hosts());
+    Set<String> hostsWithoutView = new HashSet<>();
+    for (Claim claim : claims.values()) {
+      Set<String> hosts = new HashSet<>(claim.hosts());
+      hosts.addAll(claim.strays.hosts());
       for (String host : hosts) {
-        MachineTable.Entry seen = room.get(host);
-        // A holder that has never had a report under its token cannot prove anything by its clock.
-        if (seen == null || !seen.view().tokenAcknowledged() && !seen.view().leaseExpired()) {
-          unheard.add(host);
+        MachineTable.Entry machine = machineTable.get(host);
+        // Until its worker has reported under the holder's token, the holder cannot prove by its
+        // own clock that a lease has expired.
+        if (machine == null
+            || !machine.view().tokenAcknowledged() && !machine.view().leaseExpired()) {
+          hostsWithoutView.add(host);
         }
       }
     }
-    return new Message.Demand(waiting, List.copyOf(unheard));
+    return new Message.Demand(pending, List.copyOf(hostsWithoutView));
   }
 }
--- a/src/main/java/dev/dunefront/claim/MachineTable.java
+++ b/src/main/java/dev/dunefront/claim/MachineTable.java
@@ -9,17 +9,26 @@
 import java.util.Map;
 
 /**
- * All held machines as their holders describe them. Machines are kept by kind as well, and those
- * with room apart, so that no decision has to walk over all of them.
+ * All held machines with the latest view received from their holders. Also counts machines by kind
+ * and indexes those with free capacity, so that decisions need not iterate over all machines.
  */
 public final class MachineTable {
-  /** What a job may be allowed or not: type, zone, spot. Each kind has a dense index. */
+  /**
+   * The machine properties that job constraints refer to.
+   *
+   * @param index dense index of the kind
+   */
   public record Kind(int index, String type, String zone, boolean spot) {}
 
-  /** A machine as told at a time; {@code mix} spreads equal choices over machines. */
+  /**
+   * A machine and its latest view.
+   *
+   * @param tieBreaker hash that spreads equal choices over machines
+   * @param receivedAt time at which the view was received
+   */
   public record Entry(
       String holder, MachineView view, Kind kind, int tieBreaker, double receivedAt) {
-    /** Whether anything may fit right now. */
+    /** Whether the machine is schedulable and has free capacity. */
     public boolean hasFreeCapacity() {
       return view.hasFreeCapacity();
     }
@@ -32,65 +41,69 @@
   private final List<Integer> counts = new ArrayList<>();
   private long capacityIncreases;
 
+  /** Stores a view unless it is older than the known one; returns the previous entry or null. */
   Entry put(String holder, MachineView view, double now) {
-    Entry old = machines.get(view.host());
-    if (old != null && old.view.token() > view.token()) {
-      // A former holder's last words.
-      return old;
+    Entry previous = machines.get(view.host());
+    if (previous != null && previous.view.token() > view.token()) {
+      // An outdated view from a former holder.
+      return previous;
     }
-    Kind kind = old != null ? old.kind : kind(view);
-    int mix = old != null ? old.tieBreaker : view.host().hashCode() * 0x9E3779B9;
-    Entry seen = new Entry(holder, view, kind, mix, now);
-    machines.put(view.host(), seen);
-    if (old == null) {
+    Kind kind = previous != null ? previous.kind : kind(view);
+    int tieBreaker = previous != null ? previous.tieBreaker : view.host().hashCode() * 0x9E3779B9;
+    Entry current = new Entry(holder, view, kind, tieBreaker, now);
+    machines.put(view.host(), current);
+    if (previous == null) {
       counts.set(kind.index, counts.get(kind.index) + 1);
     }
-    if (seen.hasFreeCapacity()) {
-      Entry before = withFreeCapacity.put(view.host(), seen);
-      if (before == null
-          || view.free().cpu() > before.view.free().cpu()
-          || view.free().ram() > before.view.free().ram()) {
+    if (current.hasFreeCapacity()) {
+      Entry previousFree = withFreeCapacity.put(view.host(), current);
+      if (previousFree == null
+          || view.free().cpu() > previousFree.view.free().cpu()
+          || view.free().ram() > previousFree.view.free().ram()) {
         capacityIncreases++;
       }
     } else {
       withFreeCapacity.remove(view.host());
     }
-    return old;
+    return previous;
   }
 
-  private Kind kind(MachineView v) {
+  private Kind kind(MachineView view) {
     return kindsByName.computeIfAbsent(
-        v.type() + "/" + v.zone() + (v.spot() ? "/spot" : ""),
-        name -> {
-          Kind k = new Kind(kinds.size(), v.type(), v.zone(), v.spot());
-          kinds.add(k);
+        view.type() + "/" + view.zone() + (view.spot() ? "/spot" : ""),
+        key -> {
+          Kind kind = new Kind(kinds.size(), view.type(), view.zone(), view.spot());
+          kinds.add(kind);
           counts.add(0);
-          return k;
+          return kind;
         });
   }
 
+  /** Removes a machine if it is held by this holder; returns whether it was. */
   boolean remove(String holder, String host) {
-    Entry old = machines.get(host);
-    if (old == null || !old.holder.equals(holder)) {
+    Entry entry = machines.get(host);
+    if (entry == null || !entry.holder.equals(holder)) {
       return false;
     }
     machines.remove(host);
     withFreeCapacity.remove(host);
-    counts.set(old.kind.index, counts.get(old.kind.index) - 1);
+    counts.set(entry.kind.index, counts.get(entry.kind.index) - 1);
     return true;
   }
 
+  /** Removes all machines of a holder and returns their names. */
   List<String> removeAll(String holder) {
-    List<String> gone = new ArrayList<>();
-    for (Entry s : machines.values()) {
-      if (s.holder.equals(holder)) {
-        gone.add(s.view.host());
+    List<String> hosts = new ArrayList<>();
+    for (Entry machine : machines.values()) {
+      if (machine.holder.equals(holder)) {
+        hosts.add(machine.view.host());
       }
     }
-    gone.forEach(host -> remove(holder, host));
-    return gone;
+    hosts.forEach(host -> remove(holder, host));
+    return hosts;
   }
 
+  /** The entry of a machine; null if unknown. */
   public Entry get(String host) {
     return machines.get(host);
   }
@@ -99,22 +112,22 @@
     return machines.values();
   }
 
-  /** Machines with room of any size. */
+  /** Schedulable machines with any free capacity. */
   Collection<Entry> withFreeCapacity() {
     return withFreeCapacity.values();
   }
 
-  /** Every kind that was ever seen, by index. */
+  /** All kinds seen so far, by index. */
   List<Kind> kinds() {
     return kinds;
   }
 
-  /** How many machines of the kind there are. */
+  /** Number of known machines of the kind. */
   int count(Kind kind) {
     return counts.get(kind.index);
   }
 
-  /** Rises whenever room has opened somewhere. */
+  /** A counter that increases whenever the free capacity of a machine grows. */
   long capacityIncreases() {
     return capacityIncreases;
   }
--- a/src/main/java/dev/dunefront/claim/PreemptionRequests.java
+++ b/src/main/java/dev/dunefront/claim/PreemptionRequests.java
@@ -10,19 +10,25 @@
 import java.util.Queue;
 
 /**
- * Asks holders to stop young tasks of lower priority, for urgent ones that would start too late,
- * and tasks of the lowest priority, which have what lies idle, for whatever waits for room.
+ * Requests preemption from holders: of recently started tasks of lower priority for urgent tasks
+ * that would start too late, and of best-effort tasks, which only use idle capacity, for any
+ * waiting task.
  */
 final class PreemptionRequests {
+  /** Minimum waiting time before preemption is requested. */
   private static final double MIN_WAIT_S = 0.1;
+
+  /** Minimum interval between a job's requests. */
   private static final double REQUEST_INTERVAL_S = 1;
+
+  /** How long requested preemptions count as pending. */
   private static final double REQUEST_PENDING_S = 2.5;
 
-  /** What saves first takes that much longer to leave, in seconds. */
+  /** Additional time until tasks that save their state have stopped. */
   private static final double CHECKPOINT_EXTRA_S = 4;
 
-  /** How long a holder's word that there are young tasks is taken for true. */
-  private static final double YOUNG_COUNT_VALID_S = 15;
+  /** How long a view's count of preemptible tasks is valid. */
+  private static final double PREEMPTIBLE_COUNT_VALID_S = 15;
 
   private final ControllerContext context;
   private final CapacitySubscription subscription;
@@ -32,20 +38,20 @@
 
   PreemptionRequests(
       ControllerContext context,
-      CapacitySubscription interest,
-      DeadlineRanking urgencies,
-      CandidateSelection choosing,
+      CapacitySubscription subscription,
+      DeadlineRanking ranking,
+      CandidateSelection candidateSelection,
       Turnover turnover) {
     this.context = context;
-    this.subscription = interest;
-    this.ranking = urgencies;
-    this.candidateSelection = choosing;
+    this.subscription = subscription;
+    this.ranking = ranking;
+    this.candidateSelection = candidateSelection;
     this.turnover = turnover;
   }
 
-  private static boolean noneYielding(List<Candidate> choices) {
-    for (Candidate ch : choices) {
-      if (ch.full() && ch.machine().view().preemptibleBestEffort() > 0) {
+  private static boolean nonePreemptible(List<Candidate> candidates) {
+    for (Candidate candidate : candidates) {
+      if (candidate.isFull() && candidate.machine().view().preemptibleBestEffort() > 0) {
         return false;
       }
     }
@@ -53,70 +59,75 @@
   }
 
   /**
-   * Room for urgent tasks that would start too late is made where less urgent ones have just begun.
+   * Requests preemptions for a job if the free capacity, expected completions and pending requests
+   * do not cover the wanted tasks.
    */
-  void request(Claim c, List<Candidate> choices, int wanted, double now) {
-    Priority priority = c.spec.priority();
+  void request(Claim claim, List<Candidate> candidates, int wanted, double now) {
+    Priority priority = claim.spec.priority();
     if (priority == Priority.BEST_EFFORT
-        || now - c.unservedSince < MIN_WAIT_S
-        || now - c.preemptedAt < REQUEST_INTERVAL_S) {
+        || now - claim.unservedSince < MIN_WAIT_S
+        || now - claim.preemptedAt < REQUEST_INTERVAL_S) {
       return;
     }
     if (context.store().writeDelayS() > MIN_WAIT_S) {
-      // What waits then is the record, not room; stopped tasks would only have to be recorded too.
+      // Starts are delayed by writes then, not by capacity; preempted tasks would add more writes.
       return;
     }
-    // What was asked for just now is still on its way here.
-    boolean yielding = !noneYielding(choices);
-    if (now - c.preemptedAt >= REQUEST_PENDING_S + (yielding ? CHECKPOINT_EXTRA_S : 0)) {
-      c.preemptionsRequested = 0;
+    // Preemptions requested recently are still pending.
+    boolean bestEffortPreemptible = !nonePreemptible(candidates);
+    if (now - claim.preemptedAt
+        >= REQUEST_PENDING_S + (bestEffortPreemptible ? CHECKPOINT_EXTRA_S : 0)) {
+      claim.preemptionsRequested = 0;
     }
     int need = wanted;
-    for (Candidate ch : choices) {
-      need -= ch.hasRoom() ? ch.freeSlots() : 0;
+    for (Candidate candidate : candidates) {
+      need -= candidate.hasRoom() ? candidate.freeSlots() : 0;
     }
-    if (priority.urgent() && !yielding) {
-      double ageS = c.ageS(context.timers().wallClockMs());
-      // Room that becomes free is mostly where the image has yet to be fetched.
-      double leftS = ranking.startSlackS(c.spec, ageS) - candidateSelection.fastestFetchS(c);
+    if (priority.urgent() && !bestEffortPreemptible) {
+      double ageS = claim.ageS(context.timers().wallClockMs());
+      // Machines that free capacity usually have to fetch the image first.
+      double leftS =
+          ranking.startSlackS(claim.spec, ageS) - candidateSelection.fastestFetchS(claim);
       need =
           Turnover.shortage(
               need,
               turnover.waitingTasks(priority),
-              turnover.slotsPerS(c.size, candidateSelection.fittingKinds(c)),
+              turnover.slotsPerS(claim.size, candidateSelection.fittingKinds(claim)),
               leftS);
     }
-    need -= c.preemptionsRequested;
+    need -= claim.preemptionsRequested;
     if (need > 0 && priority.urgent()) {
-      // Which tasks are young is told to those alone who have to know.
-      double settledAt = subscription.require(ViewDetail.FULL);
-      if (now < settledAt) {
-        c.nextFullScanAt = Math.min(c.nextFullScanAt, settledAt);
+      // Counts of preemptible tasks of every priority are only sent at FULL detail.
+      double reliableAt = subscription.require(ViewDetail.FULL);
+      if (now < reliableAt) {
+        claim.nextFullScanAt = Math.min(claim.nextFullScanAt, reliableAt);
         return;
       }
     }
-    Queue<Candidate> best = new PriorityQueue<>(need > 0 ? choices : List.of());
-    for (Candidate ch = best.poll(); ch != null; ch = best.poll()) {
+    Queue<Candidate> best = new PriorityQueue<>(need > 0 ? candidates : List.of());
+    for (Candidate candidate = best.poll(); candidate != null; candidate = best.poll()) {
       if (need <= 0) {
         break;
       }
-      // Who is not urgent asks for what yields alone; of that there is as long as it is shown.
-      boolean fresh = now - ch.machine().receivedAt() < YOUNG_COUNT_VALID_S && priority.urgent();
-      MachineView view = ch.machine().view();
-      int n =
+      // Jobs that are not urgent preempt best-effort tasks only, whose count does not expire.
+      boolean countValid =
+          now - candidate.machine().receivedAt() < PREEMPTIBLE_COUNT_VALID_S && priority.urgent();
+      MachineView view = candidate.machine().view();
+      int count =
           Math.min(
-              ch.emptySlots(),
-              fresh ? view.preemptibleBelow(priority) : view.preemptibleBestEffort());
-      n = Math.min(need, n);
-      if (ch.full() && n > 0) {
-        need -= n;
-        c.preemptionsRequested += n;
-        c.preemptedAt = now;
+              candidate.emptySlots(),
+              countValid ? view.preemptibleBelow(priority) : view.preemptibleBestEffort());
+      count = Math.min(need, count);
+      if (candidate.isFull() && count > 0) {
+        need -= count;
+        claim.preemptionsRequested += count;
+        claim.preemptedAt = now;
         context
             .peers()
             .send(
-                ch.machine().holder(),
-                new Message.Preempt(ch.machine().view().host(), priority.ordinal(), c.size, n));
+                candidate.machine().holder(),
+                new Message.Preempt(
+                    candidate.machine().view().host(), priority.ordinal(), claim.size, count));
       }
     }
   }
--- a/src/main/java/dev/dunefront/claim/Quotas.java
+++ b/src/main/java/dev/dunefront/claim/Quotas.java
@@ -11,14 +11,15 @@
 import java.util.Map;
 
 /**
- * What is granted of each limited team's limit. Grants are written into the job records, a piece
- * ahead of the placements, in the transaction that changes the team's record; so the record is
- * exact across controllers and crashes, a claim takes its grant along, and few placements touch it.
+ * The granted part of the limit of each limited team. Grants are written into the job records,
+ * somewhat ahead of the placements, in the same transaction that updates the team's record. The
+ * record is therefore exact across controllers and crashes, a grant moves with its claim, and few
+ * placements need to update the team's record.
  */
 final class Quotas {
   private static final String PREFIX = Replica.PREFIX + "q/";
 
-  /** One team's usage; at most one transaction of this controller changes it at a time. */
+  /** One team's usage. At most one transaction of this controller updates it at a time. */
   static final class Quota {
     final Settings.Team team;
     long revision;
@@ -34,18 +35,19 @@
       return PREFIX + team.name();
     }
 
-    /** How many tasks of the size may still be granted. */
+    /** How many more tasks of this size the limit allows. */
     int remainingTasks(Resources size) {
-      long n = Integer.MAX_VALUE;
+      long tasks = Integer.MAX_VALUE;
       if (team.cpusMax() > 0 && size.cpu() > 0) {
-        n = Math.min(n, (Math.round(team.cpusMax() * 1e6) - used.cpu()) / size.cpu());
+        tasks = Math.min(tasks, (Math.round(team.cpusMax() * 1e6) - used.cpu()) / size.cpu());
       }
       if (team.gpusMax() > 0 && size.gpu() > 0) {
-        n = Math.min(n, (Math.round(team.gpusMax() * 1e6) - used.gpu()) / size.gpu());
+        tasks = Math.min(tasks, (Math.round(team.gpusMax() * 1e6) - used.gpu()) / size.gpu());
       }
-      return (int) Math.max(0, n);
+      return (int) Math.max(0, tasks);
     }
 
+    /** Ends an update and runs waiters until one of them starts the next. */
     void release() {
       updating = false;
       while (!updating && !waiters.isEmpty()) {
@@ -59,21 +61,21 @@
 
   Quotas(Settings settings, Replica replica, Runnable changed) {
     this.replica = replica;
-    for (Settings.Team t : settings.teams()) {
-      if (t.limited()) {
-        byTeam.put(t.name(), new Quota(t));
+    for (Settings.Team team : settings.teams()) {
+      if (team.limited()) {
+        byTeam.put(team.name(), new Quota(team));
       }
     }
     replica.addListener(
         PREFIX,
-        (team, value, stamp) -> {
-          Quota q = byTeam.get(team);
-          if (q == null || value == null) {
+        (team, value, revision) -> {
+          Quota quota = byTeam.get(team);
+          if (quota == null || value == null) {
             return;
           }
           try {
-            q.used = new Resources(value.count("cpu"), value.count("gpu"), 0);
-            q.revision = stamp;
+            quota.used = new Resources(value.count("cpu"), value.count("gpu"), 0);
+            quota.revision = revision;
           } catch (MalformedMessageException e) {
             throw new IllegalStateException("quota record " + team + " cannot be read", e);
           }
@@ -82,18 +84,19 @@
   }
 
   /** The team's quota, or null if it has no limit. */
-  Quota of(String team) {
+  Quota quotaOf(String team) {
     return byTeam.get(team);
   }
 
-  static Document write(Resources used, String mark) {
+  static Document toDocument(Resources used, String writeId) {
     return Document.create()
         .put("cpu", used.cpu())
         .put("gpu", used.gpu())
-        .put(StateStore.WRITE_ID_FIELD, mark);
+        .put(StateStore.WRITE_ID_FIELD, writeId);
   }
 
-  void applyUpdate(Quota q, Document value, long stamp) {
-    replica.apply(q.key(), value, stamp);
+  /** Applies a value of the team's record that was read or written here to the replica. */
+  void applyUpdate(Quota quota, Document value, long revision) {
+    replica.apply(quota.key(), value, revision);
   }
 }
--- a/src/main/java/dev/dunefront/claim/Reconciliation.java
+++ b/src/main/java/dev/dunefront/claim/Reconciliation.java
@@ -16,14 +16,14 @@
 import java.util.Set;
 
 /**
- * Compares what is recorded with what holders say, and finds out how attempts ended: by their exit,
- * or by a proof that they are gone.
+ * Compares the records with the views sent by holders and determines how attempts ended: by their
+ * exit, or by a proof that they can no longer run.
  */
 final class Reconciliation {
   private static final System.Logger LOG = System.getLogger(Reconciliation.class.getName());
 
-  /** A holder is asked again for an attempt that it does not show after so long, in seconds. */
-  private static final double PROBE_RETRY_S = 1.5;
+  /** Interval between queries for an attempt that is missing from its holder's views. */
+  private static final double QUERY_RETRY_S = 1.5;
 
   private final ControllerContext context;
   private final MachineTable machineTable;
@@ -33,70 +33,77 @@
   private final UnclaimedJobHosts unclaimedJobHosts = new UnclaimedJobHosts();
 
   Reconciliation(
-      ControllerContext context, MachineTable room, ClaimWriter recorder, AttemptTermination ends) {
+      ControllerContext context,
+      MachineTable machineTable,
+      ClaimWriter claimWriter,
+      AttemptTermination attemptTermination) {
     this.context = context;
-    this.machineTable = room;
-    this.claimWriter = recorder;
-    this.attemptTermination = ends;
+    this.machineTable = machineTable;
+    this.claimWriter = claimWriter;
+    this.attemptTermination = attemptTermination;
     this.strayTermination = new StrayTermination(context);
   }
 
-  /** A holder has told of a machine: every job with tasks there is compared with what it says. */
-  void viewReceived(MachineTable.Entry seen, Map<String, Claim> claims) {
-    MachineView v = seen.view();
-    Set<Claim> concerned = new LinkedHashSet<>();
-    for (TaskStatus t : v.tasks()) {
-      Claim c = claims.get(t.job());
-      if (c != null) {
-        concerned.add(c);
+  /** Compares a new view of a machine with every claimed job that has tasks there. */
+  void viewReceived(MachineTable.Entry machine, Map<String, Claim> claims) {
+    MachineView view = machine.view();
+    Set<Claim> affected = new LinkedHashSet<>();
+    for (TaskStatus task : view.tasks()) {
+      Claim claim = claims.get(task.job());
+      if (claim != null) {
+        affected.add(claim);
       } else {
-        unclaimedJobHosts.add(t.job(), v.host(), context.now());
+        unclaimedJobHosts.add(task.job(), view.host(), context.now());
       }
     }
-    for (Claim c : claims.values()) {
-      if (!c.liveAttemptsOn(v.host()).isEmpty()
-          || !c.strays.isEmpty() && !c.strays.onHost(v.host()).isEmpty()) {
-        concerned.add(c);
+    for (Claim claim : claims.values()) {
+      if (!claim.liveAttemptsOn(view.host()).isEmpty()
+          || !claim.strays.isEmpty() && !claim.strays.onHost(view.host()).isEmpty()) {
+        affected.add(claim);
       }
     }
-    for (Claim c : concerned) {
-      compare(c, seen);
+    for (Claim claim : affected) {
+      compare(claim, machine);
     }
   }
 
-  /** A claim begins: it has yet to read which machines have shown its tasks. */
-  void claimStarted(Claim c) {
-    c.hostsToCompare.addAll(unclaimedJobHosts.take(c.id()));
+  /** Marks the machines that showed tasks of a newly claimed job for comparison. */
+  void claimStarted(Claim claim) {
+    claim.hostsToCompare.addAll(unclaimedJobHosts.take(claim.id()));
   }
 
-  /** A claim is given up or over; whoever takes the job is shown what no record names. */
-  void claimEnded(Claim c) {
-    strayTermination.claimEnded(c);
+  /** Stops tracking the strays of a released claim; the next claimant sees them in its views. */
+  void claimEnded(Claim claim) {
+    strayTermination.claimEnded(claim);
   }
 
-  /** Called several times a second. */
+  /** Runs periodic work; called several times per second. */
   void tick() {
     unclaimedJobHosts.expire(context.now());
   }
 
-  /** Compares what is recorded of a job on a machine with what the machine's holder says. */
-  void compare(Claim c, MachineTable.Entry seen) {
-    if (seen == null) {
+  /**
+   * Compares the recorded attempts of a job on a machine with the machine's latest view.
+   *
+   * @param machine null if no view of the machine is known
+   */
+  void compare(Claim claim, MachineTable.Entry machine) {
+    if (machine == null) {
       return;
     }
-    if (c.loading) {
-      c.hostsToCompare.add(seen.view().host());
+    if (claim.loading) {
+      claim.hostsToCompare.add(machine.view().host());
       return;
     }
-    c.hostsToCompare.remove(seen.view().host());
-    Map<Integer, LiveAttempt> placed = c.liveAttemptsOn(seen.view().host());
-    Map<Integer, TaskStatus> shown = new HashMap<>();
+    claim.hostsToCompare.remove(machine.view().host());
+    Map<Integer, LiveAttempt> placed = claim.liveAttemptsOn(machine.view().host());
+    Map<Integer, TaskStatus> reported = new HashMap<>();
     List<TaskStatus> unrecorded = new ArrayList<>();
-    for (TaskStatus task : seen.view().tasks()) {
-      if (task.job().equals(c.id())) {
+    for (TaskStatus task : machine.view().tasks()) {
+      if (task.job().equals(claim.id())) {
         LiveAttempt live = placed.get(task.number());
         if (live != null && live.placement.attempt() == task.attempt()) {
-          shown.put(task.number(), task);
+          reported.put(task.number(), task);
         } else {
           unrecorded.add(task);
         }
@@ -105,94 +112,103 @@
     placed.forEach(
         (number, live) -> {
           if (!live.ended) {
-            compare(c, number, live, shown.get(number), seen);
+            compare(claim, number, live, reported.get(number), machine);
           }
         });
-    strayTermination.stopUnrecorded(c, unrecorded, seen);
-    if (!c.unrecordedEnds.isEmpty()) {
-      claimWriter.flush(c);
+    strayTermination.stopUnrecorded(claim, unrecorded, machine);
+    if (!claim.unrecordedEnds.isEmpty()) {
+      claimWriter.flush(claim);
     }
   }
 
-  /** Compares one placed task; {@code shown} is null if the view does not show its attempt. */
+  /**
+   * Compares one placed task with the view.
+   *
+   * @param reported the attempt's state; null if the view does not include it
+   */
   private void compare(
-      Claim c, int number, LiveAttempt live, TaskStatus shown, MachineTable.Entry seen) {
-    MachineView view = seen.view();
-    live.reported = shown != null;
-    Basis basis = Basis.of(seen.holder(), view, context.now() - seen.receivedAt());
-    EndProof proof = EndProof.find(live.placement.toAttempt(), shown, view, basis);
+      Claim claim, int number, LiveAttempt live, TaskStatus reported, MachineTable.Entry machine) {
+    MachineView view = machine.view();
+    live.reported = reported != null;
+    Basis basis = Basis.of(machine.holder(), view, context.now() - machine.receivedAt());
+    EndProof proof = EndProof.find(live.placement.toAttempt(), reported, view, basis);
     if (proof != null) {
-      attemptTermination.recordEnd(c, number, live, proof);
-    } else if (shown != null) {
-      updateState(c, number, live, shown, view.host());
-    } else if (view.tokenAcknowledged() && context.now() - live.probedAt > PROBE_RETRY_S) {
-      live.probedAt = context.now();
+      attemptTermination.recordEnd(claim, number, live, proof);
+    } else if (reported != null) {
+      updateState(claim, number, live, reported, view.host());
+    } else if (view.tokenAcknowledged() && context.now() - live.queriedAt > QUERY_RETRY_S) {
+      live.queriedAt = context.now();
       long attempt = live.placement.attempt();
       context
           .peers()
           .send(
-              seen.holder(),
-              new Message.AttemptQuery(view.host(), c.record.term(), c.id(), number, attempt));
+              machine.holder(),
+              new Message.AttemptQuery(
+                  view.host(), claim.record.term(), claim.id(), number, attempt));
     }
   }
 
-  private void updateState(Claim c, int number, LiveAttempt live, TaskStatus shown, String host) {
-    if (live.state != shown.state()) {
-      LOG.log(Level.DEBUG, "{0}/{1} is {2} on {3}", c.id(), number, shown.state(), host);
+  /** Updates the state of a live attempt from the view. */
+  private void updateState(
+      Claim claim, int number, LiveAttempt live, TaskStatus reported, String host) {
+    if (live.state != reported.state()) {
+      LOG.log(
+          Level.DEBUG, "task {0}/{1} is {2} on {3}", claim.id(), number, reported.state(), host);
     }
-    if (shown.state() == Message.State.RUNNING
+    if (reported.state() == Message.State.RUNNING
         && (live.state == Message.State.PENDING || live.state == Message.State.FETCHING)) {
       live.runningSince = context.now();
     }
-    live.state = shown.state();
+    live.state = reported.state();
   }
 
-  /** A holder denies a placed attempt. */
-  void attemptDenied(String holder, Message.AttemptAbsent absent, Claim c, LiveAttempt live) {
+  /** Ends a placed attempt that its holder does not have and will never start. */
+  void attemptDenied(String holder, Message.AttemptAbsent absent, Claim claim, LiveAttempt live) {
     Basis basis =
         new Basis(holder, absent.token(), live.placement.session(), absent.holdRevision(), 0);
-    attemptTermination.recordEnd(c, absent.number(), live, EndProof.denied(basis));
-    claimWriter.flush(c);
+    attemptTermination.recordEnd(claim, absent.number(), live, EndProof.denied(basis));
+    claimWriter.flush(claim);
   }
 
-  /** Looks again where the last view did not show a placed task, or showed one too many. */
-  void recheckMissing(Claim c) {
-    for (LiveAttempt l : c.liveAttempts.values()) {
-      if (!l.reported && !l.ended) {
-        c.hostsToCompare.add(l.placement.host());
+  /** Rechecks machines whose latest view lacked a placed attempt or showed a stray one. */
+  void recheckMissing(Claim claim) {
+    for (LiveAttempt attempt : claim.liveAttempts.values()) {
+      if (!attempt.reported && !attempt.ended) {
+        claim.hostsToCompare.add(attempt.placement.host());
       }
     }
-    c.hostsToCompare.addAll(c.strays.hosts());
-    comparePending(c);
+    claim.hostsToCompare.addAll(claim.strays.hosts());
+    comparePending(claim);
   }
 
-  /** Compares what has not been compared yet. */
-  void comparePending(Claim c) {
-    if (c.hostsToCompare.isEmpty() || c.loading) {
+  /** Compares the machines that are marked for comparison. */
+  void comparePending(Claim claim) {
+    if (claim.hostsToCompare.isEmpty() || claim.loading) {
       return;
     }
-    List<String> hosts = List.copyOf(c.hostsToCompare);
-    c.hostsToCompare.clear();
+    List<String> hosts = List.copyOf(claim.hostsToCompare);
+    claim.hostsToCompare.clear();
     for (String host : hosts) {
       HoldTable.Hold hold = context.holds().recordOf(host);
       if (hold != null && hold.machineDeleted()) {
-        endAttemptsOn(c, host);
+        endAttemptsOn(claim, host);
       } else {
-        compare(c, machineTable.get(host));
+        compare(claim, machineTable.get(host));
       }
     }
   }
 
-  /** The cloud has confirmed the machine's end. */
-  void endAttemptsOn(Claim c, String host) {
-    strayTermination.machineDeleted(c, host);
-    c.liveAttemptsOn(host)
+  /** Ends all attempts on a machine whose deletion the cloud has confirmed. */
+  void endAttemptsOn(Claim claim, String host) {
+    strayTermination.machineDeleted(claim, host);
+    claim
+        .liveAttemptsOn(host)
         .forEach(
-            (number, l) -> {
-              if (!l.ended) {
-                attemptTermination.recordEnd(c, number, l, EndProof.machineDeleted());
+            (number, attempt) -> {
+              if (!attempt.ended) {
+                attemptTermination.recordEnd(claim, number, attempt, EndProof.machineDeleted());
               }
             });
-    claimWriter.flush(c);
+    claimWriter.flush(claim);
   }
 }
--- a/src/main/java/dev/dunefront/claim/SearchThrottle.java
+++ b/src/main/java/dev/dunefront/claim/SearchThrottle.java
@@ -8,16 +8,19 @@
 import java.util.Map;
 
 /**
- * Which of many jobs look for room. Thousands of small jobs of one class may wait at once, and each
- * that looks walks over all machines; what the first of them does not find the others would not
- * find either. So of jobs alike the first few look, and the others wait behind them, first-come as
- * within any controller.
+ * Limits how many equivalent jobs search for capacity at the same time. Thousands of small jobs of
+ * one class may wait at once, and each search iterates over all machines; capacity that the first
+ * of them do not find the others would not find either. Only the first few of each equivalence
+ * class search; the others wait in order of arrival.
  */
 final class SearchThrottle {
-  /** Of jobs alike so many look at once; they are served many times a second. */
+  /**
+   * Maximum number of equivalent jobs that search at once; enough, as they are served many times
+   * per second.
+   */
   private static final int MAX_SEARCHING = 32;
 
-  /** What makes jobs alike: whoever serves one of them may as well serve any other. */
+  /** Jobs with equal values are interchangeable when capacity is assigned. */
   record EquivalenceClass(Priority priority, String jobClass, String team, Resources size) {
     static EquivalenceClass of(JobSpec spec) {
       return new EquivalenceClass(
@@ -27,16 +30,19 @@
 
   private SearchThrottle() {}
 
-  /** Says of each claim whether it waits behind others, given in the order in which they go. */
+  /** Sets {@code searchThrottled} of each claim; the claims are given in service order. */
   static void throttle(List<Claim> claims) {
-    Map<EquivalenceClass, Integer> looking = new HashMap<>();
+    Map<EquivalenceClass, Integer> searching = new HashMap<>();
     Map<EquivalenceClass, Integer> overdue = new HashMap<>();
-    for (Claim c : claims) {
-      boolean waits = c.unstarted() > 0 && c.startStage != StartEscalation.Stage.ACROSS_PRIORITIES;
-      // Those that are overdue to begin are a line of their own, or begun ones would fill it.
-      Map<EquivalenceClass, Integer> line =
-          c.startStage == StartEscalation.Stage.WITHIN_PRIORITY ? overdue : looking;
-      c.searchThrottled = waits && line.merge(c.equivalenceClass, 1, Integer::sum) > MAX_SEARCHING;
+    for (Claim claim : claims) {
+      boolean wantsCapacity =
+          claim.unstarted() > 0 && claim.startStage != StartEscalation.Stage.ACROSS_PRIORITIES;
+      // Jobs with an overdue start are counted separately; otherwise started jobs could use up the
+      // limit.
+      Map<EquivalenceClass, Integer> counts =
+          claim.startStage == StartEscalation.Stage.WITHIN_PRIORITY ? overdue : searching;
+      claim.searchThrottled =
+          wantsCapacity && counts.merge(claim.equivalenceClass, 1, Integer::sum) > MAX_SEARCHING;
     }
   }
 }
--- a/src/main/java/dev/dunefront/claim/StartEscalation.java
+++ b/src/main/java/dev/dunefront/claim/StartEscalation.java
@@ -1,39 +1,42 @@
 package dev.dunefront.claim;
 
 /**
- * Sees to it that every job begins in time, however large its tasks are, whatever its priority and
- * however much else waits. The order by priority and rank is the ordinary path; a job of which
- * nothing was ever placed leaves it as it ages, with its first task alone: for a quarter of the
- * bound it waits like any other, then it ranks ahead within its priority, and from half of the
- * bound on room is gathered for it across all priorities. Of these each controller has one at a
- * time, so what they take from others is bounded by a task for each controller.
+ * Ensures that every job starts in time, regardless of its task size, its priority and the other
+ * queued work. Jobs are normally served by priority and rank. A job of which no task was ever
+ * placed is escalated as it ages, and only for its first task: from a quarter of the bound on it
+ * ranks first within its priority, and from half of the bound on capacity is collected for it
+ * across all priorities. Each controller escalates one job at a time across priorities, so the
+ * capacity taken from other jobs is at most one task per controller.
  */
 final class StartEscalation {
-  /** Where a job stands. */
+  /** The escalation stage of a job. */
   enum Stage {
+    /** Served by priority and rank. */
     NONE,
+    /** Ranks first within its priority. */
     WITHIN_PRIORITY,
+    /** Capacity is collected for it across all priorities. */
     ACROSS_PRIORITIES
   }
 
   private static final double WITHIN_PRIORITY_FRACTION = 0.25;
   private static final double ACROSS_PRIORITIES_FRACTION = 0.5;
 
-  /** One that cannot be placed makes way for another after so long, in seconds. */
+  /** After this time an escalated job that cannot be placed is replaced by another one. */
   private static final double ROTATION_S = 30;
 
   private Claim escalated;
   private double escalatedAt;
 
   /**
-   * Where a job stands by its age.
+   * The stage that a job's age calls for.
    *
-   * @param begun whether anything of it was ever placed
+   * @param started whether a task of the job was ever placed
    * @param ageS its age in seconds
-   * @param boundS within how many seconds jobs are to begin
+   * @param boundS time within which jobs must start, in seconds
    */
-  static Stage stageAtAge(boolean begun, double ageS, double boundS) {
-    if (begun || ageS < boundS * WITHIN_PRIORITY_FRACTION) {
+  static Stage stageAtAge(boolean started, double ageS, double boundS) {
+    if (started || ageS < boundS * WITHIN_PRIORITY_FRACTION) {
       return Stage.NONE;
     }
     return ageS < boundS * ACROSS_PRIORITIES_FRACTION
@@ -41,28 +44,31 @@
         : Stage.ACROSS_PRIORITIES;
   }
 
-  /** Where the job stands now, beside the other jobs of this controller. */
-  Stage updateStage(Claim c, double ageS, double boundS, double now) {
-    Stage by = stageAtAge(startedOrClosed(c), ageS, boundS);
-    if (escalated == c && by != Stage.ACROSS_PRIORITIES) {
+  /**
+   * Updates and returns the stage of a job. At most one job of this controller is in {@link
+   * Stage#ACROSS_PRIORITIES}; others that are due for it stay in {@link Stage#WITHIN_PRIORITY}.
+   */
+  Stage updateStage(Claim claim, double ageS, double boundS, double now) {
+    Stage stage = stageAtAge(isStartedOrClosed(claim), ageS, boundS);
+    if (escalated == claim && stage != Stage.ACROSS_PRIORITIES) {
       escalated = null;
     }
-    if (by != Stage.ACROSS_PRIORITIES) {
-      return by;
+    if (stage != Stage.ACROSS_PRIORITIES) {
+      return stage;
     }
-    if (escalated != c
+    if (escalated != claim
         && (escalated == null
             || escalated.released
-            || startedOrClosed(escalated)
+            || isStartedOrClosed(escalated)
             || now - escalatedAt > ROTATION_S)) {
-      escalated = c;
+      escalated = claim;
       escalatedAt = now;
     }
-    return escalated == c ? Stage.ACROSS_PRIORITIES : Stage.WITHIN_PRIORITY;
+    return escalated == claim ? Stage.ACROSS_PRIORITIES : Stage.WITHIN_PRIORITY;
   }
 
-  /** Whether anything of the job was ever placed, or never will be. */
-  static boolean startedOrClosed(Claim c) {
-    return !c.doneOrPlaced.isEmpty() || !c.open();
+  /** Whether a task of the job is placed or done, or the job is no longer open. */
+  static boolean isStartedOrClosed(Claim claim) {
+    return !claim.doneOrPlaced.isEmpty() || !claim.open();
   }
 }
--- a/src/main/java/dev/dunefront/claim/StrayTermination.java
+++ b/src/main/java/dev/dunefront/claim/StrayTermination.java
@@ -11,13 +11,13 @@
 import java.util.function.IntPredicate;
 
 /**
- * Stops attempts that a machine shows and no record names ({@link Strays}) until a current view
- * shows them gone, and has those cleared that have exited.
+ * Stops stray attempts ({@link Strays}), which a machine reports but no record lists, until a
+ * current view confirms that they are gone, and clears those that have exited.
  */
 final class StrayTermination {
   private static final System.Logger LOG = System.getLogger(StrayTermination.class.getName());
 
-  /** A stop is sent again after so long, in seconds. */
+  /** Interval at which stop requests are repeated. */
   private static final double STOP_RETRY_S = 1.5;
 
   private final ControllerContext context;
@@ -26,25 +26,26 @@
     this.context = context;
   }
 
-  /** What is not recorded must not run, and is not kept once it has exited. */
-  void stopUnrecorded(Claim c, List<TaskStatus> unrecorded, MachineTable.Entry seen) {
-    MachineView view = seen.view();
-    if (unrecorded.isEmpty() && c.strays.isEmpty()) {
+  /** Stops the unrecorded attempts in a view and clears those that have exited. */
+  void stopUnrecorded(Claim claim, List<TaskStatus> unrecorded, MachineTable.Entry machine) {
+    MachineView view = machine.view();
+    if (unrecorded.isEmpty() && claim.strays.isEmpty()) {
       return;
     }
     Set<Integer> alive = new HashSet<>();
     for (TaskStatus task : unrecorded) {
       if (task.exited()) {
-        clear(c, task, seen);
+        clear(claim, task, machine);
       } else if (!view.leaseExpired()) {
         alive.add(task.number());
-        if (c.strays.add(view.host(), task.number(), task.attempt(), view.session())) {
+        if (claim.strays.add(view.host(), task.number(), task.attempt(), view.session())) {
           context.safety().straySeen();
           LOG.log(
               Level.INFO,
-              "{0} shows {1}/{2}, attempt {3} of session {4}, which no record names: stopped",
+              "stopping stray attempt on {0}: task {1}/{2}, attempt {3}, session {4}"
+                  + " is not recorded",
               view.host(),
-              c.id(),
+              claim.id(),
               task.number(),
               task.attempt(),
               view.session());
@@ -52,61 +53,59 @@
       }
     }
     if ((view.tokenAcknowledged() || view.leaseExpired()) && isCurrent(view)) {
-      remove(c, view.host(), number -> !alive.contains(number));
+      remove(claim, view.host(), number -> !alive.contains(number));
     }
-    stop(c, seen);
+    stop(claim, machine);
   }
 
-  /**
-   * Whether no other hold of the machine is on record than the one under which the view is told.
-   */
+  /** Whether the view was sent under the machine's present hold, as far as known here. */
   private boolean isCurrent(MachineView view) {
     HoldTable.Hold hold = context.holds().holdOf(view.host(), view.zone());
     return hold != null && hold.revision() == view.holdRevision();
   }
 
-  private void clear(Claim c, TaskStatus task, MachineTable.Entry seen) {
-    String host = seen.view().host();
-    long term = c.record.term();
+  private void clear(Claim claim, TaskStatus task, MachineTable.Entry machine) {
+    String host = machine.view().host();
+    long term = claim.record.term();
     context
         .peers()
         .send(
-            seen.holder(),
-            new Message.ClearTask(host, term, c.id(), task.number(), task.attempt()));
+            machine.holder(),
+            new Message.ClearTask(host, term, claim.id(), task.number(), task.attempt()));
   }
 
-  private void remove(Claim c, String host, IntPredicate gone) {
-    int forgotten = c.strays.remove(host, gone);
-    if (forgotten > 0) {
-      context.safety().straysResolved(forgotten);
+  private void remove(Claim claim, String host, IntPredicate gone) {
+    int removed = claim.strays.remove(host, gone);
+    if (removed > 0) {
+      context.safety().straysResolved(removed);
       LOG.log(
-          Level.INFO, "{0} of {1} on {2} that no record names are gone", forgotten, c.id(), host);
+          Level.INFO, "{0} stray attempts of job {1} on {2} are gone", removed, claim.id(), host);
     }
   }
 
-  /** Stops what is not recorded on a machine, unless that was asked for just now. */
-  private void stop(Claim c, MachineTable.Entry seen) {
-    String host = seen.view().host();
-    for (Strays.Stray stray : c.strays.onHost(host).values()) {
-      if (context.now() - stray.stoppedAt > STOP_RETRY_S) {
-        stray.stoppedAt = context.now();
-        long term = c.record.term();
+  /** Sends stop requests for the stray attempts on a machine, unless sent recently. */
+  private void stop(Claim claim, MachineTable.Entry machine) {
+    String host = machine.view().host();
+    for (Strays.Stray stray : claim.strays.onHost(host).values()) {
+      if (context.now() - stray.stopSentAt > STOP_RETRY_S) {
+        stray.stopSentAt = context.now();
+        long term = claim.record.term();
         context
             .peers()
             .send(
-                seen.holder(),
-                new Message.StopTask(host, term, c.id(), stray.number, stray.attempt, 0));
+                machine.holder(),
+                new Message.StopTask(host, term, claim.id(), stray.number, stray.attempt, 0));
       }
     }
   }
 
-  /** The claim is given up or over: these attempts no longer count here. */
-  void claimEnded(Claim c) {
-    context.safety().straysResolved(c.strays.count());
+  /** Removes the strays of a released claim from the metrics. */
+  void claimEnded(Claim claim) {
+    context.safety().straysResolved(claim.strays.count());
   }
 
-  /** The machine is gone with all that was on it. */
-  void machineDeleted(Claim c, String host) {
-    remove(c, host, number -> true);
+  /** Removes all strays on a machine that has been deleted. */
+  void machineDeleted(Claim claim, String host) {
+    remove(claim, host, number -> true);
   }
 }
--- a/src/main/java/dev/dunefront/claim/Takeover.java
+++ b/src/main/java/dev/dunefront/claim/Takeover.java
@@ -17,32 +17,35 @@
 import java.util.Set;
 
 /**
- * Takes jobs that nobody has claimed, or whose claimant is gone. All living controllers work out
- * alike, from a job's name and who lives, in which order they may take it; so hundreds of claims
- * that lapse at once are dealt out without anybody who deals, and without a write for it. Whoever
- * comes first takes its part at once, the most urgent first, many in one transaction; whoever comes
- * next waits for as long as those before it are seen to get on with theirs.
+ * Claims jobs that have no claim or whose claimant is no longer alive. All live controllers compute
+ * the same order of preference for a job from its id and the set of live nodes (rendezvous
+ * hashing), so hundreds of claims that lapse at once are distributed without a coordinator and
+ * without additional writes. The first node in the order claims the job immediately, by priority
+ * and in batches. Each following node waits as long as the nodes before it are seen to make
+ * progress.
  */
 final class Takeover {
   private static final System.Logger LOG = System.getLogger(Takeover.class.getName());
 
-  /** How long whoever comes next waits for each before it that does not get on. */
+  /** How long a node waits for each preferred node before it that makes no progress. */
   static final double RANK_WAIT_S = 0.4;
 
-  /** So many records are written in one transaction at most; they are small, but not tiny. */
+  /** Maximum number of job records per transaction, which keeps its size within limits. */
   private static final int MAX_BATCH_JOBS = 12;
 
-  /** The answer to a write comes sooner than this, if it ever does. */
+  /** A response to a write that has not arrived within this time is considered lost. */
   private static final double ADOPTION_TIMEOUT_S = 2;
 
   private final ControllerContext context;
   private final Claims claims;
+
+  /** Jobs with a claiming write in flight. */
   private final Set<String> claiming = new HashSet<>();
 
-  /** Since when a job without a live claim has been seen. */
+  /** When a job was first seen without a live claim, or with an own claim that is not adopted. */
   private final Map<String, Double> unownedSince = new HashMap<>();
 
-  /** When a controller was last seen to have taken a job from another. */
+  /** When each controller was last seen to take over a job from another one. */
   private final Map<String, Double> lastTakeoverAt = new HashMap<>();
 
   Takeover(ControllerContext context, Claims claims) {
@@ -53,9 +56,9 @@
   /**
    * A job without a live claim.
    *
-   * @param neverClaimed nobody has claimed it yet
-   * @param unownedSinceS time at which that was first seen
-   * @param preferredNodes controllers that may take it before this one
+   * @param neverClaimed whether the job has never been claimed
+   * @param unownedSinceS time at which the lack of a live claim was first seen
+   * @param preferredNodes controllers that precede this one in the job's order of preference
    */
   record UnownedJob(
       String id,
@@ -66,48 +69,50 @@
       List<String> preferredNodes) {}
 
   /**
-   * Those that this controller may take now, in the order of need.
+   * The ids of the jobs that this controller may claim now, by priority, then oldest record first.
    *
-   * @param progress when a controller was last seen to take a job
+   * @param progress when each controller was last seen to take over a job
    */
-  static List<String> claimable(List<UnownedJob> lapsed, Map<String, Double> progress, double now) {
-    return lapsed.stream()
-        .filter(l -> now >= claimableFrom(l, progress))
+  static List<String> claimable(List<UnownedJob> jobs, Map<String, Double> progress, double now) {
+    return jobs.stream()
+        .filter(job -> now >= claimableFrom(job, progress))
         .sorted(Comparator.comparing(UnownedJob::priority).thenComparing(UnownedJob::revision))
         .map(UnownedJob::id)
         .toList();
   }
 
-  private static double claimableFrom(UnownedJob l, Map<String, Double> progress) {
-    double from = l.unownedSinceS;
-    if (!l.neverClaimed) {
-      // A job that nobody has claimed yet may be too large for the share of those before.
-      for (String node : l.preferredNodes) {
-        from = Math.max(from, progress.getOrDefault(node, from));
+  private static double claimableFrom(UnownedJob job, Map<String, Double> progress) {
+    double claimableAt = job.unownedSinceS;
+    if (!job.neverClaimed) {
+      // Progress of the preferred nodes is ignored for a job that was never claimed: it may exceed
+      // their shares, so that they never claim it.
+      for (String node : job.preferredNodes) {
+        claimableAt = Math.max(claimableAt, progress.getOrDefault(node, claimableAt));
       }
     }
-    return from + l.preferredNodes.size() * RANK_WAIT_S;
+    return claimableAt + job.preferredNodes.size() * RANK_WAIT_S;
   }
 
-  /** This controller has become another incarnation. */
+  /** Discards pending writes because this controller has become a new incarnation. */
   void incarnationChanged() {
     claiming.clear();
   }
 
+  /** Handles the adoption of a job by this controller. */
   void adopted(String id) {
     unownedSince.remove(id);
   }
 
-  /** A record shows another claimant than before. */
+  /** Records the progress of a controller that has taken over a job from another one. */
   void jobChanged(JobTable.Entry before, JobTable.Entry entry) {
-    String from = before == null ? null : before.record().claimant();
-    String claim = entry == null ? null : entry.record().claimant();
-    if (from != null && claim != null && !claim.equals(from)) {
-      lastTakeoverAt.put(Membership.nodeOf(claim), context.now());
+    String previousClaimant = before == null ? null : before.record().claimant();
+    String newClaimant = entry == null ? null : entry.record().claimant();
+    if (previousClaimant != null && newClaimant != null && !newClaimant.equals(previousClaimant)) {
+      lastTakeoverAt.put(Membership.nodeOf(newClaimant), context.now());
     }
   }
 
-  /** Called several times a second. */
+  /** Claims jobs that are due; called several times per second. */
   void tick(double now) {
     String self = context.membership().ownIncarnation();
     if (self == null
@@ -117,136 +122,144 @@
         || context.store().unavailable()) {
       return;
     }
-    Map<String, JobTable.Entry> lapsed = new LinkedHashMap<>();
-    List<JobTable.Entry> ours = new ArrayList<>();
-    Set<String> seen = new HashSet<>();
-    for (JobTable.Entry e : context.jobs().all()) {
-      String claim = e.record().claimant();
-      String id = e.record().spec().id();
-      if (claim == null || !context.membership().alive(claim)) {
-        lapsed.put(id, e);
-        seen.add(id);
-      } else if (e.record().isClaimedBy(self) && !claims.has(id) && !claiming.contains(id)) {
-        ours.add(e);
-        seen.add(id);
+    Map<String, JobTable.Entry> unowned = new LinkedHashMap<>();
+    List<JobTable.Entry> unadopted = new ArrayList<>();
+    Set<String> found = new HashSet<>();
+    for (JobTable.Entry entry : context.jobs().all()) {
+      String claimant = entry.record().claimant();
+      String id = entry.record().spec().id();
+      if (claimant == null || !context.membership().alive(claimant)) {
+        unowned.put(id, entry);
+        found.add(id);
+      } else if (entry.record().isClaimedBy(self) && !claims.has(id) && !claiming.contains(id)) {
+        unadopted.add(entry);
+        found.add(id);
       }
     }
-    unownedSince.keySet().retainAll(seen);
-    for (JobTable.Entry e : ours) {
-      // Accepted and claimed in one write whose answer was lost: to all others it has a living
-      // claimant, and were it not taken up here it would wait for ever.
-      if (now - unownedSince.computeIfAbsent(e.record().spec().id(), k -> now)
+    unownedSince.keySet().retainAll(found);
+    for (JobTable.Entry entry : unadopted) {
+      // The job was accepted and claimed in one write whose response was lost. For all other
+      // controllers it has a live claim, so without adoption here it would wait forever.
+      if (now - unownedSince.computeIfAbsent(entry.record().spec().id(), k -> now)
           > ADOPTION_TIMEOUT_S) {
-        LOG.log(Level.INFO, "takes up {0}, whose acceptance was unclear", e.record().spec().id());
-        claims.adopt(e.record().spec().id(), false);
+        LOG.log(
+            Level.INFO,
+            "adopting job {0}: the response to its accepting write was lost",
+            entry.record().spec().id());
+        claims.adopt(entry.record().spec().id(), false);
       }
     }
-    if (!lapsed.isEmpty()) {
-      claimUnowned(lapsed, now);
+    if (!unowned.isEmpty()) {
+      claimUnowned(unowned, now);
     }
   }
 
-  private void claimUnowned(Map<String, JobTable.Entry> lapsed, double now) {
-    List<UnownedJob> all = new ArrayList<>();
-    lapsed.forEach(
-        (id, e) -> {
+  private void claimUnowned(Map<String, JobTable.Entry> unowned, double now) {
+    List<UnownedJob> jobs = new ArrayList<>();
+    unowned.forEach(
+        (id, entry) -> {
           double since = unownedSince.computeIfAbsent(id, k -> now);
           if (!claiming.contains(id) && !claims.has(id)) {
-            Priority priority = e.record().spec().priority();
-            all.add(
+            Priority priority = entry.record().spec().priority();
+            jobs.add(
                 new UnownedJob(
-                    id, priority, e.revision(), neverClaimed(e), since, preferredNodes(id)));
+                    id,
+                    priority,
+                    entry.revision(),
+                    neverClaimed(entry),
+                    since,
+                    preferredNodes(id)));
           }
         });
-    boolean batched = !claiming.isEmpty();
-    List<JobTable.Entry> taken = new ArrayList<>();
-    // What was refused once is refused to all like it: each question looks at all claims.
+    boolean writeInFlight = !claiming.isEmpty();
+    List<JobTable.Entry> batch = new ArrayList<>();
+    // Admission iterates over all claims, so a refusal is reused for equivalent jobs.
     Set<SearchThrottle.EquivalenceClass> refused = new HashSet<>();
-    for (String id : claimable(all, lastTakeoverAt, now)) {
-      JobTable.Entry e = lapsed.get(id);
-      if (neverClaimed(e)) {
-        // Never claimed: only as far as this controller's share goes, unless it is overdue to
-        // begin, for one huge job may fill the shares of all. Behind one like it that waits here
-        // it would only wait as well.
-        SearchThrottle.EquivalenceClass shape =
-            SearchThrottle.EquivalenceClass.of(e.record().spec());
-        if (!refused.contains(shape) && claims.admits(e.record().spec())
-            || startOverdue(e) && !claims.hasUnstartedEquivalent(shape)) {
-          write(List.of(e));
+    for (String id : claimable(jobs, lastTakeoverAt, now)) {
+      JobTable.Entry entry = unowned.get(id);
+      if (neverClaimed(entry)) {
+        // A job that was never claimed is claimed only within this controller's share, unless its
+        // start is overdue: one huge job may fill the shares of all controllers. An overdue job is
+        // not claimed behind an equivalent one that waits here, as it would have to wait as well.
+        SearchThrottle.EquivalenceClass equivalenceClass =
+            SearchThrottle.EquivalenceClass.of(entry.record().spec());
+        if (!refused.contains(equivalenceClass) && claims.admits(entry.record().spec())
+            || startOverdue(entry) && !claims.hasUnstartedEquivalent(equivalenceClass)) {
+          write(List.of(entry));
         } else {
-          refused.add(shape);
+          refused.add(equivalenceClass);
         }
-      } else if (!batched && taken.size() < MAX_BATCH_JOBS) {
-        // One batch at a time: what others have taken by then is left out of the next.
-        taken.add(e);
+      } else if (!writeInFlight && batch.size() < MAX_BATCH_JOBS) {
+        // One batch at a time, so that the next one excludes jobs claimed by others meanwhile.
+        batch.add(entry);
       }
     }
-    if (!taken.isEmpty()) {
-      write(taken);
+    if (!batch.isEmpty()) {
+      write(batch);
     }
   }
 
-  private boolean startOverdue(JobTable.Entry e) {
-    double ageS = (context.timers().wallClockMs() - e.record().acceptedMs()) / 1000.0;
+  private boolean startOverdue(JobTable.Entry entry) {
+    double ageS = (context.timers().wallClockMs() - entry.record().acceptedMs()) / 1000.0;
     return StartEscalation.stageAtAge(false, ageS, context.tunables().beginS())
         != StartEscalation.Stage.NONE;
   }
 
-  private static boolean neverClaimed(JobTable.Entry e) {
-    return e.record().term() == 0 && e.record().status() == Status.OPEN;
+  private static boolean neverClaimed(JobTable.Entry entry) {
+    return entry.record().term() == 0 && entry.record().status() == Status.OPEN;
   }
 
-  /** The controllers that may take the job before this one. */
+  /** The live controllers that precede this one in the job's order of preference. */
   private List<String> preferredNodes(String id) {
-    int mine = hashOrder(id, context.settings().node());
-    List<String> before = new ArrayList<>();
+    int ownOrder = hashOrder(id, context.settings().node());
+    List<String> preferred = new ArrayList<>();
     for (String node : context.membership().liveNodes()) {
-      if (hashOrder(id, node) < mine) {
-        before.add(node);
+      if (hashOrder(id, node) < ownOrder) {
+        preferred.add(node);
       }
     }
-    return before;
+    return preferred;
   }
 
   private static int hashOrder(String id, String node) {
     return (id + "@" + node).hashCode() * 0x9E3779B9 >>> 1;
   }
 
-  private void write(List<JobTable.Entry> taken) {
+  private void write(List<JobTable.Entry> batch) {
     String self = context.membership().ownIncarnation();
-    String mark = context.store().newWriteId();
+    String writeId = context.store().newWriteId();
     Txn txn = new Txn();
-    Map<String, JobRecord> next = new HashMap<>();
-    for (JobTable.Entry e : taken) {
-      JobRecord record = e.record().withClaimant(self);
+    Map<String, JobRecord> newRecords = new HashMap<>();
+    for (JobTable.Entry entry : batch) {
+      JobRecord record = entry.record().withClaimant(self);
       String id = record.spec().id();
-      next.put(id, record);
+      newRecords.put(id, record);
       claiming.add(id);
-      txn.requireRevision(JobRecord.key(id), e.revision())
-          .put(JobRecord.key(id), record.toDocument(mark));
+      txn.requireRevision(JobRecord.key(id), entry.revision())
+          .put(JobRecord.key(id), record.toDocument(writeId));
     }
     context
         .store()
         .commit(
             txn,
-            mark,
-            done -> {
+            writeId,
+            result -> {
               if (!self.equals(context.membership().ownIncarnation())) {
                 return;
               }
-              claiming.removeAll(next.keySet());
-              if (!done.ok()) {
+              claiming.removeAll(newRecords.keySet());
+              if (!result.ok()) {
                 return;
               }
-              next.forEach(
+              newRecords.forEach(
                   (id, record) -> {
                     LOG.log(
                         Level.INFO,
-                        "claimed {0} in term {1}, written at revision {2}",
+                        "claimed job {0} in term {1}, written at revision {2}",
                         id,
                         record.term(),
-                        done.revision());
-                    context.jobs().applyOwnWrite(id, record, mark, done.revision());
+                        result.revision());
+                    context.jobs().applyOwnWrite(id, record, writeId, result.revision());
                     claims.adopt(id, false);
                   });
             });
--- a/src/main/java/dev/dunefront/claim/TransactionPlanner.java
+++ b/src/main/java/dev/dunefront/claim/TransactionPlanner.java
@@ -15,14 +15,17 @@
 import java.util.function.Consumer;
 
 /**
- * What goes into the next transaction of a job: as many of its ends and of the offers made to it as
- * the state service's limits, the team's limit and the zones allow.
+ * Plans the next transaction of a claimed job: as many of its ended attempts and received offers as
+ * the state service's limits, the team's limit and the zone constraints allow.
  */
 final class TransactionPlanner {
-  /** As many chunks as a transaction of 64 KiB surely takes. */
+  /** Number of chunks that are certain to fit into a 64 KiB transaction. */
   private static final int MAX_CHUNKS = 4;
 
-  /** A part of what is left of a team's limit, shared by all controllers, may be granted ahead. */
+  /**
+   * A job may be granted tasks ahead of their placement up to the team's remaining limit divided by
+   * this and by the number of controllers.
+   */
   private static final int GRANT_AHEAD_DIVISOR = 4;
 
   private final ControllerContext context;
@@ -30,15 +33,21 @@
   private final WantPlacement wantPlacement;
 
   TransactionPlanner(
-      ControllerContext context, ZoneConstraints zones, WantPlacement wantPlacement) {
+      ControllerContext context, ZoneConstraints zoneConstraints, WantPlacement wantPlacement) {
     this.context = context;
-    this.zoneConstraints = zones;
+    this.zoneConstraints = zoneConstraints;
     this.wantPlacement = wantPlacement;
   }
 
+  /** The placement of one task on an offer that the transaction accepts. */
   record PlannedStart(ReceivedOffer receivedOffer, int number, Placement placement) {}
 
-  /** One transaction under way. */
+  /**
+   * The planned contents of one transaction.
+   *
+   * @param chunks new versions of the changed chunks, by index
+   * @param granted number of tasks granted to the job after the transaction
+   */
   record PlannedTransaction(
       Map<Integer, Chunk> chunks,
       List<PlannedStart> starts,
@@ -46,173 +55,191 @@
       int granted) {}
 
   /**
-   * Takes what a claim has to record. Offers that are not taken go to {@code declined}; ends and
-   * offers that the transaction has no place for stay with the claim.
+   * Takes pending ends and offers from a claim. Offers that are not accepted are passed to {@code
+   * declined}; ends and offers that do not fit into the transaction stay with the claim.
    *
-   * @param returned whether what the claim does not use of its team's limit goes back with it
+   * @param mustReturn whether the transaction must return the claim's unused part of the team's
+   *     limit
    */
   PlannedTransaction plan(
-      Claim c, Quotas.Quota quota, boolean returned, Consumer<ReceivedOffer> declined) {
+      Claim claim, Quotas.Quota quota, boolean mustReturn, Consumer<ReceivedOffer> declined) {
     int txnOps = context.settings().stateLimits().txnOps();
     int maxChunks = Math.min(MAX_CHUNKS, txnOps - 4);
-    // Conditions may be four times as many as changes; some are on the job, its chunks, its
-    // team, the roster.
+    // The state service allows four times as many conditions as changes; some are needed for the
+    // job, its chunks, its team and the roster.
     int maxHosts = 4 * txnOps - maxChunks - 3;
-    Map<Integer, Chunk> next = new TreeMap<>();
+    Map<Integer, Chunk> chunks = new TreeMap<>();
     List<EndedAttempt> ends = new ArrayList<>();
     List<PlannedStart> starts = new ArrayList<>();
-    Map<String, Long> stamps = new HashMap<>();
-    List<EndedAttempt> all = List.copyOf(c.unrecordedEnds);
-    c.unrecordedEnds.clear();
-    for (EndedAttempt e : all) {
-      int index = e.number() / Chunk.TASKS_PER_CHUNK;
-      int n = e.number() % Chunk.TASKS_PER_CHUNK;
-      Chunk now = next.containsKey(index) ? next.get(index) : c.chunks.get(index);
-      if (now == null || !e.placement().equals(now.placed.get(n))) {
+    Map<String, Long> holdRevisions = new HashMap<>();
+    List<EndedAttempt> pending = List.copyOf(claim.unrecordedEnds);
+    claim.unrecordedEnds.clear();
+    for (EndedAttempt ended : pending) {
+      int index = ended.number() / Chunk.TASKS_PER_CHUNK;
+      int offset = ended.number() % Chunk.TASKS_PER_CHUNK;
+      Chunk current = chunks.containsKey(index) ? chunks.get(index) : claim.chunks.get(index);
+      if (current == null || !ended.placement().equals(current.placed.get(offset))) {
         continue;
       }
-      String host = e.placement().host();
-      // More proofs than one transaction can name are written with the next: a whole zone's worth
-      // of machines may be lost at once, and a transaction that is too large is refused for ever.
-      if (!next.containsKey(index) && next.size() >= maxChunks
-          || e.conditional() && stamps.size() >= maxHosts && !stamps.containsKey(host)
-          || e.conditional() && !addCondition(stamps, host, e.holdRevision())) {
-        c.unrecordedEnds.add(e);
+      String host = ended.placement().host();
+      // Proofs that exceed the transaction's limits are left for the next one: all machines of a
+      // zone may be lost at once, and an oversized transaction would be rejected on every retry.
+      if (!chunks.containsKey(index) && chunks.size() >= maxChunks
+          || ended.conditional()
+              && holdRevisions.size() >= maxHosts
+              && !holdRevisions.containsKey(host)
+          || ended.conditional() && !addCondition(holdRevisions, host, ended.holdRevision())) {
+        claim.unrecordedEnds.add(ended);
         continue;
       }
-      Chunk chunk = next.computeIfAbsent(index, i -> now.copy(0));
-      ends.add(e);
-      chunk.placed.remove(n);
-      if (e.outcome() == AttemptOutcome.DONE) {
-        chunk.done.set(n);
-        chunk.lastAttempts.remove(n);
+      Chunk chunk = chunks.computeIfAbsent(index, i -> current.copy(0));
+      ends.add(ended);
+      chunk.placed.remove(offset);
+      if (ended.outcome() == AttemptOutcome.DONE) {
+        chunk.done.set(offset);
+        chunk.lastAttempts.remove(offset);
       }
     }
-    wantPlacement.sortOffers(c);
-    int placed = c.liveAttempts.size() - ends.size();
+    wantPlacement.sortOffers(claim);
+    int placed = claim.liveAttempts.size() - ends.size();
     int limit =
         quota == null
             ? Integer.MAX_VALUE
             : (int)
                 Math.min(
-                    Integer.MAX_VALUE, (long) c.record.granted() + quota.remainingTasks(c.size));
-    // What each chunk may still grow: with long names fewer than all its tasks may be placed at
-    // once.
-    Map<Integer, Integer> growth = new HashMap<>();
-    int most = (int) (context.settings().stateLimits().valueKb() * 1024);
+                    Integer.MAX_VALUE,
+                    (long) claim.record.granted() + quota.remainingTasks(claim.size));
+    // Bytes by which each chunk may still grow: with long machine names, not all tasks of a chunk
+    // can be placed at the same time.
+    Map<Integer, Integer> bytesLeft = new HashMap<>();
+    int maxBytes = (int) (context.settings().stateLimits().valueKb() * 1024);
     int number = 0;
-    int allowed = c.suspectedFaulty() ? Math.max(0, 1 - c.liveAttempts.size()) : Integer.MAX_VALUE;
+    int maxStarts =
+        claim.isSuspectedFaulty() ? Math.max(0, 1 - claim.liveAttempts.size()) : Integer.MAX_VALUE;
     List<String> startHosts = new ArrayList<>();
-    List<ReceivedOffer> offers = List.copyOf(c.offers);
+    List<ReceivedOffer> offers = List.copyOf(claim.offers);
     List<ReceivedOffer> kept = new ArrayList<>();
-    for (ReceivedOffer h : offers) {
-      Message.Offer o = h.offer();
-      if (context.now() - h.receivedAt() > context.tunables().offerWaitS()) {
-        declined.accept(h);
+    for (ReceivedOffer received : offers) {
+      Message.Offer offer = received.offer();
+      if (context.now() - received.receivedAt() > context.tunables().offerWaitS()) {
+        declined.accept(received);
         continue;
       }
-      if (stamps.size() >= maxHosts && !stamps.containsKey(o.host())) {
-        // More machines than one transaction can name: taken with the next.
-        kept.add(h);
+      if (holdRevisions.size() >= maxHosts && !holdRevisions.containsKey(offer.host())) {
+        // The transaction cannot hold a condition for another machine; the next one takes it.
+        kept.add(received);
         continue;
       }
-      number = c.nextUnplaced(number);
+      number = claim.nextUnplaced(number);
       int index = number / Chunk.TASKS_PER_CHUNK;
-      boolean take =
-          c.startable()
-              && number < c.spec.tasks()
-              && starts.size() < allowed
+      boolean accept =
+          claim.isStartable()
+              && number < claim.spec.tasks()
+              && starts.size() < maxStarts
               && placed + starts.size() < limit
-              && context.now() >= c.notBefore
-              && (next.containsKey(index) || next.size() < maxChunks)
-              && growth.computeIfAbsent(index, i -> most - chunkBytes(c, next, i))
-                  >= Chunk.placementBytes(o.host())
-              && zoneConstraints.allowed(c, o.host(), startHosts)
-              && addCondition(stamps, o.host(), o.holdRevision());
-      if (!take) {
-        declined.accept(h);
+              && context.now() >= claim.notBefore
+              && (chunks.containsKey(index) || chunks.size() < maxChunks)
+              && bytesLeft.computeIfAbsent(index, i -> maxBytes - chunkBytes(claim, chunks, i))
+                  >= Chunk.placementBytes(offer.host())
+              && zoneConstraints.allowed(claim, offer.host(), startHosts)
+              && addCondition(holdRevisions, offer.host(), offer.holdRevision());
+      if (!accept) {
+        declined.accept(received);
         continue;
       }
-      Chunk old = c.chunks.get(index);
-      Chunk chunk = next.computeIfAbsent(index, i -> old == null ? new Chunk(0) : old.copy(0));
-      int n = number % Chunk.TASKS_PER_CHUNK;
-      if (chunk.placed.containsKey(n)) {
+      Chunk old = claim.chunks.get(index);
+      Chunk chunk = chunks.computeIfAbsent(index, i -> old == null ? new Chunk(0) : old.copy(0));
+      int offset = number % Chunk.TASKS_PER_CHUNK;
+      if (chunk.placed.containsKey(offset)) {
         context
             .safety()
             .invariantViolated(
                 Invariant.TWO_PLACEMENTS,
-                c.id() + "/" + number + " on " + o.host() + ", placed as " + chunk.placed.get(n));
-        declined.accept(h);
+                claim.id()
+                    + "/"
+                    + number
+                    + " on "
+                    + offer.host()
+                    + ", placed as "
+                    + chunk.placed.get(offset));
+        declined.accept(received);
         number++;
         continue;
       }
-      growth.merge(index, -Chunk.placementBytes(o.host()), Integer::sum);
-      Placement p =
-          new Placement(chunk.lastAttempts.getOrDefault(n, 0L) + 1, o.host(), o.session());
-      chunk.lastAttempts.put(n, p.attempt());
-      chunk.placed.put(n, p);
-      starts.add(new PlannedStart(h, number, p));
-      startHosts.add(o.host());
+      bytesLeft.merge(index, -Chunk.placementBytes(offer.host()), Integer::sum);
+      Placement placement =
+          new Placement(
+              chunk.lastAttempts.getOrDefault(offset, 0L) + 1, offer.host(), offer.session());
+      chunk.lastAttempts.put(offset, placement.attempt());
+      chunk.placed.put(offset, placement);
+      starts.add(new PlannedStart(received, number, placement));
+      startHosts.add(offer.host());
       number++;
     }
-    c.offers.clear();
-    c.offers.addAll(kept);
+    claim.offers.clear();
+    claim.offers.addAll(kept);
     return new PlannedTransaction(
-        next, starts, ends, targetGrant(c, quota, placed + starts.size(), ends, returned));
+        chunks, starts, ends, targetGrant(claim, quota, placed + starts.size(), ends, mustReturn));
   }
 
-  private static int chunkBytes(Claim c, Map<Integer, Chunk> next, int index) {
-    Chunk chunk = next.getOrDefault(index, c.chunks.get(index));
+  private static int chunkBytes(Claim claim, Map<Integer, Chunk> chunks, int index) {
+    Chunk chunk = chunks.getOrDefault(index, claim.chunks.get(index));
     return chunk == null ? 0 : chunk.estimatedBytes();
   }
 
-  /** Whether a job has been granted more of its team's limit than it is to have. */
-  boolean hasUnusedGrant(Claim c, Quotas.Quota quota) {
-    int placed = c.liveAttempts.size();
-    return quota != null && c.record.granted() > placed + grantAhead(c, quota, placed, 0);
+  /** Whether a job holds more of its team's limit than it should keep. */
+  boolean hasUnusedGrant(Claim claim, Quotas.Quota quota) {
+    int placed = claim.liveAttempts.size();
+    return quota != null && claim.record.granted() > placed + grantAhead(claim, quota, placed, 0);
   }
 
-  private int grantAhead(Claim c, Quotas.Quota quota, int placed, long finished) {
+  /** Number of tasks that may be granted beyond the placed ones. */
+  private int grantAhead(Claim claim, Quotas.Quota quota, int placed, long finished) {
     int unstarted =
-        (int) Math.max(0, c.spec.tasks() - c.done - finished - placed) * (c.open() ? 1 : 0);
+        (int) Math.max(0, claim.spec.tasks() - claim.done - finished - placed)
+            * (claim.open() ? 1 : 0);
     return Math.min(
         unstarted,
-        quota.remainingTasks(c.size)
+        quota.remainingTasks(claim.size)
             / (GRANT_AHEAD_DIVISOR * context.settings().controllerCount()));
   }
 
   /**
-   * How many tasks are to be granted when so many are placed.
+   * The number of tasks to grant to the job, including the placed ones.
    *
-   * @param returned what is not used has to go back, worth a change or not
+   * @param mustReturn whether the unused part must be returned even if it is too small to be worth
+   *     a write
    */
   private int targetGrant(
-      Claim c, Quotas.Quota quota, int placed, List<EndedAttempt> ends, boolean returned) {
+      Claim claim, Quotas.Quota quota, int placed, List<EndedAttempt> ends, boolean mustReturn) {
     if (quota == null) {
       return 0;
     }
-    int granted = c.record.granted();
-    long finished = ends.stream().filter(e -> e.outcome() == AttemptOutcome.DONE).count();
-    int left = quota.remainingTasks(c.size);
-    int ahead = grantAhead(c, quota, placed, finished);
+    int granted = claim.record.granted();
+    long finished = ends.stream().filter(ended -> ended.outcome() == AttemptOutcome.DONE).count();
+    int remaining = quota.remainingTasks(claim.size);
+    int ahead = grantAhead(claim, quota, placed, finished);
     if (placed > granted) {
-      return placed + Math.min(ahead, left - (placed - granted));
+      return placed + Math.min(ahead, remaining - (placed - granted));
     }
-    int idle = granted - placed;
-    boolean worth = left < granted || idle >= Math.max(8, granted / 2);
-    return idle > ahead && (worth || returned) ? placed + ahead : granted;
+    int unused = granted - placed;
+    boolean worthWriting = remaining < granted || unused >= Math.max(8, granted / 2);
+    return unused > ahead && (worthWriting || mustReturn) ? placed + ahead : granted;
   }
 
-  /** Two proofs that rest on different records of one hold cannot share a transaction. */
-  private static boolean addCondition(Map<String, Long> stamps, String host, long stamp) {
-    if (stamp < 0) {
-      // Of a machine without a record: conditional on the roster as well, which has one stamp.
-      Long roster = stamps.putIfAbsent(HoldTable.ROSTER_KEY, stamp);
-      if (roster != null && roster != stamp) {
+  /**
+   * Adds the condition on a machine's hold record. False if it contradicts an earlier condition:
+   * two proofs that depend on different versions of one hold record cannot share a transaction.
+   */
+  private static boolean addCondition(Map<String, Long> holdRevisions, String host, long revision) {
+    if (revision < 0) {
+      // A machine without a hold record is also conditional on the roster, which has one version.
+      Long roster = holdRevisions.putIfAbsent(HoldTable.ROSTER_KEY, revision);
+      if (roster != null && roster != revision) {
         return false;
       }
     }
-    Long known = stamps.putIfAbsent(host, stamp);
-    return known == null || known == stamp;
+    Long known = holdRevisions.putIfAbsent(host, revision);
+    return known == null || known == revision;
   }
 }
