--- a/src/main/java/dev/dunefront/claim/WantPlacement.java
+++ b/src/main/java/dev/dunefront/claim/WantPlacement.java
@@ -13,18 +13,21 @@
 import java.util.Set;
 
 /**
- * Where the wants of claimed jobs are parked. A job that has just come, or whose wants have grown,
- * looks over all machines; after that it looks again at growing intervals up to the design's tick,
- * and in between only at machines where room has opened.
+ * Decides at which machines the wants of claimed jobs are queued. A new job, or one that wants more
+ * tasks than before, scans all machines. After that it scans them at growing intervals of up to one
+ * tick, and in between only the machines whose free capacity has increased.
  */
 final class WantPlacement {
-  /** How soon an unserved job looks over all machines again; doubled up to the tick. */
+  /** First interval between scans of all machines for an unserved job; doubles up to a tick. */
   static final double MIN_FULL_SCAN_INTERVAL_S = 0.25;
 
-  /** At most this often a job looks at the machines where room has opened. */
+  /** Minimum interval between a job's scans of machines with freed capacity. */
   private static final double FREED_CAPACITY_SCAN_INTERVAL_S = 0.1;
 
-  /** Wants parked where there is room now, as a multiple of what is wanted: others want it too. */
+  /**
+   * Wants queued at machines with free capacity, as a multiple of the wanted tasks, because other
+   * jobs compete for the same capacity.
+   */
   private static final double OVERSUBSCRIPTION = 1.5;
 
   private final ControllerContext context;
@@ -39,245 +42,256 @@
 
   WantPlacement(
       ControllerContext context,
-      MachineTable room,
-      CapacitySubscription interest,
-      IdleCapacity idle,
+      MachineTable machineTable,
+      CapacitySubscription subscription,
+      IdleCapacity idleCapacity,
       Quotas quotas,
-      DeadlineRanking urgencies,
-      ZoneConstraints zones,
+      DeadlineRanking ranking,
+      ZoneConstraints zoneConstraints,
       Turnover turnover) {
     this.context = context;
-    this.machineTable = room;
-    this.subscription = interest;
+    this.machineTable = machineTable;
+    this.subscription = subscription;
     this.quotas = quotas;
-    this.ranking = urgencies;
-    this.candidateSelection = new CandidateSelection(context, room, zones, turnover);
-    this.idleCapacity = idle;
+    this.ranking = ranking;
+    this.candidateSelection =
+        new CandidateSelection(context, machineTable, zoneConstraints, turnover);
+    this.idleCapacity = idleCapacity;
     this.preemptionRequests =
-        new PreemptionRequests(context, interest, urgencies, candidateSelection, turnover);
+        new PreemptionRequests(context, subscription, ranking, candidateSelection, turnover);
   }
 
-  /** Brings a job's parked wants up to date. */
-  void updateWants(Claim c) {
+  /** Brings a job's queued wants up to date. */
+  void updateWants(Claim claim) {
     double now = context.now();
-    double settledAt = now;
-    double ageS = c.ageS(context.timers().wallClockMs());
-    StartEscalation.Stage before = c.startStage;
-    c.startStage = startEscalation.updateStage(c, ageS, context.tunables().beginS(), now);
-    if (c.startStage != before) {
-      c.nextFullScanAt = now;
+    double reliableAt = now;
+    double ageS = claim.ageS(context.timers().wallClockMs());
+    StartEscalation.Stage previous = claim.startStage;
+    claim.startStage = startEscalation.updateStage(claim, ageS, context.tunables().beginS(), now);
+    if (claim.startStage != previous) {
+      claim.nextFullScanAt = now;
     }
-    if (c.searchThrottled && c.startStage != StartEscalation.Stage.ACROSS_PRIORITIES) {
-      withdrawWants(c);
-      resetReach(c, now);
+    if (claim.searchThrottled && claim.startStage != StartEscalation.Stage.ACROSS_PRIORITIES) {
+      withdrawWants(claim);
+      resetReach(claim, now);
       return;
     }
-    if (now >= c.notBefore && placeableTasks(c) > 0) {
-      // Before it is looked how much room is idle, or nobody would ever be asked.
-      settledAt = subscription.require(ViewDetail.CAPACITY);
+    if (now >= claim.notBefore && placeableTasks(claim) > 0) {
+      // Subscribes before idle capacity is counted: without views it would be counted as zero, and
+      // views would never be requested.
+      reliableAt = subscription.require(ViewDetail.CAPACITY);
     }
-    int wanted = wantedTasks(c);
-    if (wanted <= 0 || now < c.notBefore) {
-      withdrawWants(c);
+    int wanted = wantedTasks(claim);
+    if (wanted <= 0 || now < claim.notBefore) {
+      withdrawWants(claim);
       if (wanted <= 0) {
-        resetReach(c, now);
-        c.fullScanIntervalS = MIN_FULL_SCAN_INTERVAL_S;
+        resetReach(claim, now);
+        claim.fullScanIntervalS = MIN_FULL_SCAN_INTERVAL_S;
       }
       return;
     }
-    if (now - c.unservedSince > context.tunables().waitS()) {
-      resetReach(c, now);
-      c.notBefore = now + context.tunables().requeueDelayS();
-      withdrawWants(c);
+    if (now - claim.unservedSince > context.tunables().waitS()) {
+      resetReach(claim, now);
+      claim.notBefore = now + context.tunables().requeueDelayS();
+      withdrawWants(claim);
       return;
     }
-    if (now >= c.nextTick) {
-      c.nextTick = now + context.tunables().tickS();
-      c.reach = Math.min(context.tunables().reachCap(), c.reach + 1);
+    if (now >= claim.nextTick) {
+      claim.nextTick = now + context.tunables().tickS();
+      claim.reach = Math.min(context.tunables().reachCap(), claim.reach + 1);
     }
-    if (wanted > c.tasksAtLastScan || now >= c.nextFullScanAt) {
-      c.tasksAtLastScan = wanted;
-      c.nextFullScanAt = now + c.fullScanIntervalS;
-      double longest = context.tunables().tickS() / (c.spec.priority().urgent() ? 4 : 1);
-      c.fullScanIntervalS = Math.min(longest, c.fullScanIntervalS * 2);
-      c.capacityIncreasesSeen = machineTable.capacityIncreases();
-      c.freedCapacityScanAt = now;
-      rebuildWants(c, wanted, now);
-      if (now < settledAt) {
-        // What is known of room is old; what has changed is on its way here.
-        c.nextFullScanAt = Math.min(c.nextFullScanAt, settledAt);
+    if (wanted > claim.tasksAtLastScan || now >= claim.nextFullScanAt) {
+      claim.tasksAtLastScan = wanted;
+      claim.nextFullScanAt = now + claim.fullScanIntervalS;
+      double maxIntervalS = context.tunables().tickS() / (claim.spec.priority().urgent() ? 4 : 1);
+      claim.fullScanIntervalS = Math.min(maxIntervalS, claim.fullScanIntervalS * 2);
+      claim.capacityIncreasesSeen = machineTable.capacityIncreases();
+      claim.freedCapacityScanAt = now;
+      rebuildWants(claim, wanted, now);
+      if (now < reliableAt) {
+        // The known views are outdated; scans again once the current ones have arrived.
+        claim.nextFullScanAt = Math.min(claim.nextFullScanAt, reliableAt);
       }
-    } else if (c.capacityIncreasesSeen != machineTable.capacityIncreases()
-        && now - c.freedCapacityScanAt >= FREED_CAPACITY_SCAN_INTERVAL_S) {
-      c.capacityIncreasesSeen = machineTable.capacityIncreases();
-      c.freedCapacityScanAt = now;
-      addWantsAtFreedCapacity(c, wanted, now);
+    } else if (claim.capacityIncreasesSeen != machineTable.capacityIncreases()
+        && now - claim.freedCapacityScanAt >= FREED_CAPACITY_SCAN_INTERVAL_S) {
+      claim.capacityIncreasesSeen = machineTable.capacityIncreases();
+      claim.freedCapacityScanAt = now;
+      addWantsAtFreedCapacity(claim, wanted, now);
     }
   }
 
-  /** Tasks for which room is wanted; of a job that is overdue to begin the first alone. */
-  private int wantedTasks(Claim c) {
-    int wanted = placeableTasks(c);
-    return c.startStage == StartEscalation.Stage.NONE
-        ? Math.min(wanted, idleCapacity.maxTasks(c.spec))
+  /** Number of tasks to queue wants for; at most one for a job with an overdue start. */
+  private int wantedTasks(Claim claim) {
+    int wanted = placeableTasks(claim);
+    return claim.startStage == StartEscalation.Stage.NONE
+        ? Math.min(wanted, idleCapacity.maxTasks(claim.spec))
         : Math.min(1, wanted);
   }
 
-  private int placeableTasks(Claim c) {
-    int wanted = c.unstarted() - c.offers.size() - c.startsInFlight;
-    Quotas.Quota quota = quotas.of(c.spec.team());
+  /** Unstarted tasks that the quota and the failure backoff allow to place now. */
+  private int placeableTasks(Claim claim) {
+    int wanted = claim.unstarted() - claim.offers.size() - claim.startsInFlight;
+    Quotas.Quota quota = quotas.quotaOf(claim.spec.team());
     if (quota != null) {
-      wanted = Math.min(wanted, c.startsAllowed(quota) - c.offers.size());
+      wanted = Math.min(wanted, claim.startsAllowed(quota) - claim.offers.size());
     }
-    return c.suspectedFaulty() ? Math.min(wanted, 1 - c.liveAttempts.size()) : wanted;
+    return claim.isSuspectedFaulty() ? Math.min(wanted, 1 - claim.liveAttempts.size()) : wanted;
   }
 
-  /** The job waits no longer, or has just been served: its reach starts from the least again. */
-  void resetReach(Claim c, double now) {
-    c.unservedSince = now;
-    c.nextTick = now + context.tunables().tickS();
-    c.reach = context.tunables().reach();
-    c.tasksAtLastScan = Math.min(c.tasksAtLastScan, Math.max(0, c.unstarted()));
+  /** Resets the reach to its minimum, for a job that has been served or has stopped waiting. */
+  void resetReach(Claim claim, double now) {
+    claim.unservedSince = now;
+    claim.nextTick = now + context.tunables().tickS();
+    claim.reach = context.tunables().reach();
+    claim.tasksAtLastScan = Math.min(claim.tasksAtLastScan, Math.max(0, claim.unstarted()));
   }
 
-  private void rebuildWants(Claim c, int wanted, double now) {
+  private void rebuildWants(Claim claim, int wanted, double now) {
     long surplus = (long) Math.ceil(wanted * OVERSUBSCRIPTION);
-    c.maxFetchS = candidateSelection.maxFetchS(c);
-    List<Candidate> choices = candidates(c, wanted, surplus, now);
-    int fitting = 0;
-    for (Candidate ch : choices) {
-      fitting += ch.hasRoom() ? ch.freeSlots() : 0;
+    claim.maxFetchS = candidateSelection.maxFetchS(claim);
+    List<Candidate> candidates = candidates(claim, wanted, surplus, now);
+    int freeSlots = 0;
+    for (Candidate candidate : candidates) {
+      freeSlots += candidate.hasRoom() ? candidate.freeSlots() : 0;
     }
-    preemptionRequests.request(c, choices, wanted, now);
-    // Of the many only the first few are looked at, so they are not sorted as a whole.
-    Queue<Candidate> best = new PriorityQueue<>(choices);
-    // Where there is room enough right now, nothing need wait for room elsewhere.
-    long left = fitting >= surplus ? surplus : (long) wanted * c.reach;
-    long here = surplus;
-    int machines = 0;
-    Map<String, Integer> target = new HashMap<>();
-    double fetchS = choices.isEmpty() ? 0 : best.peek().costS();
-    for (Candidate ch = best.poll(); ch != null; ch = best.poll()) {
-      if (left <= 0 && (machines >= c.reach || !ch.hasRoom())) {
+    preemptionRequests.request(claim, candidates, wanted, now);
+    // A heap avoids sorting all candidates, as only the best few are used.
+    Queue<Candidate> best = new PriorityQueue<>(candidates);
+    // If enough capacity is free now, no wants are queued at full machines.
+    long wantsLeft = freeSlots >= surplus ? surplus : (long) wanted * claim.reach;
+    long leftAtFree = surplus;
+    int machineCount = 0;
+    Map<String, Integer> targetCounts = new HashMap<>();
+    double fetchS = candidates.isEmpty() ? 0 : best.peek().costS();
+    for (Candidate candidate = best.poll(); candidate != null; candidate = best.poll()) {
+      if (wantsLeft <= 0 && (machineCount >= claim.reach || !candidate.hasRoom())) {
         break;
       }
-      if (ch.freeSlots() > 0 && here <= 0 && machines >= c.reach) {
+      if (candidate.freeSlots() > 0 && leftAtFree <= 0 && machineCount >= claim.reach) {
         continue;
       }
-      int n = Math.min(wanted, ch.freeSlots() > 0 ? ch.freeSlots() : ch.emptySlots());
-      target.put(ch.machine().view().host(), n);
-      left -= n;
-      here -= ch.freeSlots() > 0 ? n : 0;
-      machines++;
+      int count =
+          Math.min(
+              wanted, candidate.freeSlots() > 0 ? candidate.freeSlots() : candidate.emptySlots());
+      targetCounts.put(candidate.machine().view().host(), count);
+      wantsLeft -= count;
+      leftAtFree -= candidate.freeSlots() > 0 ? count : 0;
+      machineCount++;
     }
-    for (String host : Set.copyOf(c.queuedWants.keySet())) {
-      if (!target.containsKey(host)) {
-        sendWant(c, host, 0);
+    for (String host : Set.copyOf(claim.queuedWants.keySet())) {
+      if (!targetCounts.containsKey(host)) {
+        sendWant(claim, host, 0);
       }
     }
-    double ageS = c.ageS(context.timers().wallClockMs());
-    int rank = ranking.rank(c.spec, c.unstarted(), ageS, fetchS);
-    if (c.startStage != StartEscalation.Stage.NONE) {
+    double ageS = claim.ageS(context.timers().wallClockMs());
+    int rank = ranking.rank(claim.spec, claim.unstarted(), ageS, fetchS);
+    if (claim.startStage != StartEscalation.Stage.NONE) {
       rank = DeadlineRanking.AT_RISK;
     }
     int priority =
-        c.startStage == StartEscalation.Stage.ACROSS_PRIORITIES
+        claim.startStage == StartEscalation.Stage.ACROSS_PRIORITIES
             ? Priority.CRITICAL.ordinal()
-            : c.spec.priority().ordinal();
-    boolean moved = rank != c.rank || priority != c.priority;
-    c.rank = rank;
-    c.priority = priority;
-    target.forEach(
-        (host, n) -> {
-          if (moved || !n.equals(c.queuedWants.get(host))) {
-            sendWant(c, host, n);
+            : claim.spec.priority().ordinal();
+    boolean orderChanged = rank != claim.rank || priority != claim.priority;
+    claim.rank = rank;
+    claim.priority = priority;
+    targetCounts.forEach(
+        (host, count) -> {
+          if (orderChanged || !count.equals(claim.queuedWants.get(host))) {
+            sendWant(claim, host, count);
           }
         });
   }
 
   /**
-   * The machines on which the job could park. Where there is so much room that nothing would be
-   * parked at full ones, those are not looked at: in a fleet they are many, and each job that comes
-   * would walk over all of them.
+   * The machines at which the job could queue wants. Full machines are skipped if there is so much
+   * free capacity that no wants would be queued at them: a fleet has many, and every new job would
+   * iterate over all of them.
    */
-  private List<Candidate> candidates(Claim c, int wanted, long surplus, double now) {
-    List<Candidate> choices = new ArrayList<>();
-    long here = 0;
-    for (MachineTable.Entry s : machineTable.withFreeCapacity()) {
-      Candidate choice = candidateSelection.candidate(c, s, now);
-      if (choice != null) {
-        choices.add(choice);
-        here += choice.hasRoom() ? Math.min(wanted, choice.freeSlots()) : 0;
+  private List<Candidate> candidates(Claim claim, int wanted, long surplus, double now) {
+    List<Candidate> candidates = new ArrayList<>();
+    long freeSlots = 0;
+    for (MachineTable.Entry machine : machineTable.withFreeCapacity()) {
+      Candidate candidate = candidateSelection.candidate(claim, machine, now);
+      if (candidate != null) {
+        candidates.add(candidate);
+        freeSlots += candidate.hasRoom() ? Math.min(wanted, candidate.freeSlots()) : 0;
       }
     }
-    if (here < surplus) {
-      for (MachineTable.Entry s : machineTable.all()) {
-        Candidate choice = s.hasFreeCapacity() ? null : candidateSelection.candidate(c, s, now);
-        if (choice != null) {
-          choices.add(choice);
+    if (freeSlots < surplus) {
+      for (MachineTable.Entry machine : machineTable.all()) {
+        Candidate candidate =
+            machine.hasFreeCapacity() ? null : candidateSelection.candidate(claim, machine, now);
+        if (candidate != null) {
+          candidates.add(candidate);
         }
       }
     }
-    return choices;
+    return candidates;
   }
 
-  /** Parks beside what is parked already, where there is room now. */
-  private void addWantsAtFreedCapacity(Claim c, int wanted, double now) {
-    List<Candidate> choices = new ArrayList<>();
+  /** Queues additional wants at machines that have free capacity now, keeping the existing ones. */
+  private void addWantsAtFreedCapacity(Claim claim, int wanted, double now) {
+    List<Candidate> candidates = new ArrayList<>();
     int covered = 0;
-    for (MachineTable.Entry s : machineTable.withFreeCapacity()) {
-      Integer parked = c.queuedWants.get(s.view().host());
-      if (parked != null) {
-        covered += Math.min(parked, c.size.countFittingIn(s.view().free()));
+    for (MachineTable.Entry machine : machineTable.withFreeCapacity()) {
+      Integer queued = claim.queuedWants.get(machine.view().host());
+      if (queued != null) {
+        covered += Math.min(queued, claim.size.countFittingIn(machine.view().free()));
         continue;
       }
-      Candidate choice = candidateSelection.candidate(c, s, now);
-      if (choice != null && choice.freeSlots() > 0 && choice.hasRoom()) {
-        choices.add(choice);
+      Candidate candidate = candidateSelection.candidate(claim, machine, now);
+      if (candidate != null && candidate.freeSlots() > 0 && candidate.hasRoom()) {
+        candidates.add(candidate);
       }
     }
-    Queue<Candidate> best = new PriorityQueue<>(choices);
-    long left = (long) Math.ceil(wanted * OVERSUBSCRIPTION) - covered;
-    while (left > 0 && !best.isEmpty()) {
-      Candidate ch = best.poll();
-      int n = Math.min(wanted, ch.freeSlots());
-      sendWant(c, ch.machine().view().host(), n);
-      left -= n;
+    Queue<Candidate> best = new PriorityQueue<>(candidates);
+    long wantsLeft = (long) Math.ceil(wanted * OVERSUBSCRIPTION) - covered;
+    while (wantsLeft > 0 && !best.isEmpty()) {
+      Candidate candidate = best.poll();
+      int count = Math.min(wanted, candidate.freeSlots());
+      sendWant(claim, candidate.machine().view().host(), count);
+      wantsLeft -= count;
     }
   }
 
-  private void sendWant(Claim c, String host, int count) {
+  /** Sets the number of wants queued at a machine; 0 withdraws them. */
+  private void sendWant(Claim claim, String host, int count) {
     if (count > 0) {
-      c.queuedWants.put(host, count);
+      claim.queuedWants.put(host, count);
     } else {
-      c.queuedWants.remove(host);
+      claim.queuedWants.remove(host);
     }
-    MachineTable.Entry s = machineTable.get(host);
-    if (s != null) {
+    MachineTable.Entry machine = machineTable.get(host);
+    if (machine != null) {
       context
           .peers()
-          .send(s.holder(), new Message.Want(host, c.id(), c.priority, c.rank, c.size, count));
+          .send(
+              machine.holder(),
+              new Message.Want(host, claim.id(), claim.priority, claim.rank, claim.size, count));
     }
   }
 
-  /** Puts the best of several offers first. */
-  void sortOffers(Claim c) {
-    candidateSelection.sortOffers(c);
+  /** Sorts the claim's offers by cost, cheapest first. */
+  void sortOffers(Claim claim) {
+    candidateSelection.sortOffers(claim);
   }
 
-  void withdrawWants(Claim c) {
-    c.tasksAtLastScan = 0;
-    if (!c.queuedWants.isEmpty()) {
-      for (String host : Set.copyOf(c.queuedWants.keySet())) {
-        sendWant(c, host, 0);
+  /** Withdraws all queued wants of a job. */
+  void withdrawWants(Claim claim) {
+    claim.tasksAtLastScan = 0;
+    if (!claim.queuedWants.isEmpty()) {
+      for (String host : Set.copyOf(claim.queuedWants.keySet())) {
+        sendWant(claim, host, 0);
       }
     }
   }
 
-  /** The machine's book has lost the job's wants, or there is no such book any more. */
-  void wantsLost(Claim c, String host) {
-    if (c.queuedWants.remove(host) != null) {
-      c.nextFullScanAt = Math.min(c.nextFullScanAt, context.now() + MIN_FULL_SCAN_INTERVAL_S);
+  /** Handles the loss of a job's wants at a machine whose book was reset or no longer exists. */
+  void wantsLost(Claim claim, String host) {
+    if (claim.queuedWants.remove(host) != null) {
+      claim.nextFullScanAt =
+          Math.min(claim.nextFullScanAt, context.now() + MIN_FULL_SCAN_INTERVAL_S);
     }
   }
 }
--- a/src/test/java/dev/dunefront/claim/CapacitySubscriptionTest.java
+++ b/src/test/java/dev/dunefront/claim/CapacitySubscriptionTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a controller asks the others to tell it of their machines, and when. */
+/** Which level of detail a controller requests from the others, and when it is sent. */
 class CapacitySubscriptionTest {
   private final FakeClock clock = new FakeClock();
   private final List<String> sent = new ArrayList<>();
@@ -44,14 +44,15 @@
     subscription.tick();
     sent.clear();
     double reliableAt = subscription.require(ViewDetail.CAPACITY);
-    assertEquals(List.of("all ROOM"), sent);
-    assertTrue(reliableAt > clock.now(), "what is known is old");
+    assertEquals(List.of("all CAPACITY"), sent);
+    assertTrue(reliableAt > clock.now(), "the known views are outdated");
     clock.advance(CapacitySubscription.PROPAGATION_S + 0.01);
-    assertEquals(1, reliableCalls, "and is looked at again");
-    assertTrue(subscription.require(ViewDetail.CAPACITY) <= clock.now(), "it is not any more");
-    assertEquals(1, sent.size(), "nothing new is declared");
+    assertEquals(1, reliableCalls, "the callback runs once the views are reliable");
+    assertTrue(
+        subscription.require(ViewDetail.CAPACITY) <= clock.now(), "the views are reliable now");
+    assertEquals(1, sent.size(), "an unchanged level is not sent again");
     ticks(CapacitySubscription.NEED_EXPIRY_S + 0.5);
-    assertEquals(List.of("all ROOM", "all STANDING"), sent);
+    assertEquals(List.of("all CAPACITY", "all STATUS"), sent);
   }
 
   @Test
@@ -59,21 +60,22 @@
     subscription.require(ViewDetail.CAPACITY);
     subscription.require(ViewDetail.FULL);
     subscription.require(ViewDetail.CAPACITY);
-    assertEquals(List.of("all ROOM", "all LOAD"), sent);
+    assertEquals(List.of("all CAPACITY", "all FULL"), sent);
     for (int i = 0; i < 8; i++) {
       subscription.require(ViewDetail.CAPACITY);
       ticks(0.25);
     }
-    assertTrue(sent.contains("all ROOM") && sent.get(2).equals("all ROOM"), sent.toString());
+    assertTrue(
+        sent.contains("all CAPACITY") && sent.get(2).equals("all CAPACITY"), sent.toString());
   }
 
   @Test
   void redeclaresPeriodicallyAndAfterReconnect() {
     ticks(3 * CapacitySubscription.REDECLARE_S);
-    assertEquals(List.of("all STANDING", "all STANDING", "all STANDING"), sent);
+    assertEquals(List.of("all STATUS", "all STATUS", "all STATUS"), sent);
     sent.clear();
     subscription.require(ViewDetail.FULL);
     subscription.peerConnected("node-1");
-    assertEquals(List.of("all LOAD", "node-1 LOAD"), sent, "and to whoever is reached anew");
+    assertEquals(List.of("all FULL", "node-1 FULL"), sent, "also sent to a reconnected controller");
   }
 }
--- a/src/test/java/dev/dunefront/claim/TakeoverTest.java
+++ b/src/test/java/dev/dunefront/claim/TakeoverTest.java
@@ -8,12 +8,13 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Which lapsed claims a controller takes when. */
+/** Which jobs without a live claim a controller claims, and when. */
 class TakeoverTest {
   private static final double WAIT_S = Takeover.RANK_WAIT_S;
 
-  private static UnownedJob unowned(String id, Priority priority, long stamp, String... before) {
-    return new UnownedJob(id, priority, stamp, false, 10, List.of(before));
+  private static UnownedJob unowned(
+      String id, Priority priority, long revision, String... preferredNodes) {
+    return new UnownedJob(id, priority, revision, false, 10, List.of(preferredNodes));
   }
 
   @Test
@@ -39,20 +40,30 @@
     assertEquals(3, Takeover.claimable(all, Map.of(), 10 + WAIT_S * 2.01).size());
   }
 
-  /** Otherwise all take what others are about to take, and every such write is lost. */
+  /**
+   * Guards against wasted writes: without the wait, nodes would claim jobs that a preferred node is
+   * about to claim, and each such write would fail.
+   */
   @Test
   void waitsWhilePreferredNodesMakeProgress() {
     List<UnownedJob> all = List.of(unowned("next", Priority.NORMAL, 2, "x"));
     assertEquals(List.of(), Takeover.claimable(all, Map.of("x", 11.0), 11 + WAIT_S * 0.9));
     assertEquals(List.of("next"), Takeover.claimable(all, Map.of("x", 11.0), 11 + WAIT_S * 1.01));
-    assertEquals(List.of("next"), Takeover.claimable(all, Map.of("z", 11.0), 11), "not before it");
+    assertEquals(
+        List.of("next"),
+        Takeover.claimable(all, Map.of("z", 11.0), 11),
+        "node z does not precede this one");
   }
 
-  /** Those before it may have no share left for it, and go on taking other jobs for ever. */
+  /**
+   * Guards against starvation: the preferred nodes may have no share left for the job and keep
+   * claiming other jobs forever.
+   */
   @Test
   void neverClaimedJobIgnoresProgressOfPreferredNodes() {
-    UnownedJob fresh = new UnownedJob("new", Priority.NORMAL, 2, true, 10, List.of("x"));
+    UnownedJob neverClaimed = new UnownedJob("new", Priority.NORMAL, 2, true, 10, List.of("x"));
     assertEquals(
-        List.of("new"), Takeover.claimable(List.of(fresh), Map.of("x", 11.0), 10 + WAIT_S * 1.01));
+        List.of("new"),
+        Takeover.claimable(List.of(neverClaimed), Map.of("x", 11.0), 10 + WAIT_S * 1.01));
   }
 }
--- a/src/test/java/dev/dunefront/claim/TurnoverTest.java
+++ b/src/test/java/dev/dunefront/claim/TurnoverTest.java
@@ -4,17 +4,17 @@
 
 import org.junit.jupiter.api.Test;
 
-/** For how many urgent tasks others are to give way. */
+/** For how many urgent tasks preemption is necessary. */
 class TurnoverTest {
   private static final double ALL_OBJECTIVES_MISSED = Double.POSITIVE_INFINITY;
 
-  /** Of 20 tasks that wait here, what would still wait when it is too late. */
+  /** Checks how many of the waiting tasks would not have started at their latest start time. */
   private static void assertShortage(
       int expected, int need, long needOfAll, double slotsPerS, double leftS) {
     assertEquals(
         expected,
         Turnover.shortage(need, needOfAll, slotsPerS, leftS),
-        need + " of " + needOfAll + ", " + slotsPerS + " a second, " + leftS + " s left");
+        need + " of " + needOfAll + ", " + slotsPerS + " slots per second, " + leftS + " s left");
   }
 
   @Test
@@ -28,7 +28,7 @@
     assertShortage(20, 20, 20, 10, -2);
   }
 
-  /** One or two ends in a second: whether they come in time is chance. */
+  /** At one or two completions per second, it is uncertain whether they occur in time. */
   @Test
   void discountsSmallCompletionRates() {
     assertShortage(3, 4, 4, 1, 5);
@@ -36,7 +36,7 @@
     assertShortage(136, 400, 400, 60, 4.83);
   }
 
-  /** All that wait share it, or each would count on all of it. */
+  /** Guards against double counting: each controller would otherwise expect all completions. */
   @Test
   void sharesCompletionsInProportionToWaitingTasks() {
     assertShortage(0, 20, 100, 30, 5);
