--- a/src/main/java/dev/dunefront/net/Caller.java
+++ b/src/main/java/dev/dunefront/net/Caller.java
@@ -2,9 +2,15 @@
 
 import java.util.function.Consumer;
 
-/** Makes HTTP calls. The answer always comes, within the deadline: a hung call yields UNCLEAR. */
+/**
+ * Sends HTTP requests. The callback always runs within the deadline: a request without a response
+ * yields {@link Reply#UNCLEAR}.
+ */
 public interface Caller {
-  /** An answer; status 0 means that none came and the request may or may not be carried out. */
+  /**
+   * A response; status 0 means that none arrived, and that the request may or may not have been
+   * executed.
+   */
   record Reply(int status, byte[] body, double retryAfterS) {
     public static final Reply UNCLEAR = new Reply(0, new byte[0], 0);
 
@@ -19,5 +25,5 @@
       String path,
       byte[] body,
       double deadlineS,
-      Consumer<Reply> then);
+      Consumer<Reply> callback);
 }
--- a/src/main/java/dev/dunefront/net/DecisionLock.java
+++ b/src/main/java/dev/dunefront/net/DecisionLock.java
@@ -5,12 +5,13 @@
 import java.util.function.Consumer;
 
 /**
- * One short lock round a controller's decisions. Decisions change memory only; what they want sent
- * is queued with {@link #then} and runs, in order, after the lock is released.
+ * The single lock around a controller's decisions, held only briefly. Decisions change memory only;
+ * sending and other actions are queued with {@link #then} and run, in order, after the lock is
+ * released.
  *
- * <p>A decision or an effect that throws ends itself and nothing else: loops are chains of timers
- * and answers, and an exception that went through would end the chain while the process lives on.
- * Within a decision {@link #run} does the same for one part of it.
+ * <p>An exception ends only the decision or deferred action that throws it: loops are chains of
+ * timers and callbacks, and a propagated exception would end the chain while the process keeps
+ * running. Within a decision, a nested {@link #run} isolates one part of it in the same way.
  */
 public final class DecisionLock {
   private final ReentrantLock lock = new ReentrantLock();
@@ -19,12 +20,12 @@
   private Runnable entering = () -> {};
   private boolean draining;
 
-  /** {@code failed} hears of every decision or effect that has thrown. */
+  /** {@code failed} receives each exception thrown by a decision or a deferred action. */
   public DecisionLock(Consumer<RuntimeException> failed) {
     this.failed = failed;
   }
 
-  /** What is run inside the lock before each decision. */
+  /** Sets the action that runs inside the lock before each decision. */
   public void onEntering(Runnable action) {
     entering = action;
   }
@@ -50,9 +51,9 @@
     }
   }
 
-  /** Queues what has to happen outside the lock. */
-  public void then(Runnable effect) {
-    effects.add(effect);
+  /** Queues an action that runs after the lock is released. */
+  public void then(Runnable action) {
+    effects.add(action);
   }
 
   private void drain() {
--- a/src/main/java/dev/dunefront/net/HttpServer.java
+++ b/src/main/java/dev/dunefront/net/HttpServer.java
@@ -11,18 +11,18 @@
 import java.nio.ByteBuffer;
 import org.xnio.XnioWorker;
 
-/** The HTTP server for users, workers and health checks. */
+/** HTTP server for users, workers and health checks. */
 public final class HttpServer {
-  /** The largest body that is taken. */
+  /** Maximum size of an accepted request body, in bytes. */
   public static final int MAX_BODY = 64 * 1024;
 
-  /** The one path whose answer is text for people and their tools. */
+  /** The only path with a plain-text response. */
   public static final String TEXT_PATH = "/metrics";
 
-  /** A request with its whole body. */
+  /** A request with its complete body. */
   public record Request(String method, String path, String query, byte[] body) {}
 
-  /** Takes an answer once; only the first counts. */
+  /** Sends the response to a request; only the first call has an effect. */
   public interface Answer {
     void send(int status, byte[] body, int retryAfterS);
 
@@ -31,20 +31,20 @@
     }
   }
 
-  /** What serves the requests; it must answer each one, now or later. */
+  /** Serves requests; must respond to each one, at once or later. */
   public interface Handler {
-    void handle(Request request, Answer answer);
+    void handle(Request request, Answer responder);
   }
 
   private HttpServer() {}
 
   public static Undertow start(
-      XnioWorker worker, ByteBufferPool buffers, InetSocketAddress at, Handler handler) {
+      XnioWorker worker, ByteBufferPool buffers, InetSocketAddress address, Handler handler) {
     Undertow server =
         Undertow.builder()
             .setWorker(worker)
             .setByteBufferPool(buffers)
-            .addHttpListener(at.getPort(), at.getAddress().getHostAddress())
+            .addHttpListener(address.getPort(), address.getAddress().getHostAddress())
             .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
             .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, 120_000)
             .setHandler(exchange -> receive(exchange, handler))
@@ -63,7 +63,7 @@
     receiver.setMaxBufferSize(MAX_BODY);
     receiver.receiveFullBytes(
         (ex, body) ->
-            // Dispatching keeps the exchange open until the answer comes, however late.
+            // Dispatching keeps the exchange open until the response is sent, however late.
             ex.dispatch(
                 SameThreadExecutor.INSTANCE,
                 () ->
--- a/src/main/java/dev/dunefront/net/Lag.java
+++ b/src/main/java/dev/dunefront/net/Lag.java
@@ -1,8 +1,8 @@
 package dev.dunefront.net;
 
 /**
- * How late timers fire, which is how far a process is behind with its work. A late one counts at
- * once, and is forgotten within a few seconds.
+ * Measures how late timers fire, which shows how far the process is behind with its work. A delay
+ * counts at once and decays within a few seconds.
  */
 public final class Lag {
   private static final double FORGET = 0.85;
@@ -10,7 +10,9 @@
   private double due = Double.NaN;
   private double lagS;
 
-  /** A timer that was set for {@code everyS} after the last one has fired. */
+  /**
+   * Records that a timer has fired that was set for {@code everyS} seconds after the previous one.
+   */
   public void fired(double now, double everyS) {
     if (!Double.isNaN(due)) {
       lagS = Math.max(Math.max(0, now - due), lagS * FORGET);
--- a/src/main/java/dev/dunefront/net/Loops.java
+++ b/src/main/java/dev/dunefront/net/Loops.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 
 /**
- * Whether what has to go on for ever does: every loop tells of its turns, and of one that has not
- * turned for as long as it may take its process is not to be trusted with users' requests. Counts
- * what has failed as well. Guarded by the controller's lock.
+ * Monitors the loops that must run for as long as the process. Each loop records its iterations;
+ * while one is overdue, the process must not be given user requests. Also counts failed decisions
+ * and deferred actions. Guarded by the controller's decision lock.
  */
 public final class Loops {
   private static final System.Logger LOG = System.getLogger(Loops.class.getName());
@@ -17,17 +17,20 @@
   private final Map<String, Turn> turns = new HashMap<>();
   private int failures;
 
-  /** The loop has turned, and will within so many seconds again. */
+  /** Records an iteration of the loop; the next one is due within {@code withinS} seconds. */
   public void turned(String loop, double now, double withinS) {
     turns.put(loop, new Turn(now, withinS));
   }
 
-  /** The whole process has stood still until now, which is no loop's fault. */
+  /**
+   * Restarts the time limits of all loops after a pause of the whole process, which is no failure
+   * of a loop.
+   */
   public void stoodStill(double now) {
-    turns.replaceAll((loop, turn) -> new Turn(now, turn.within));
+    turns.replaceAll((loop, last) -> new Turn(now, last.within));
   }
 
-  /** A loop that should have turned and has not, or null. */
+  /** Returns a loop whose next iteration is overdue, or null. */
   public String stalled(double now) {
     for (var e : turns.entrySet()) {
       if (now - e.getValue().at > e.getValue().within) {
@@ -37,13 +40,13 @@
     return null;
   }
 
-  /** A decision or an effect has thrown; it is over, and all else goes on. */
+  /** Records the exception that ended a decision or deferred action; everything else continues. */
   public void failed(RuntimeException e) {
     failures++;
-    LOG.log(Level.ERROR, "a decision failed and was given up", e);
+    LOG.log(Level.ERROR, "a decision or deferred action failed with an exception", e);
   }
 
-  /** How many decisions and effects have thrown. */
+  /** Number of decisions and deferred actions that have thrown an exception. */
   public int failures() {
     return failures;
   }
--- a/src/main/java/dev/dunefront/net/NoManagement.java
+++ b/src/main/java/dev/dunefront/net/NoManagement.java
@@ -5,14 +5,17 @@
 import javax.management.MBeanServerDelegate;
 
 /**
- * Refuses to make a management server. XNIO registers its workers and servers with one, and making
- * it takes nearly half of the processor time of a start; without one XNIO goes on. What operators
- * read is at {@link HttpServer#TEXT_PATH}.
+ * Prevents the creation of an MBean server. XNIO registers its workers and servers with one, and
+ * creating it takes nearly half of the CPU time of a start; XNIO works without it. Operators read
+ * metrics at {@link HttpServer#TEXT_PATH} instead.
  */
 public final class NoManagement extends MBeanServerBuilder {
   private static final String BUILDER = "javax.management.builder.initial";
 
-  /** Has effect before the first use of XNIO, and unless the operator has chosen a builder. */
+  /**
+   * Takes effect only before the first use of XNIO, and only if the operator has not configured a
+   * builder.
+   */
   public static void install() {
     if (System.getProperty(BUILDER) == null) {
       System.setProperty(BUILDER, NoManagement.class.getName());
@@ -22,6 +25,6 @@
   @Override
   public MBeanServer newMBeanServer(
       String defaultDomain, MBeanServer outer, MBeanServerDelegate delegate) {
-    throw new IllegalStateException("no management server is wanted");
+    throw new IllegalStateException("the MBean server is disabled");
   }
 }
--- a/src/main/java/dev/dunefront/net/Timers.java
+++ b/src/main/java/dev/dunefront/net/Timers.java
@@ -1,13 +1,13 @@
 package dev.dunefront.net;
 
-/** The steady clock and timers, handed to decision code so that tests can drive them. */
+/** Monotonic clock and timers, passed to decision code so that tests can control them. */
 public interface Timers {
-  /** Seconds on the steady clock. */
+  /** Seconds on the monotonic clock. */
   double now();
 
-  /** The time of day in milliseconds, good to within the settings' bound. */
+  /** Wall-clock time in milliseconds, accurate to within the bound in the settings. */
   long timeOfDayMs();
 
-  /** Runs the action once, after so many seconds. */
+  /** Runs the action once, after {@code seconds}. */
   void after(double seconds, Runnable action);
 }
--- a/src/main/java/dev/dunefront/net/UndertowCaller.java
+++ b/src/main/java/dev/dunefront/net/UndertowCaller.java
@@ -25,8 +25,8 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * Undertow's client with a small pool of open connections for each address. All of it runs on one
- * I/O thread, so its own fields need no lock.
+ * HTTP client based on Undertow's, with a small pool of idle connections per address. It runs on a
+ * single I/O thread, so its fields need no lock.
  */
 public final class UndertowCaller implements Caller {
   private static final int MAX_IDLE = 6;
@@ -53,8 +53,8 @@
       String path,
       byte[] body,
       double deadlineS,
-      Consumer<Reply> then) {
-    Call call = new Call(address, method, path, body, then);
+      Consumer<Reply> callback) {
+    Call call = new Call(address, method, path, body, callback);
     if (Thread.currentThread() == thread) {
       call.start(deadlineS);
     } else {
@@ -67,18 +67,18 @@
     private final String method;
     private final String path;
     private final byte[] body;
-    private final Consumer<Reply> then;
+    private final Consumer<Reply> callback;
     private XnioExecutor.Key deadline;
     private IoFuture<ClientConnection> connecting;
     private ClientConnection connection;
     private boolean over;
 
-    Call(String address, String method, String path, byte[] body, Consumer<Reply> then) {
+    Call(String address, String method, String path, byte[] body, Consumer<Reply> callback) {
       this.address = address;
       this.method = method;
       this.path = path;
       this.body = body;
-      this.then = then;
+      this.callback = callback;
     }
 
     void start(double deadlineS) {
@@ -195,15 +195,15 @@
 
     private void receive(ClientExchange exchange) {
       StreamSourceChannel channel = exchange.getResponseChannel();
-      ByteArrayOutputStream all = new ByteArrayOutputStream();
-      if (drain(exchange, channel, all)) {
+      ByteArrayOutputStream received = new ByteArrayOutputStream();
+      if (drain(exchange, channel, received)) {
         return;
       }
       channel
           .getReadSetter()
           .set(
               c -> {
-                if (drain(exchange, c, all)) {
+                if (drain(exchange, c, received)) {
                   c.suspendReads();
                 }
               });
@@ -211,7 +211,7 @@
     }
 
     private boolean drain(
-        ClientExchange exchange, StreamSourceChannel channel, ByteArrayOutputStream all) {
+        ClientExchange exchange, StreamSourceChannel channel, ByteArrayOutputStream received) {
       ByteBuffer buffer = ByteBuffer.allocate(4096);
       try {
         while (true) {
@@ -223,8 +223,8 @@
           if (n < 0) {
             break;
           }
-          all.write(buffer.array(), 0, n);
-          if (all.size() > MAX_BODY) {
+          received.write(buffer.array(), 0, n);
+          if (received.size() > MAX_BODY) {
             broken();
             return true;
           }
@@ -233,33 +233,34 @@
         broken();
         return true;
       }
-      double retryAfter = 0;
+      double retryAfterS = 0;
       String header = exchange.getResponse().getResponseHeaders().getFirst(Headers.RETRY_AFTER);
       if (header != null) {
         try {
-          retryAfter = Double.parseDouble(header);
+          retryAfterS = Double.parseDouble(header);
         } catch (NumberFormatException e) {
-          // a date or nonsense: the caller's own pause applies
+          // Not a number of seconds, for example a date: the caller's own retry delay applies.
         }
       }
       finish(
-          new Reply(exchange.getResponse().getResponseCode(), all.toByteArray(), retryAfter), true);
+          new Reply(exchange.getResponse().getResponseCode(), received.toByteArray(), retryAfterS),
+          true);
       return true;
     }
 
-    /** The connection failed; nobody knows whether the request arrived. */
+    /** The connection failed; it is unknown whether the request arrived. */
     private void broken() {
       finish(Reply.UNCLEAR, false);
     }
 
-    private void finish(Reply reply, boolean keep) {
+    private void finish(Reply reply, boolean reusable) {
       if (over) {
         return;
       }
       over = true;
       deadline.remove();
       if (connection != null) {
-        if (keep && connection.isOpen()) {
+        if (reusable && connection.isOpen()) {
           ArrayDeque<Idle> idle = pool.computeIfAbsent(address, a -> new ArrayDeque<>());
           idle.addLast(new Idle(connection, timers.now()));
           if (idle.size() > MAX_IDLE) {
@@ -271,7 +272,7 @@
       } else if (connecting != null) {
         connecting.cancel();
       }
-      then.accept(reply);
+      callback.accept(reply);
     }
   }
 }
--- a/src/main/java/dev/dunefront/net/XnioTimers.java
+++ b/src/main/java/dev/dunefront/net/XnioTimers.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.TimeUnit;
 import org.xnio.XnioExecutor;
 
-/** Timers on the one I/O thread. */
+/** Timers on the single I/O thread. */
 public final class XnioTimers implements Timers {
   private final XnioExecutor executor;
 
--- a/src/main/java/dev/dunefront/net/package-info.java
+++ b/src/main/java/dev/dunefront/net/package-info.java
@@ -1,2 +1,2 @@
-/** Time, HTTP calls with deadlines, and the HTTP server; everything here can be faked in tests. */
+/** Clock and timers, HTTP calls with deadlines, and the HTTP server; tests can replace them all. */
 package dev.dunefront.net;
--- a/src/main/java/dev/dunefront/peer/Detail.java
+++ b/src/main/java/dev/dunefront/peer/Detail.java
@@ -3,13 +3,15 @@
 import dev.dunefront.peer.Message.View;
 
 /**
- * How much a controller hears of the machines that others hold, least first. Each level includes
- * those before it. Tasks of its own jobs are told to a controller whatever the level.
+ * Level of detail at which a controller receives the state of machines that others hold, in
+ * increasing order; each level includes those before it. Tasks of its own jobs are sent to a
+ * controller at every level.
  */
 public enum Detail {
   /**
-   * What proofs rest on and what is rare: which machines there are, who holds them and under which
-   * fencing token, their sessions and leases, whether they are open.
+   * Rare changes, and the facts that proofs of the end of an attempt depend on: which machines
+   * exist, who holds them and under which fencing token, their sessions and leases, and whether
+   * they are schedulable.
    */
   STANDING {
     @Override
@@ -18,7 +20,10 @@
     }
   },
 
-  /** What room there is, and where room can be made: for who looks for room. */
+  /**
+   * Also free capacity, and where capacity can be freed: for controllers with tasks that wait for
+   * room.
+   */
   ROOM {
     @Override
     public boolean differs(View now, View before) {
@@ -29,7 +34,10 @@
     }
   },
 
-  /** Everything: for who rents, and for urgent work that other work may have to give way to. */
+  /**
+   * Everything: for the controller that rents machines, and for urgent tasks that may preempt
+   * others.
+   */
   LOAD {
     @Override
     public boolean differs(View now, View before) {
@@ -37,6 +45,6 @@
     }
   };
 
-  /** Whether a controller at this level, told the one, has to be told the other. */
+  /** Whether a controller at this level that was sent {@code before} must be sent {@code now}. */
   public abstract boolean differs(View now, View before);
 }
--- a/src/main/java/dev/dunefront/peer/Message.java
+++ b/src/main/java/dev/dunefront/peer/Message.java
@@ -6,20 +6,20 @@
 import java.util.Map;
 
 /**
- * What controllers tell each other. A task is named by job and number; a hold by its token, which
- * is never used twice for one machine; a claim by its term, which rises whenever a job changes
- * hands. Whatever acts on a machine names these, for its sender may have stood still since it knew
- * them (the table in docs/design.md).
+ * Messages between controllers. A task is identified by job and number, a hold by its fencing
+ * token, which is never reused for the same machine, and a claim by its term, which increases
+ * whenever a job changes its owner. Messages that act on a machine carry these, because the sender
+ * may have been paused after it read them (see the table in docs/design.md).
  */
 public sealed interface Message {
 
-  /** Opens a link: who speaks. */
+  /** First message on a link; identifies the sender. */
   record Hello(String node) implements Message {}
 
-  /** Keeps a link from falling silent; echoed. */
+  /** Keeps an idle link alive; the receiver echoes it. */
   record Ping() implements Message {}
 
-  /** A task on a machine as its holder knows it; PENDING means that its start is under way. */
+  /** A task on a machine as its holder knows it; PENDING means that its start is in progress. */
   record TaskState(String job, int number, long attempt, State state, Why why) {
     public boolean exited() {
       return state == State.EXITED;
@@ -41,7 +41,7 @@
     }
   }
 
-  /** The state of a task on a machine; PENDING: its start is under way. */
+  /** State of a task on a machine; PENDING means that its start is in progress. */
   enum State {
     PENDING,
     FETCHING,
@@ -50,7 +50,7 @@
     EXITED
   }
 
-  /** Why a task ended; NONE while it has not. */
+  /** Reason for the end of a task; NONE while it has not ended. */
   enum Why {
     NONE,
     DONE,
@@ -60,8 +60,8 @@
   }
 
   /**
-   * A held machine, told when something has changed that the receiver wants to hear of ({@link
-   * Interest}), and those of its tasks whose jobs the receiver has claimed.
+   * State of a held machine, sent after each change that the receiver subscribes to ({@link
+   * Interest}), with those of its tasks whose jobs the receiver has claimed.
    */
   record View(
       String host,
@@ -71,57 +71,63 @@
       long token,
       long holdStamp,
       long session,
-      /** The worker has reported under this token and no order is in doubt. */
+      /** The worker has reported under this token, and no order has an unknown outcome. */
       boolean settled,
-      /** The lease of this session is surely over. */
+      /** The lease of this session has certainly expired. */
       boolean lost,
-      /** Room is being dealt. */
+      /** Its free capacity is offered to tasks. */
       boolean open,
-      /** Several jobs fail on it that run elsewhere. */
+      /** Several jobs fail on it that run on other machines. */
       boolean quarantined,
-      /** Nothing runs on it and no room is dealt, for it is about to be returned. */
+      /** It is idle and makes no offers, because it is about to be returned. */
       boolean retiring,
-      /** Its reports come, but nothing that is said to it arrives. */
+      /** Its reports arrive, but nothing that is sent to it does. */
       boolean deaf,
-      /** Time of day since when nothing has run on it while it was open; 0 while that is not so. */
+      /**
+       * Wall-clock time in milliseconds since which it has been idle and schedulable; 0 if it is
+       * not.
+       */
       long idleSinceMs,
       Size free,
       List<String> images,
-      /** Unfinished tasks on it, by priority. */
+      /** Number of unfinished tasks, by priority. */
       List<Integer> unfinished,
-      /** Those of them that may give way: they began just now, or yield to whatever comes. */
+      /**
+       * How many of them may be preempted, because they have just started or yield to any other
+       * task.
+       */
       List<Integer> young,
       List<TaskState> tasks)
       implements Message {
-    /** Whether the other says the same of the hold, the session and the machine's condition. */
-    boolean standsLike(View o) {
-      return token == o.token
-          && holdStamp == o.holdStamp
-          && session == o.session
-          && settled == o.settled
-          && lost == o.lost
-          && open == o.open
-          && quarantined == o.quarantined
-          && retiring == o.retiring
-          && deaf == o.deaf;
+    /** Whether the other has the same hold, session and condition of the machine. */
+    boolean standsLike(View other) {
+      return token == other.token
+          && holdStamp == other.holdStamp
+          && session == other.session
+          && settled == other.settled
+          && lost == other.lost
+          && open == other.open
+          && quarantined == other.quarantined
+          && retiring == other.retiring
+          && deaf == other.deaf;
     }
 
-    /** Whether the other says the same of the machine itself, whatever tasks it shows. */
-    boolean saysTheSame(View o) {
-      return standsLike(o)
-          && idleSinceMs == o.idleSinceMs
-          && free.equals(o.free)
-          && images.equals(o.images)
-          && unfinished.equals(o.unfinished)
-          && young.equals(o.young);
+    /** Whether the other is equal except for the tasks that it shows. */
+    boolean saysTheSame(View other) {
+      return standsLike(other)
+          && idleSinceMs == other.idleSinceMs
+          && free.equals(other.free)
+          && images.equals(other.images)
+          && unfinished.equals(other.unfinished)
+          && young.equals(other.young);
     }
 
-    /** Whether anything may fit right now. */
+    /** Whether it has free capacity that is offered now. */
     public boolean roomy() {
       return open && (free.cpu() > 0 || free.gpu() > 0);
     }
 
-    /** How many young tasks there are of a lower priority. */
+    /** Number of preemptible tasks with a lower priority. */
     public int youngBelow(Priority priority) {
       int n = 0;
       for (int p = priority.ordinal() + 1; p < young.size(); p++) {
@@ -130,13 +136,13 @@
       return n;
     }
 
-    /** How many tasks of the lowest priority may give way. */
+    /** Number of preemptible tasks with the lowest priority. */
     public int yielding() {
       int lowest = Priority.BEST_EFFORT.ordinal();
       return lowest < young.size() ? young.get(lowest) : 0;
     }
 
-    /** Whether urgent tasks are on it. */
+    /** Whether it has unfinished urgent tasks. */
     public boolean runsUrgent() {
       for (Priority p : Priority.values()) {
         if (p.urgent() && p.ordinal() < unfinished.size() && unfinished.get(p.ordinal()) > 0) {
@@ -146,7 +152,7 @@
       return false;
     }
 
-    /** Whether nothing runs or is about to. */
+    /** Whether no task runs on it or is about to. */
     public boolean idle() {
       for (int n : unfinished) {
         if (n != 0) {
@@ -156,7 +162,7 @@
       return true;
     }
 
-    public View withTasks(List<TaskState> shown) {
+    public View withTasks(List<TaskState> visibleTasks) {
       return new View(
           host,
           type,
@@ -176,13 +182,14 @@
           images,
           unfinished,
           young,
-          shown);
+          visibleTasks);
     }
   }
 
   /**
-   * How much the sender wants to hear of the receiver's machines, until it says otherwise. Said
-   * again and again, for a receiver that has not heard it lately tells everything.
+   * Sets the level of detail at which the sender receives the state of the receiver's machines,
+   * until it is changed. Repeated regularly, because a receiver without a recent subscription sends
+   * everything.
    */
   record Interest(Detail detail) implements Message {}
 
@@ -190,25 +197,25 @@
   record Unheld(String host) implements Message {}
 
   /**
-   * Parks wants for tasks of a job in a machine's book; a count of 0 withdraws them. The rank, 0
-   * being first, orders wants within a priority by how much is still to be won by serving them.
+   * Queues wants for tasks of a job in a machine's book; a count of 0 withdraws them. The rank,
+   * with 0 first, orders wants of the same priority by the remaining benefit of serving them.
    */
   record Want(String host, String job, int priority, int rank, Size size, int count)
       implements Message {}
 
-  /** Room for one task of the job is set aside. */
+  /** Room for one task of the job is reserved. */
   record Offer(long offer, String host, String job, long token, long holdStamp, long session)
       implements Message {}
 
-  /** The offer is not taken; its room is free again. */
+  /** The offer is declined; its room is free again. */
   record Decline(long offer, String host) implements Message {}
 
-  /** The offer is being taken: its room is kept until the placement is recorded. */
+  /** The offer is about to be accepted: its room stays reserved until the placement is recorded. */
   record Taking(long offer, String host) implements Message {}
 
   /**
-   * Takes an offer: the placement is recorded, for this session of the worker alone, and the task
-   * may be started in it.
+   * Accepts an offer: the placement is recorded for this session of the worker only, and the task
+   * may be started in the reserved room.
    */
   record Start(
       long offer,
@@ -221,14 +228,19 @@
       long attempt)
       implements Message {}
 
-  /** Asks whether an attempt that the holder's view lacks is surely gone. */
+  /**
+   * Asks whether an attempt that is missing from the holder's view is certainly not on the machine.
+   */
   record Probe(String host, long term, String job, int number, long attempt) implements Message {}
 
-  /** It is, and the holder will never start it under this token. */
+  /**
+   * Confirms {@link Probe}: the attempt is not on the machine, and the holder will never start it
+   * under this token.
+   */
   record Absent(String host, long token, long holdStamp, String job, int number, long attempt)
       implements Message {}
 
-  /** Ends an attempt, with so many seconds to save. */
+  /** Stops an attempt, with {@code graceS} seconds to save its state. */
   record Stop(String host, long term, String job, int number, long attempt, double graceS)
       implements Message {}
 
@@ -236,9 +248,9 @@
   record Clear(String host, long term, String job, int number, long attempt) implements Message {}
 
   /**
-   * Tasks of the job have failed on the machine. With a weight of {@link #PROVEN} the job runs
-   * elsewhere; with {@link #UNPROVEN} nothing of it has been done yet; with {@link #WITHDRAWN} it
-   * fails wherever it runs, and says nothing of the machine.
+   * Tasks of the job have failed on the machine. The weight is {@link #PROVEN} if the job runs on
+   * other machines, {@link #UNPROVEN} if none of its tasks has completed yet, and {@link
+   * #WITHDRAWN} if the job fails on every machine, which says nothing about this one.
    */
   record Blame(String host, String job, int weight) implements Message {
     public static final int WITHDRAWN = 0;
@@ -247,59 +259,69 @@
   }
 
   /**
-   * A machine that the receiver holds has reported here, in this session with this serial and
-   * having seen this token: does the receiver still hear it?
+   * A machine held by the receiver has reported to the sender, in this session with this serial and
+   * with this token as the last one seen. Asks whether the receiver still gets its reports.
    */
   record HoldAsk(String host, long session, long serial, long token) implements Message {}
 
-  /** Answers HoldAsk: whether the sender holds the machine, and when it last heard it. */
+  /**
+   * Reply to {@link HoldAsk}: whether the sender holds the machine, and the age of its last report
+   * there in seconds.
+   */
   record HoldSay(String host, boolean held, double heardAgoS) implements Message {}
 
-  /** The job's final state is recorded: it is done, or else cancelled. */
+  /** The final state of the job is recorded: done if {@code done} is true, or cancelled. */
   record Ended(String job, boolean done) implements Message {}
 
-  /** A user was told that the job is cancelled. */
+  /** A user has received the confirmation that the job is cancelled. */
   record Cancelled(String job) implements Message {}
 
   /**
-   * What a controller has waiting, for whoever rents machines, and machines on which it has placed
-   * tasks and of which nobody tells.
+   * Tasks of the sender that wait for room, for the controller that rents machines; and machines on
+   * which it has placed tasks but of which no holder has confirmed the state.
    */
   record Demand(List<Waiting> waiting, List<String> unheard) implements Message {}
 
   /**
-   * So many tasks wait for room. Where a job's tasks must be together or apart, {@code zones} says
-   * how many of them each zone may still take.
+   * Tasks of a job that wait for room. If they must run together or apart, {@code zones} contains
+   * the number of tasks that each zone may still take.
    */
   record Waiting(String job, int tasks, Map<String, Integer> zones) {}
 
   /**
-   * A machine that is to be returned: if nothing is on it, it is closed for some seconds. Names the
-   * term of the duty for which it is sent.
+   * Asks the holder to close an idle machine for some seconds, because it is to be returned.
+   * Carries the term of the duty on whose behalf it is sent.
    */
   record Retire(String host, long term) implements Message {}
 
-  /** The highest term of a duty that the sender knows, told to whoever acted in a lower one. */
+  /**
+   * The highest term of a duty that the sender knows; sent to a controller that acted in a lower
+   * one.
+   */
   record DutyTerm(String duty, long term) implements Message {}
 
-  /** What has changed in the task counts of the sender's jobs, for users who ask elsewhere. */
+  /** Changed task counts of the sender's jobs, for users who query other controllers. */
   record Progress(List<Count> counts) implements Message {}
 
-  /** {@code placed} counts tasks that run or are about to; {@code running} those that run. */
+  /** {@code placed} counts tasks that run or are about to start; {@code running} those that run. */
   record Count(String job, int done, int running, int placed) {}
 
-  /** Asks to stop young tasks of lower priority, so that so many tasks of this size find room. */
+  /**
+   * Asks the holder to preempt tasks of lower priority, to make room for {@code count} tasks of
+   * this size.
+   */
   record Preempt(String host, int priority, Size size, int count) implements Message {}
 
-  /** The sender lacks changes of the state service's rate for what waits there. */
+  /** Requests write tokens of the state service's rate limit, which the sender lacks. */
   record LoanAsk(long number, int changes) implements Message {}
 
-  /** The sender gives so many of its own, to be used at once. */
+  /** Lends write tokens, which must be used at once. */
   record Loan(long number, int changes) implements Message {}
 
   /**
-   * Whether the state service serves the sender, how much of it the sender asks a second, and how
-   * many machines the sender holds, and by how much its timers are late.
+   * Whether the state service serves the sender, the requests and writes per second that the sender
+   * sends to it, the number of machines that the sender holds, and the delay of its timers in
+   * seconds.
    */
   record Health(boolean stateServes, double requests, double writes, int held, double lagS)
       implements Message {}
--- a/src/main/java/dev/dunefront/peer/Peers.java
+++ b/src/main/java/dev/dunefront/peer/Peers.java
@@ -3,37 +3,40 @@
 import java.util.Collection;
 
 /**
- * Sends messages to controllers, this one included. A link that breaks loses what was under way;
- * the listener hears of it and says everything anew.
+ * Sends messages to controllers, including this one. A link that breaks loses the messages in
+ * flight; the listener is notified and sends the current state again.
  */
 public interface Peers {
-  /** Hears what other controllers say, and which of them can be reached. */
+  /** Receives messages from other controllers and changes of their reachability. */
   interface Listener {
     void received(String from, Message message);
 
-    /** A link for sending to the node is open. */
+    /** An outgoing link to the node has been opened. */
     void reached(String node);
 
-    /** What the node has said before no longer holds: its link here is gone. */
+    /**
+     * The incoming link from the node is lost or replaced: state received from it is no longer
+     * valid.
+     */
     void gone(String node);
   }
 
   void send(String node, Message message);
 
-  /** To several controllers; the same as to each of them, at less cost. */
+  /** Sends the message to several controllers; equivalent to sending it to each, at lower cost. */
   default void send(Collection<String> nodes, Message message) {
     nodes.forEach(node -> send(node, message));
   }
 
-  /** To every controller, this one included. */
+  /** Sends the message to every controller, including this one. */
   void broadcast(Message message);
 
-  /** What has gone out to other controllers since the start. */
+  /** Traffic to other controllers since the start. */
   default Traffic sent() {
     return Traffic.NONE;
   }
 
-  /** Records and their bytes, lengths included, as handed to the sockets. */
+  /** Number of records and their bytes, including length prefixes, as handed to the sockets. */
   record Traffic(long records, long bytes) {
     static final Traffic NONE = new Traffic(0, 0);
   }
--- a/src/main/java/dev/dunefront/peer/Records.java
+++ b/src/main/java/dev/dunefront/peer/Records.java
@@ -43,9 +43,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Messages as bytes: one byte of kind, then the fields in order. */
+/** Encodes messages as one type byte followed by the fields in order. */
 public final class Records {
-  /** The largest record that is taken, in bytes. */
+  /** Maximum size of an accepted record, in bytes. */
   static final int MAX_RECORD = 4 << 20;
 
   private Records() {}
@@ -159,7 +159,7 @@
     }
   }
 
-  /** What concerns neither a task nor an offer. */
+  /** Writes messages that concern neither a task nor an offer. */
   private static void writeOther(DataOutputStream out, Message m) throws IOException {
     if (m instanceof Blame b) {
       out.writeByte(13);
@@ -272,12 +272,12 @@
     out.writeLong(attempt);
   }
 
-  /** Throws on anything garbled, which closes the link and nothing else. */
+  /** Decodes a record; throws on malformed input, which closes only the link that it came from. */
   public static Message decode(byte[] record) throws IOException {
     DataInputStream in = new DataInputStream(new ByteArrayInputStream(record));
-    int kind = in.readByte();
+    int type = in.readByte();
     Message m =
-        switch (kind) {
+        switch (type) {
           case 1 -> new Hello(in.readUTF());
           case 2 -> new Ping();
           case 3 -> readView(in);
@@ -368,10 +368,10 @@
             }
             yield new Progress(all);
           }
-          default -> throw new IOException("unknown record " + kind);
+          default -> throw new IOException("unknown record type " + type);
         };
     if (in.read() >= 0) {
-      throw new IOException("bytes after the record");
+      throw new IOException("unexpected bytes after the end of the record");
     }
     return m;
   }
@@ -438,11 +438,11 @@
     return zones;
   }
 
-  private static <T> T pick(T[] all, int index) throws IOException {
-    if (index < 0 || index >= all.length) {
-      throw new IOException("unknown code " + index);
+  private static <T> T pick(T[] constants, int index) throws IOException {
+    if (index < 0 || index >= constants.length) {
+      throw new IOException("unknown enum code " + index);
     }
-    return all[index];
+    return constants[index];
   }
 
   private static Size readSize(DataInputStream in) throws IOException {
--- a/src/main/java/dev/dunefront/peer/XnioPeers.java
+++ b/src/main/java/dev/dunefront/peer/XnioPeers.java
@@ -19,8 +19,9 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * Every controller dials every other one. A link carries records one way, from the dialler; only
- * pings come back, so that a link which hangs without an error is noticed.
+ * Connects each controller to every other one. A link carries messages in one direction, from the
+ * connecting side; only echoed pings come back, so that a link that hangs without an error is
+ * detected.
  */
 public final class XnioPeers implements Peers {
   private static final System.Logger LOG = System.getLogger(XnioPeers.class.getName());
@@ -29,7 +30,7 @@
   private static final double REDIAL_S = 0.5;
   private static final int MAX_QUEUED = 8 << 20;
 
-  /** A queue that has grown beyond this gives its memory back when it is empty. */
+  /** A larger send buffer, in bytes, is replaced by a small one when it becomes empty. */
   private static final int MAX_IDLE = 64 << 10;
 
   private final Settings settings;
@@ -40,7 +41,7 @@
   private final Map<String, Out> out = new HashMap<>();
   private final Map<String, In> in = new HashMap<>();
 
-  /** What has been queued for other controllers; written on the I/O thread alone. */
+  /** Traffic queued for other controllers; written on the I/O thread only. */
   private volatile Traffic sent = Traffic.NONE;
 
   public XnioPeers(
@@ -70,7 +71,7 @@
                   new In(c).open();
                 }
               } catch (IOException e) {
-                LOG.log(Level.DEBUG, "accepting a peer failed: {0}", e.getMessage());
+                LOG.log(Level.DEBUG, "accepting a peer connection failed: {0}", e.getMessage());
               }
             },
             OptionMap.EMPTY);
@@ -112,7 +113,7 @@
     sendAll(out.values(), message);
   }
 
-  /** Encodes once for all links. */
+  /** Encodes the message once for all links. */
   private void sendAll(Collection<Out> links, Message message) {
     decisionLock.then(
         () -> {
@@ -126,7 +127,10 @@
     return sent;
   }
 
-  /** Bytes waiting to go out on one connection, side by side, so that one write takes them all. */
+  /**
+   * Contiguous buffer of the bytes to be sent on one connection, so that one write covers all of
+   * them.
+   */
   private static final class Queue {
     private static final int USUAL = 4096;
 
@@ -137,15 +141,15 @@
     }
 
     void add(byte[] record) {
-      int wanted = buffer.position() + Integer.BYTES + record.length;
-      if (wanted > buffer.capacity()) {
-        ByteBuffer larger = ByteBuffer.allocate(Math.max(wanted, 2 * buffer.capacity()));
+      int required = buffer.position() + Integer.BYTES + record.length;
+      if (required > buffer.capacity()) {
+        ByteBuffer larger = ByteBuffer.allocate(Math.max(required, 2 * buffer.capacity()));
         buffer = larger.put(buffer.flip());
       }
       buffer.putInt(record.length).put(record);
     }
 
-    /** Writes what the socket takes; true when nothing is left. */
+    /** Writes as much as the socket accepts; returns true if nothing is left. */
     boolean pump(StreamConnection c) throws IOException {
       buffer.flip();
       try {
@@ -165,7 +169,7 @@
     }
   }
 
-  /** Cuts incoming bytes into records. */
+  /** Splits incoming bytes into records. */
   private static final class Reader {
     private ByteBuffer buffer = ByteBuffer.allocate(8192);
 
@@ -173,7 +177,7 @@
       void record(byte[] record) throws IOException;
     }
 
-    /** False at the end of the stream. */
+    /** Reads the available bytes; returns false at the end of the stream. */
     boolean read(StreamConnection c, Sink sink) throws IOException {
       while (true) {
         int n = c.getSourceChannel().read(buffer);
@@ -187,7 +191,7 @@
         while (buffer.remaining() >= 4) {
           int length = buffer.getInt(buffer.position());
           if (length < 1 || length > Records.MAX_RECORD) {
-            throw new IOException("a record of " + length + " bytes");
+            throw new IOException("invalid record length: " + length + " bytes");
           }
           if (buffer.remaining() < 4 + length) {
             break;
@@ -197,10 +201,10 @@
           buffer.get(record);
           sink.record(record);
         }
-        int wanted =
+        int required =
             buffer.remaining() >= 4 ? 4 + buffer.getInt(buffer.position()) : buffer.capacity();
-        if (wanted > buffer.capacity()) {
-          buffer = ByteBuffer.allocate(wanted).put(buffer);
+        if (required > buffer.capacity()) {
+          buffer = ByteBuffer.allocate(required).put(buffer);
         } else {
           buffer.compact();
         }
@@ -208,7 +212,7 @@
     }
   }
 
-  /** The link to one peer, dialled again whenever it breaks. */
+  /** Outgoing link to one peer, reconnected whenever it breaks. */
   private final class Out {
     private final Settings.Peer peer;
     private StreamConnection connection;
@@ -245,7 +249,11 @@
                             opened(future.get());
                             return;
                           } catch (IOException e) {
-                            LOG.log(Level.DEBUG, "dialling {0}: {1}", peer.node(), e.getMessage());
+                            LOG.log(
+                                Level.DEBUG,
+                                "connecting to {0} failed: {1}",
+                                peer.node(),
+                                e.getMessage());
                           }
                         }
                         timers.after(REDIAL_S, this::dial);
@@ -272,7 +280,7 @@
         return;
       }
       if (timers.now() - heard > SILENCE_S) {
-        close(c, "silent");
+        close(c, "no ping reply");
         return;
       }
       send(Records.encode(new Message.Ping()));
@@ -282,7 +290,7 @@
     private void pongs(StreamConnection c) {
       try {
         if (!reader.read(c, record -> heard = timers.now())) {
-          close(c, "closed");
+          close(c, "closed by the peer");
         }
       } catch (IOException e) {
         close(c, e.getMessage());
@@ -296,11 +304,11 @@
       queue.add(record);
       sent = new Traffic(sent.records() + 1, sent.bytes() + Integer.BYTES + record.length);
       if (queue.bytes() > MAX_QUEUED) {
-        close(connection, "too much is queued");
+        close(connection, "send buffer limit exceeded");
         return;
       }
       if (!flushing) {
-        // One write for all that this turn of the loop queues.
+        // One write for all records queued in this iteration of the event loop.
         flushing = true;
         worker
             .getIoThread()
@@ -329,19 +337,19 @@
       }
     }
 
-    private void close(StreamConnection c, String why) {
+    private void close(StreamConnection c, String reason) {
       IoUtils.safeClose(c);
       if (connection != c) {
         return;
       }
-      LOG.log(Level.INFO, "link to {0} lost: {1}", peer.node(), why);
+      LOG.log(Level.INFO, "link to {0} lost: {1}", peer.node(), reason);
       connection = null;
       up = false;
       timers.after(REDIAL_S, this::dial);
     }
   }
 
-  /** A link from a peer. A newer one from the same peer replaces it. */
+  /** Incoming link from a peer; replaced by a newer link from the same peer. */
   private final class In {
     private final StreamConnection connection;
     private final Reader reader = new Reader();
@@ -391,10 +399,10 @@
       Message m = Records.decode(record);
       if (node == null) {
         if (!(m instanceof Message.Hello hello) || !out.containsKey(hello.node())) {
-          throw new IOException("not a known controller");
+          throw new IOException("first record is not a Hello from a known controller");
         }
         node = hello.node();
-        // Records of an older link may still trickle in late; from here on they are not heard.
+        // Records that still arrive on an older link are ignored from now on.
         In older = in.put(node, this);
         if (older != null) {
           older.closed = true;
--- a/src/main/java/dev/dunefront/peer/package-info.java
+++ b/src/main/java/dev/dunefront/peer/package-info.java
@@ -1,2 +1,5 @@
-/** Links between controllers: length-prefixed {@code DataOutputStream} records over XNIO. */
+/**
+ * Messages and links between controllers: length-prefixed {@code DataOutputStream} records over
+ * XNIO.
+ */
 package dev.dunefront.peer;
--- a/src/main/java/dev/dunefront/store/Budget.java
+++ b/src/main/java/dev/dunefront/store/Budget.java
@@ -5,20 +5,21 @@
 import java.util.Collection;
 
 /**
- * This controller's part of the requests and changes that the state service serves: two token
- * buckets. All controllers' parts together are the whole rate, and their bursts a part of the
- * service's. What is lent to another controller is taken from here first, so the sum stays.
+ * Limits this controller's requests and writes to the state service with two token buckets. The
+ * rates of all controllers add up to the limit of the service, and their bursts to a part of its
+ * burst. Tokens lent to another controller are deducted here first, so the sum stays within the
+ * limit.
  */
 final class Budget {
-  /** So many changes are left for users' requests. */
+  /** Write tokens that are kept for user requests. */
   private static final double USERS_CHANGES = 1;
 
-  /** How many seconds' worth may be saved up. */
+  /** Capacity of a bucket, in seconds of its rate. */
   private static final double BURST_S = 0.8;
 
   /**
-   * What was borrowed and not used is dropped after so long, in seconds: its lender has saved up
-   * anew meanwhile, and together they would be more than the service's burst.
+   * Seconds after which unused borrowed write tokens expire. By then the lender has refilled its
+   * bucket, and both together would exceed the burst of the service.
    */
   static final double BORROWED_S = 0.15;
 
@@ -36,83 +37,91 @@
     changeShare = new Share(settings.stateLimits().writeRps(), settings.controllers());
     requestRate = requestShare.equalPart();
     changeRate = changeShare.equalPart();
-    // The burst is a part of the common one: all controllers may start at once.
+    // Starts with this controller's share of the burst: all controllers may start at once.
     requests = requestRate * BURST_S;
     changes = changeRate * BURST_S;
     refilledAt = now;
   }
 
-  /** Takes the part that belongs to what this controller asks, beside what the others ask. */
+  /** Sets the rates from the usage of this controller and of the other live ones. */
   void share(Store.Use own, Collection<Store.Use> others) {
     requestRate =
         requestShare.of(own.requests(), others.stream().map(Store.Use::requests).toList());
     changeRate = changeShare.of(own.writes(), others.stream().map(Store.Use::writes).toList());
   }
 
-  /** What may be saved up; however small the part, one request at least, or none would ever go. */
+  /**
+   * Capacity of a bucket with this rate. It is at least 1: a bucket that never holds a whole token
+   * would block every request.
+   */
   private static double burst(double rate) {
     return Math.max(1, rate * BURST_S);
   }
 
-  /** Time has passed. */
+  /** Refills both buckets for the time since the last call. */
   void refill(double now) {
-    double passed = now - refilledAt;
-    requests = Math.min(burst(requestRate), requests + passed * requestRate);
-    double saved = Math.min(burst(changeRate), changes + passed * changeRate);
-    changes = now < borrowedUntil ? Math.max(changes, saved) : saved;
+    double elapsedS = now - refilledAt;
+    requests = Math.min(burst(requestRate), requests + elapsedS * requestRate);
+    double refilled = Math.min(burst(changeRate), changes + elapsedS * changeRate);
+    changes = now < borrowedUntil ? Math.max(changes, refilled) : refilled;
     refilledAt = now;
   }
 
-  /** Whether a request may go out. */
+  /** Whether a request may be sent now. */
   boolean allowsRequest() {
     return requests >= 1;
   }
 
-  /** Whether so many changes may go out. */
-  boolean allowsChanges(Urgency urgency, int count) {
-    return changes >= needed(urgency, count);
+  /** Whether a request with {@code count} writes may be sent now. */
+  boolean allowsChanges(Urgency priority, int count) {
+    return changes >= needed(priority, count);
   }
 
   /**
-   * How many changes must be saved up before so many are sent. Users' may run into debt. All else
-   * leaves a little: after a transaction of twenty changes on a part of ten a second each
-   * submission would wait for two seconds.
+   * Write tokens that the bucket must hold before a request with {@code count} writes is sent. User
+   * requests may overdraw the bucket. Others leave one token: after a transaction of 20 writes at a
+   * rate of 10 writes per second, each submission would otherwise wait 2 seconds.
    */
-  private double needed(Urgency urgency, int count) {
-    return urgency == Urgency.USER
+  private double needed(Urgency priority, int count) {
+    return priority == Urgency.USER
         ? Double.MIN_VALUE
         : Math.min(count + USERS_CHANGES, burst(changeRate));
   }
 
-  /** A request with so many changes goes out. */
+  /** Deducts a request with {@code count} writes. */
   void spend(int count) {
     requests -= 1;
     changes -= count;
   }
 
-  /** Seconds until so many changes are saved up beyond what a user may need. */
+  /**
+   * Seconds until {@code count} writes can be sent without the token reserved for user requests.
+   */
   double delayS(int count) {
     return Math.max(0, (count + 1 - changes) / changeRate);
   }
 
-  /** How many changes are lacking before so many may go out. */
-  int missing(Urgency urgency, int count) {
-    return (int) Math.ceil(Math.max(0, needed(urgency, count) - changes));
+  /** Write tokens missing before a request with {@code count} writes may be sent, rounded up. */
+  int missing(Urgency priority, int count) {
+    return (int) Math.ceil(Math.max(0, needed(priority, count) - changes));
   }
 
-  /** Seconds in which so many changes are saved up. */
+  /** Seconds in which the bucket gains {@code count} write tokens. */
   double waitS(int count) {
     return count / changeRate;
   }
 
-  /** Gives away up to so many changes, and keeps what a user's request may need. */
-  int lend(int asked) {
-    int given = (int) Math.max(0, Math.min(asked, Math.floor(changes - USERS_CHANGES)));
-    changes -= given;
-    return given;
+  /**
+   * Deducts up to {@code requested} write tokens for another controller, but keeps those reserved
+   * for user requests. Returns the number deducted.
+   */
+  int lend(int requested) {
+    int lent = (int) Math.max(0, Math.min(requested, Math.floor(changes - USERS_CHANGES)));
+    changes -= lent;
+    return lent;
   }
 
-  /** Another controller has given some of its own. */
+  /** Adds write tokens received from another controller. */
   void borrow(int count, double now) {
     refill(now);
     changes += count;
--- a/src/main/java/dev/dunefront/store/HttpStore.java
+++ b/src/main/java/dev/dunefront/store/HttpStore.java
@@ -17,7 +17,10 @@
 import java.util.function.Consumer;
 import java.util.function.IntConsumer;
 
-/** The state service over HTTP, within this controller's part of the common budget. */
+/**
+ * Client of the state service over HTTP, within this controller's share of the service's rate
+ * limit.
+ */
 public final class HttpStore implements Store {
   private static final System.Logger LOG = System.getLogger(HttpStore.class.getName());
   private static final double CALL_S = 1.2;
@@ -26,10 +29,16 @@
   private static final double PROBE_S = 0.3;
   private static final double PROBE_CALL_S = 0.8;
 
-  /** A request with a later deadline waits for changes, and may rightly have no answer for long. */
+  /**
+   * A request with a longer timeout is a blocking watch, for which a missing response is no sign of
+   * an outage.
+   */
   private static final double LONGEST_READ_S = CALL_S * 2;
 
-  /** A shorter wait for changes is not worth asking others for some, in seconds. */
+  /**
+   * A shortage that this controller's own rate covers within this time, in seconds, is not worth
+   * borrowing for.
+   */
   private static final double SHORT_S = 0.03;
 
   private record Waiting(double until, int writes, Runnable start, Runnable refuse) {}
@@ -46,12 +55,14 @@
   private double askedWrites;
   private double askedSince;
   private boolean pumping;
+
+  /** Whether the last response other than 429 was a 503. */
   private boolean down;
 
-  /** When anything was last answered. */
+  /** When the last response arrived. */
   private double answered = Double.NEGATIVE_INFINITY;
 
-  /** A request has had no answer, nor has any that was sent after it. */
+  /** Whether a probe has had no response and no other response has arrived since it was sent. */
   private boolean silent;
 
   private boolean probing;
@@ -86,11 +97,11 @@
     return budget.delayS(queuedWrites(Urgency.CORE));
   }
 
-  /** Changes that wait, of this and all greater urgencies. */
-  private int queuedWrites(Urgency least) {
+  /** Queued writes of this and all higher priorities. */
+  private int queuedWrites(Urgency lowest) {
     int queued = 0;
     for (var e : queues.entrySet()) {
-      if (e.getKey().compareTo(least) <= 0) {
+      if (e.getKey().compareTo(lowest) <= 0) {
         for (Waiting w : e.getValue()) {
           queued += w.writes;
         }
@@ -121,9 +132,9 @@
   }
 
   @Override
-  public void anticipate(int changes) {
+  public void anticipate(int writes) {
     budget.refill(timers.now());
-    askForMissing(budget.missing(Urgency.CORE, changes));
+    askForMissing(budget.missing(Urgency.CORE, writes));
   }
 
   private void askForMissing(int missing) {
@@ -138,14 +149,14 @@
   }
 
   @Override
-  public int lend(int changes) {
+  public int lend(int writes) {
     budget.refill(timers.now());
-    return down() || queuedWrites(Urgency.BACKGROUND) > 0 ? 0 : budget.lend(changes);
+    return down() || queuedWrites(Urgency.BACKGROUND) > 0 ? 0 : budget.lend(writes);
   }
 
   @Override
-  public void borrow(int changes) {
-    budget.borrow(changes, timers.now());
+  public void borrow(int writes) {
+    budget.borrow(writes, timers.now());
     pump();
   }
 
@@ -155,157 +166,173 @@
   }
 
   @Override
-  public void get(String key, Urgency urgency, Consumer<Got> then) {
+  public void get(String key, Urgency priority, Consumer<Got> callback) {
     ask(
-        urgency,
+        priority,
         0,
         "GET",
         "/keys/" + key,
         null,
         CALL_S,
-        reply -> {
+        response -> {
           try {
-            if (reply.ok()) {
-              Doc d = Doc.decode(reply.body());
-              then.accept(new Got(Outcome.OK, d.doc("data"), d.count("stamp")));
+            if (response.ok()) {
+              Doc d = Doc.decode(response.body());
+              callback.accept(new Got(Outcome.OK, d.doc("data"), d.count("stamp")));
             } else {
-              then.accept(new Got(outcome(reply), null, 0));
+              callback.accept(new Got(outcome(response), null, 0));
             }
           } catch (BadMessage e) {
-            then.accept(new Got(Outcome.UNCLEAR, null, 0));
+            callback.accept(new Got(Outcome.UNCLEAR, null, 0));
           }
         });
   }
 
   @Override
-  public void range(String prefix, Urgency urgency, Consumer<Range> then) {
-    page(prefix, "", urgency, new ArrayList<>(), 0, then);
+  public void range(String prefix, Urgency priority, Consumer<Range> callback) {
+    page(prefix, "", priority, new ArrayList<>(), 0, callback);
   }
 
   private void page(
       String prefix,
       String from,
-      Urgency urgency,
+      Urgency priority,
       List<Pair> all,
       long revision,
-      Consumer<Range> then) {
+      Consumer<Range> callback) {
     String path = "/keys?prefix=" + prefix + (from.isEmpty() ? "" : "&from=" + from) + "&page=500";
     ask(
-        urgency,
+        priority,
         0,
         "GET",
         path,
         null,
         CALL_S * 2,
-        reply -> {
-          if (!reply.ok()) {
-            then.accept(new Range(outcome(reply), List.of(), 0));
+        response -> {
+          if (!response.ok()) {
+            callback.accept(new Range(outcome(response), List.of(), 0));
             return;
           }
           try {
-            Doc d = Doc.decode(reply.body());
-            // The first page's revision is the safe point to watch from: later pages may be newer.
-            long first = revision == 0 ? d.count("ledger_rev") : revision;
+            Doc d = Doc.decode(response.body());
+            // A watch must start at the revision of the first page, as later pages may be newer.
+            long firstRevision = revision == 0 ? d.count("ledger_rev") : revision;
             for (Doc p : d.docs("pairs")) {
               all.add(new Pair(p.text("k"), p.doc("data"), p.count("stamp")));
             }
             if (d.flagOr("more", false) && !all.isEmpty()) {
-              page(prefix, all.get(all.size() - 1).key(), urgency, all, first, then);
+              page(prefix, all.get(all.size() - 1).key(), priority, all, firstRevision, callback);
             } else {
-              then.accept(new Range(Outcome.OK, all, first));
+              callback.accept(new Range(Outcome.OK, all, firstRevision));
             }
           } catch (BadMessage e) {
-            then.accept(new Range(Outcome.UNCLEAR, List.of(), 0));
+            callback.accept(new Range(Outcome.UNCLEAR, List.of(), 0));
           }
         });
   }
 
   @Override
-  public void tryTxn(Txn txn, Urgency urgency, Consumer<Done> then) {
+  public void tryTxn(Txn txn, Urgency priority, Consumer<Done> callback) {
     ask(
-        urgency,
+        priority,
         txn.changes(),
         "POST",
         "/txn",
         txn.encode(),
         CALL_S,
-        reply -> then.accept(done(reply, "ledger_rev")));
+        response -> callback.accept(done(response, "ledger_rev")));
   }
 
   @Override
-  public void commit(Txn txn, String mark, Urgency urgency, Consumer<Done> then) {
-    attempt(txn, mark, urgency, false, 0.1, then);
+  public void commit(Txn txn, String writeId, Urgency priority, Consumer<Done> callback) {
+    attempt(txn, writeId, priority, false, 0.1, callback);
   }
 
   private void attempt(
-      Txn txn, String mark, Urgency urgency, boolean unclear, double pauseS, Consumer<Done> then) {
+      Txn txn,
+      String writeId,
+      Urgency priority,
+      boolean outcomeUnknown,
+      double pauseS,
+      Consumer<Done> callback) {
     tryTxn(
         txn,
-        urgency,
+        priority,
         done -> {
           switch (done.outcome()) {
-            case OK -> then.accept(done);
+            case OK -> callback.accept(done);
             case REFUSED, UNCLEAR, MISSING -> {
               if (done.outcome() == Outcome.MISSING) {
-                LOG.log(Level.ERROR, "the state service calls a transaction malformed: {0}", mark);
+                LOG.log(
+                    Level.ERROR,
+                    "state service rejected transaction {0} as malformed; retrying",
+                    writeId);
               }
-              boolean nowUnclear = unclear || done.outcome() == Outcome.UNCLEAR;
+              boolean unknownSoFar = outcomeUnknown || done.outcome() == Outcome.UNCLEAR;
               timers.after(
                   pauseS,
-                  () -> attempt(txn, mark, urgency, nowUnclear, Math.min(1.0, pauseS * 2), then));
+                  () ->
+                      attempt(
+                          txn,
+                          writeId,
+                          priority,
+                          unknownSoFar,
+                          Math.min(1.0, pauseS * 2),
+                          callback));
             }
             case CONFLICT -> {
-              if (unclear) {
-                // An earlier attempt may be what made the condition fail.
-                readBack(txn, mark, done, then);
+              if (outcomeUnknown) {
+                // An earlier attempt may have been applied and have caused the conflict.
+                readBack(txn, writeId, done, callback);
               } else {
-                then.accept(done);
+                callback.accept(done);
               }
             }
           }
         });
   }
 
-  private void readBack(Txn txn, String mark, Done conflict, Consumer<Done> then) {
+  private void readBack(Txn txn, String writeId, Done conflict, Consumer<Done> callback) {
     get(
         txn.witness(),
         Urgency.CORE,
         got -> {
           switch (got.outcome()) {
             case OK -> {
-              boolean ours;
+              boolean ownWrite;
               try {
-                ours = mark.equals(got.value().textOr(MARK, ""));
+                ownWrite = writeId.equals(got.value().textOr(MARK, ""));
               } catch (BadMessage e) {
-                ours = false;
+                ownWrite = false;
               }
-              then.accept(ours ? new Done(Outcome.OK, got.stamp(), List.of()) : conflict);
+              callback.accept(ownWrite ? new Done(Outcome.OK, got.stamp(), List.of()) : conflict);
             }
-            case MISSING -> then.accept(conflict);
-            default -> timers.after(0.3, () -> readBack(txn, mark, conflict, then));
+            case MISSING -> callback.accept(conflict);
+            default -> timers.after(0.3, () -> readBack(txn, writeId, conflict, callback));
           }
         });
   }
 
   @Override
-  public void watch(String prefix, long from, double blockS, Consumer<Watched> then) {
+  public void watch(String prefix, long from, double blockS, Consumer<Watched> callback) {
     String path =
         "/watch?prefix=" + prefix + "&from=" + from + "&block_ms=" + Math.round(blockS * 1000);
     ask(
-        // Somebody waits for one that does not wait itself.
+        // A non-blocking watch has a caller that waits for its result.
         blockS > 0 ? Urgency.CORE : Urgency.USER,
         0,
         "GET",
         path,
         null,
         blockS + 2,
-        reply -> {
-          if (!reply.ok()) {
-            then.accept(new Watched(outcome(reply), List.of(), from, reply.status() == 410));
+        response -> {
+          if (!response.ok()) {
+            callback.accept(
+                new Watched(outcome(response), List.of(), from, response.status() == 410));
             return;
           }
           try {
-            Doc d = Doc.decode(reply.body());
+            Doc d = Doc.decode(response.body());
             List<Event> events = new ArrayList<>();
             for (Doc e : d.docs("events")) {
               boolean put = e.has("put");
@@ -315,50 +342,50 @@
                       put ? e.doc("data") : null,
                       e.count("stamp")));
             }
-            then.accept(new Watched(Outcome.OK, events, d.count("ledger_rev"), false));
+            callback.accept(new Watched(Outcome.OK, events, d.count("ledger_rev"), false));
           } catch (BadMessage e) {
-            then.accept(new Watched(Outcome.UNCLEAR, List.of(), from, true));
+            callback.accept(new Watched(Outcome.UNCLEAR, List.of(), from, true));
           }
         });
   }
 
   @Override
-  public void grantLease(double lifeS, Consumer<Done> then) {
-    byte[] body = Doc.of().put("life_ms", Math.round(lifeS * 1000)).encode();
-    ask(Urgency.USER, 0, "POST", "/leases", body, CALL_S, r -> then.accept(done(r, "tenancy")));
+  public void grantLease(double ttlS, Consumer<Done> callback) {
+    byte[] body = Doc.of().put("life_ms", Math.round(ttlS * 1000)).encode();
+    ask(Urgency.USER, 0, "POST", "/leases", body, CALL_S, r -> callback.accept(done(r, "tenancy")));
   }
 
   @Override
-  public void touchLease(long tenancy, Consumer<Done> then) {
+  public void touchLease(long leaseId, Consumer<Done> callback) {
     ask(
         Urgency.USER,
         0,
         "POST",
-        "/leases/" + tenancy + "/touch",
+        "/leases/" + leaseId + "/touch",
         Doc.of().encode(),
         CALL_S,
-        r -> then.accept(new Done(outcome(r), tenancy, List.of())));
+        r -> callback.accept(new Done(outcome(r), leaseId, List.of())));
   }
 
-  private static Done done(Reply reply, String field) {
+  private static Done done(Reply response, String field) {
     try {
-      if (reply.ok()) {
-        return new Done(Outcome.OK, Doc.decode(reply.body()).count(field), List.of());
+      if (response.ok()) {
+        return new Done(Outcome.OK, Doc.decode(response.body()).count(field), List.of());
       }
-      if (reply.status() == 409) {
-        Doc d = Doc.decode(reply.body());
+      if (response.status() == 409) {
+        Doc d = Doc.decode(response.body());
         return new Done(Outcome.CONFLICT, d.countOr("ledger_rev", 0), d.texts("failed"));
       }
     } catch (BadMessage e) {
       return new Done(Outcome.UNCLEAR, 0, List.of());
     }
-    return new Done(outcome(reply), 0, List.of());
+    return new Done(outcome(response), 0, List.of());
   }
 
-  private static Outcome outcome(Reply reply) {
-    return switch (reply.status()) {
+  private static Outcome outcome(Reply response) {
+    return switch (response.status()) {
       case 200 -> Outcome.OK;
-      // A 400 here can only be a lease that has ended: everything else is made by this program.
+      // A 400 can only mean an expired lease: this client builds the rest of each request.
       case 400, 404 -> Outcome.MISSING;
       case 409 -> Outcome.CONFLICT;
       case 429, 503 -> Outcome.REFUSED;
@@ -367,25 +394,25 @@
   }
 
   private void ask(
-      Urgency urgency,
-      int changes,
+      Urgency priority,
+      int writes,
       String method,
       String path,
       byte[] body,
       double deadlineS,
-      Consumer<Reply> then) {
-    Consumer<Reply> guarded = reply -> decisionLock.run(() -> then.accept(reply));
+      Consumer<Reply> callback) {
+    Consumer<Reply> lockedCallback = response -> decisionLock.run(() -> callback.accept(response));
     decisionLock.run(
         () -> {
-          double wait = urgency == Urgency.USER ? USER_QUEUE_S : QUEUE_S;
+          double queueTimeoutS = priority == Urgency.USER ? USER_QUEUE_S : QUEUE_S;
           queues
-              .get(urgency)
+              .get(priority)
               .add(
                   new Waiting(
-                      timers.now() + wait,
-                      changes,
+                      timers.now() + queueTimeoutS,
+                      writes,
                       () -> {
-                        double sent = timers.now();
+                        double sentAt = timers.now();
                         caller.call(
                             address,
                             method,
@@ -393,36 +420,40 @@
                             body,
                             deadlineS,
                             r -> {
-                              decisionLock.run(() -> note(r, sent, deadlineS > LONGEST_READ_S));
-                              guarded.accept(r);
+                              decisionLock.run(() -> note(r, sentAt, deadlineS > LONGEST_READ_S));
+                              lockedCallback.accept(r);
                             });
                       },
-                      () -> guarded.accept(new Reply(429, new byte[0], 0))));
+                      () -> lockedCallback.accept(new Reply(429, new byte[0], 0))));
           pump();
         });
   }
 
-  /** Hears of an answer, or that there was none to a request that may not wait for changes. */
-  private void note(Reply reply, double sent, boolean waits) {
-    if (reply.status() > 0) {
+  /**
+   * Records a response, or the lack of one. {@code blocking} is true for a request that waits for
+   * changes, whose missing response is no sign of an outage.
+   */
+  private void note(Reply response, double sentAt, boolean blocking) {
+    if (response.status() > 0) {
       answered = timers.now();
       silent = false;
-      if (reply.status() == 503) {
+      if (response.status() == 503) {
         down = true;
         probe(PROBE_S);
-      } else if (reply.status() != 429) {
+      } else if (response.status() != 429) {
         down = false;
       }
-    } else if (!waits && answered < sent) {
+    } else if (!blocking && answered < sentAt) {
       probe(0);
     }
   }
 
   /**
-   * In an outage a single small read goes out now and then, so that its end is noticed at once. One
-   * goes out as well when a request has no answer: a controller that has lost the state service
-   * alone is told nothing by it, and were that not noticed each user would wait in vain. One lost
-   * answer says little, for this controller itself may be slow; two in a row are believed.
+   * Sends one small read after {@code pauseS} seconds. In an outage it is repeated, so that
+   * recovery is noticed at once. It also follows a request without a response: a controller that
+   * alone has lost the connection to the state service receives no error, and each user request
+   * would wait in vain if that were not detected. One missing response may only mean that this
+   * controller is slow; the service counts as unresponsive after two in a row.
    */
   private void probe(double pauseS) {
     if (probing) {
@@ -432,7 +463,7 @@
     timers.after(
         pauseS,
         () -> {
-          double sent = timers.now();
+          double sentAt = timers.now();
           caller.call(
               address,
               "GET",
@@ -444,8 +475,8 @@
                       () -> {
                         probing = false;
                         if (r.status() > 0) {
-                          note(r, sent, false);
-                        } else if (answered < sent) {
+                          note(r, sentAt, false);
+                        } else if (answered < sentAt) {
                           silent = true;
                           probe(PROBE_S);
                         } else if (down) {
@@ -458,14 +489,15 @@
   private void pump() {
     double now = timers.now();
     budget.refill(now);
-    boolean left = false;
-    boolean held = false;
+    boolean requestsRemain = false;
+    boolean writesBlocked = false;
     int missing = 0;
     for (var e : queues.entrySet()) {
       ArrayDeque<Waiting> queue = e.getValue();
       while (!queue.isEmpty()) {
         Waiting w = queue.peek();
-        boolean writable = w.writes == 0 || !held && budget.allowsChanges(e.getKey(), w.writes);
+        boolean writable =
+            w.writes == 0 || !writesBlocked && budget.allowsChanges(e.getKey(), w.writes);
         if (w.until < now) {
           queue.poll();
           decisionLock.then(w.refuse);
@@ -476,18 +508,18 @@
           askedWrites += w.writes;
           decisionLock.then(w.start);
         } else {
-          // What is less urgent must not take what this saves up for.
-          if (!writable && !held) {
-            held = true;
+          // Lower priorities must not take the tokens for which this request waits.
+          if (!writable && !writesBlocked) {
+            writesBlocked = true;
             missing = e.getKey() == Urgency.BACKGROUND ? 0 : budget.missing(e.getKey(), w.writes);
           }
-          left = true;
+          requestsRemain = true;
           break;
         }
       }
     }
     askForMissing(missing);
-    if (left && !pumping) {
+    if (requestsRemain && !pumping) {
       pumping = true;
       timers.after(
           0.02,
--- a/src/main/java/dev/dunefront/store/Lending.java
+++ b/src/main/java/dev/dunefront/store/Lending.java
@@ -7,18 +7,21 @@
 import java.util.List;
 
 /**
- * Borrows changes from controllers that have some to spare. Parts of the common rate follow demand,
- * but only over seconds: with many controllers each may send few changes at once, and a job that
- * has just come would wait for its share while the others' lie idle.
+ * Borrows write tokens from controllers that have some to spare. The shares of the common rate
+ * follow demand only over seconds: with many controllers each can send few writes at once, and a
+ * new job would wait for tokens while those of other controllers are unused.
  */
 public final class Lending {
-  /** An answer that comes later than this, in seconds, is about changes saved up long ago. */
+  /**
+   * Loans that arrive later than this after the request, in seconds, are ignored: the lender has
+   * refilled its bucket since.
+   */
   static final double ANSWER_S = 0.1;
 
-  /** Where nobody has any, the next question waits up to so long, in seconds. */
+  /** Maximum time between two requests, in seconds, while no controller has tokens to spare. */
   static final double LONGEST_PAUSE_S = 1;
 
-  /** As much is asked of each of several, for none has much. */
+  /** Write tokens requested from each of several controllers, because none has many. */
   private static final int ASKED_OF_EACH = 2;
 
   private final String self;
@@ -40,7 +43,7 @@
     store.onShort(this::ask);
   }
 
-  /** So many changes are lacking for what waits here. */
+  /** Requests {@code missing} write tokens from other controllers. */
   private void ask(int missing) {
     double now = timers.now();
     if (now - askedAt < pauseS) {
@@ -55,18 +58,18 @@
     askedAt = now;
     pauseS = Math.min(LONGEST_PAUSE_S, 2 * pauseS);
     number++;
-    int count = Math.min(others.size(), (missing + ASKED_OF_EACH - 1) / ASKED_OF_EACH);
-    int each = (missing + count - 1) / count;
-    for (int i = 0; i < count; i++) {
-      // Another one each time: who has given has less.
-      peers.send(others.get(turn++ % others.size()), new Message.LoanAsk(number, each));
+    int lenders = Math.min(others.size(), (missing + ASKED_OF_EACH - 1) / ASKED_OF_EACH);
+    int writesPerLender = (missing + lenders - 1) / lenders;
+    for (int i = 0; i < lenders; i++) {
+      // Round robin: a controller that has just lent tokens has fewer left.
+      peers.send(others.get(turn++ % others.size()), new Message.LoanAsk(number, writesPerLender));
     }
   }
 
-  public void received(String from, Message.LoanAsk ask) {
-    int given = store.lend(ask.changes());
-    if (given > 0) {
-      peers.send(from, new Message.Loan(ask.number(), given));
+  public void received(String from, Message.LoanAsk request) {
+    int lent = store.lend(request.changes());
+    if (lent > 0) {
+      peers.send(from, new Message.Loan(request.number(), lent));
     }
   }
 
--- a/src/main/java/dev/dunefront/store/Membership.java
+++ b/src/main/java/dev/dunefront/store/Membership.java
@@ -11,13 +11,14 @@
 import java.util.function.Consumer;
 
 /**
- * Which controllers live. Each holds a key under a lease of its own; the lease's id makes the
- * incarnation's name, so a controller that restarts, or loses its lease, is a new one to all.
+ * Tracks which controllers are live. Each stores a key under a lease of its own; the lease ID is
+ * part of the incarnation's name, so a controller that restarts or loses its lease is a new
+ * incarnation to the others.
  */
 public final class Membership {
   public static final String PREFIX = Replica.PREFIX + "n/";
 
-  /** Even in an outage the lease is asked for more often than this. */
+  /** Even in an outage the lease is requested or renewed more often than this. */
   private static final double STALLED_S = 30;
 
   private static final System.Logger LOG = System.getLogger(Membership.class.getName());
@@ -31,12 +32,12 @@
   private final Loops loops;
   private final Map<String, String> live = new TreeMap<>();
 
-  /** The zones of living controllers, as they tell. */
+  /** Zones of the live controllers, as they report them. */
   private final Map<String, String> zones = new TreeMap<>();
 
   private Runnable reborn = () -> {};
 
-  /** The stamp of this controller's key as last seen; 0 if it is not there. */
+  /** Stamp of this controller's key as last seen; 0 if the key does not exist. */
   private long keyStamp;
 
   private long tenancy;
@@ -65,7 +66,11 @@
             incarnation = value == null ? null : value.text("inc");
             zones.put(name, value == null ? "" : value.textOr("zone", ""));
           } catch (BadMessage e) {
-            LOG.log(Level.ERROR, "the record of {0} cannot be read: {1}", name, e.getMessage());
+            LOG.log(
+                Level.ERROR,
+                "cannot decode the membership record of {0}: {1}",
+                name,
+                e.getMessage());
           }
           if (incarnation == null) {
             live.remove(name);
@@ -83,9 +88,9 @@
   }
 
   /**
-   * This controller's key shows another name or is gone, while it serves. Either its lease has just
-   * run out, or somebody has written over it: then the others would take it for dead for ever while
-   * it goes on.
+   * Rewrites this controller's key, which has been removed or names another incarnation although
+   * this one is live. Either the lease has just expired, or another writer has overwritten the key;
+   * the others would then treat this controller as dead for as long as it runs.
    */
   private void reassert(String name) {
     if (!name.equals(self) || name.equals(live.get(node))) {
@@ -95,13 +100,13 @@
     store.tryTxn(
         new Txn().when(PREFIX + node, keyStamp).put(PREFIX + node, value, tenancy),
         Store.Urgency.USER,
-        done -> {
+        result -> {
           if (!name.equals(self)) {
             return;
           }
-          if (done.ok()) {
-            replica.apply(PREFIX + node, value, done.revision());
-          } else if (done.outcome() == Store.Outcome.MISSING) {
+          if (result.ok()) {
+            replica.apply(PREFIX + node, value, result.revision());
+          } else if (result.outcome() == Store.Outcome.MISSING) {
             lapsed();
           } else {
             timers.after(0.3, () -> reassert(name));
@@ -110,7 +115,7 @@
   }
 
   private void lapsed() {
-    LOG.log(Level.INFO, "lease of {0} has ended", self);
+    LOG.log(Level.INFO, "lease of {0} has expired", self);
     self = null;
     tenancy = 0;
     start();
@@ -120,12 +125,12 @@
     return Doc.of().put("inc", name).put("zone", zone).put(Store.MARK, store.newMark());
   }
 
-  /** What to do whenever this controller has become a new incarnation. */
+  /** Sets the action to run whenever this controller has registered as a new incarnation. */
   public void onReborn(Runnable action) {
     reborn = action;
   }
 
-  /** This incarnation's name, or null while there is none. */
+  /** Name of the current incarnation, or null while this controller is not registered. */
   public String self() {
     return self;
   }
@@ -138,7 +143,7 @@
     return incarnation.equals(live.get(nodeOf(incarnation)));
   }
 
-  /** The living incarnation of a node, or null. */
+  /** Live incarnation of a node, or null. */
   public String incarnation(String name) {
     return live.get(name);
   }
@@ -147,17 +152,20 @@
     return live.keySet();
   }
 
-  /** The zone of a living controller; empty while it has not told. */
+  /** Zone of a live controller; empty if it is unknown. */
   public String zone(String name) {
     return zones.getOrDefault(name, "");
   }
 
-  /** The controller of an incarnation; empty for what is none, which no controller is called. */
+  /**
+   * Node of an incarnation; empty if the argument is not the name of one. No node has an empty
+   * name.
+   */
   public static String nodeOf(String incarnation) {
     return incarnation.substring(0, Math.max(0, incarnation.lastIndexOf('#')));
   }
 
-  /** The lease under which an incarnation lives; 0 for what is none. */
+  /** Lease ID of an incarnation; 0 if the argument is not the name of one. */
   public static long leaseOf(String incarnation) {
     try {
       return Long.parseLong(incarnation.substring(incarnation.lastIndexOf('#') + 1));
@@ -169,54 +177,55 @@
   public void start() {
     store.grantLease(
         lifeS,
-        granted -> {
-          if (!granted.ok()) {
-            LOG.log(Level.INFO, "no lease is granted yet: {0}", granted.outcome());
+        result -> {
+          if (!result.ok()) {
+            LOG.log(Level.INFO, "lease request failed: {0}; retrying", result.outcome());
             timers.after(0.3, this::start);
             return;
           }
-          loops.turned("renewing the lease", timers.now(), STALLED_S);
-          enrol(granted.revision());
+          loops.turned("lease renewal", timers.now(), STALLED_S);
+          enrol(result.revision());
         });
   }
 
   /**
-   * Writes this controller's key under a new lease, on the condition of what it shows now: the
-   * write of an earlier try, or of an earlier life, may come late, and would show a name that is
-   * dead and take the key along when that one's lease ends.
+   * Writes this controller's key under a new lease, on the condition that the key is unchanged.
+   * Without it, a delayed write of an earlier attempt or incarnation could replace the key by one
+   * that names a dead incarnation and is removed when that one's lease ends.
    */
   private void enrol(long id) {
     String name = node + "#" + id;
     store.get(
         PREFIX + node,
-        // Without a lease nothing else can be done: it waits behind nothing.
+        // Highest priority: without a lease this controller cannot do anything else.
         Store.Urgency.USER,
-        got -> {
-          if (got.outcome() != Store.Outcome.OK && got.outcome() != Store.Outcome.MISSING) {
-            again(name, got.outcome());
+        current -> {
+          if (current.outcome() != Store.Outcome.OK && current.outcome() != Store.Outcome.MISSING) {
+            again(name, current.outcome());
             return;
           }
           Doc value = value(name);
           store.tryTxn(
-              new Txn().when(PREFIX + node, got.stamp()).put(PREFIX + node, value, id),
+              new Txn().when(PREFIX + node, current.stamp()).put(PREFIX + node, value, id),
               Store.Urgency.USER,
-              done -> {
-                if (!done.ok()) {
-                  again(name, done.outcome());
+              result -> {
+                if (!result.ok()) {
+                  again(name, result.outcome());
                   return;
                 }
                 tenancy = id;
                 self = name;
                 timers.after(lifeS / 4, () -> renew(id));
-                replica.apply(PREFIX + node, value, done.revision());
+                replica.apply(PREFIX + node, value, result.revision());
                 LOG.log(Level.INFO, "serving as {0}", name);
                 reborn.run();
               });
         });
   }
 
-  private void again(String name, Store.Outcome why) {
-    LOG.log(Level.INFO, "not enrolled as {0} yet: {1}", name, why);
+  private void again(String name, Store.Outcome outcome) {
+    LOG.log(
+        Level.INFO, "registration as {0} failed: {1}; retrying with a new lease", name, outcome);
     timers.after(0.3, this::start);
   }
 
@@ -226,24 +235,27 @@
     }
   }
 
-  /** Asks whether this incarnation still lives; by the time the action runs that is known. */
-  void verify(Runnable then) {
+  /**
+   * Checks whether this incarnation's lease is still valid. The action runs after the response has
+   * been processed.
+   */
+  void verify(Runnable callback) {
     if (self == null) {
-      then.run();
+      callback.run();
     } else {
-      touch(tenancy, ok -> then.run());
+      touch(tenancy, ok -> callback.run());
     }
   }
 
-  private void touch(long id, Consumer<Boolean> then) {
+  private void touch(long id, Consumer<Boolean> callback) {
     store.touchLease(
         id,
-        done -> {
-          loops.turned("renewing the lease", timers.now(), STALLED_S);
-          if (done.outcome() == Store.Outcome.MISSING && id == tenancy) {
+        result -> {
+          loops.turned("lease renewal", timers.now(), STALLED_S);
+          if (result.outcome() == Store.Outcome.MISSING && id == tenancy) {
             lapsed();
           }
-          then.accept(done.ok());
+          callback.accept(result.ok());
         });
   }
 }
--- a/src/main/java/dev/dunefront/store/Proofs.java
+++ b/src/main/java/dev/dunefront/store/Proofs.java
@@ -7,16 +7,20 @@
 import java.util.function.Consumer;
 
 /**
- * Proofs that the replica shows at least what anybody has been told of a part of the state by the
- * time of a question. One cheap read, a watch that does not wait, is begun after the question came
- * and brings all changes since the last: it serves all questions that have come until it goes out,
- * so a storm of them costs the state service no more than a trickle.
+ * Read barrier for the replica, comparable to ReadIndex in Raft: confirms that the replica contains
+ * every change under a prefix that any client may have observed before the request. One cheap read,
+ * a non-blocking watch, starts after the request has arrived and returns all changes since the last
+ * read. It serves all requests that wait when it is sent, so the load on the state service does not
+ * grow with their number.
  */
 public final class Proofs {
-  /** Between two proofs, in seconds; users wait for 2 s, and the state may lag by 3 s. */
+  /**
+   * Minimum time between two reads, in seconds; users wait for up to 2 s, and the state may lag by
+   * 3 s.
+   */
   private static final double PACE_S = 0.3;
 
-  /** So many questions wait at the most; the rest are refused at once. */
+  /** Maximum number of waiting requests; further ones are rejected at once. */
   private static final int MOST = 4000;
 
   private final Store store;
@@ -32,7 +36,7 @@
   private long seen;
   private int proofs;
 
-  /** Proofs for what is under a prefix that is itself under the replica's. */
+  /** Creates a barrier for the keys under a prefix, which lies within the replica's own prefix. */
   public Proofs(
       Store store, Replica replica, Timers timers, DecisionLock decisionLock, String prefix) {
     this.store = store;
@@ -42,31 +46,34 @@
     this.prefix = prefix;
   }
 
-  /** How many questions wait. */
+  /** Number of waiting requests. */
   public int waiting() {
     return waiting.size();
   }
 
-  /** How long the oldest has waited, in seconds. */
+  /** Waiting time of the oldest request, in seconds. */
   public double oldestS() {
     return waiting.isEmpty() ? 0 : timers.now() - waitingSince;
   }
 
-  /** Reads made so far. */
+  /** Number of reads sent so far. */
   public int made() {
     return proofs;
   }
 
-  /** Runs the action once the replica is proven, or with false if it cannot be now. */
-  public void await(Consumer<Boolean> then) {
+  /**
+   * Passes true to the callback once the replica is confirmed to be current, or false if it cannot
+   * be confirmed now.
+   */
+  public void await(Consumer<Boolean> callback) {
     if (!replica.ready() || waiting.size() >= MOST) {
-      then.accept(false);
+      callback.accept(false);
       return;
     }
     if (waiting.isEmpty()) {
       waitingSince = timers.now();
     }
-    waiting.add(then);
+    waiting.add(callback);
     beginSoon();
   }
 
@@ -74,14 +81,14 @@
     if (due || underWay) {
       return;
     }
-    double wait = begunAt + PACE_S - timers.now();
-    if (wait <= 0) {
+    double delayS = begunAt + PACE_S - timers.now();
+    if (delayS <= 0) {
       begin();
       return;
     }
     due = true;
     timers.after(
-        wait,
+        delayS,
         () ->
             decisionLock.run(
                 () -> {
@@ -111,8 +118,8 @@
             watched.events().forEach(e -> replica.apply(e.key(), e.value(), e.stamp()));
             seen = Math.max(seen, watched.revision());
           }
-          // One whose answer fails must not keep the others from theirs.
-          served.forEach(then -> decisionLock.run(() -> then.accept(ok)));
+          // A callback that throws must not prevent the others from running.
+          served.forEach(callback -> decisionLock.run(() -> callback.accept(ok)));
           if (!waiting.isEmpty()) {
             beginSoon();
           }
--- a/src/main/java/dev/dunefront/store/Replica.java
+++ b/src/main/java/dev/dunefront/store/Replica.java
@@ -11,20 +11,23 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A copy of the watched part of the state service: jobs, holds, nodes, quotas. It may lag. */
+/**
+ * Local copy of the watched part of the state service: jobs, holds, nodes, quotas. It may lag
+ * behind.
+ */
 public final class Replica {
-  /** Everything under this prefix is copied. */
+  /** Prefix of all copied keys. */
   public static final String PREFIX = "w/";
 
   private static final double BLOCK_S = 10;
   private static final double PAUSE_S = 0.06;
 
-  /** A watch is answered, or given up, well within this time. */
+  /** A watch returns or times out well within this time. */
   private static final double STALLED_S = 30;
 
   private static final int TOMBSTONES = 4096;
 
-  /** Hears of each change; a null value means removed. */
+  /** Receives each change; a null value means that the key was removed. */
   public interface Listener {
     void changed(String key, Doc value, long stamp);
   }
@@ -45,7 +48,7 @@
   private boolean ready;
   private Runnable whenRead = () -> {};
 
-  /** Everything up to here has been seen. */
+  /** The revision up to which all changes have been applied. */
   private long seen;
 
   public Replica(Store store, Timers timers, DecisionLock decisionLock, Loops loops) {
@@ -55,12 +58,12 @@
     this.loops = loops;
   }
 
-  /** Whether the first full read is complete. */
+  /** Whether the initial read is complete. */
   public boolean ready() {
     return ready;
   }
 
-  /** Every change up to this revision has been applied. */
+  /** Revision up to which every change has been applied. */
   public long seen() {
     return seen;
   }
@@ -69,7 +72,7 @@
     listeners.put(prefix, listener);
   }
 
-  /** Reads everything, tells so, then follows the changes for ever. */
+  /** Reads all keys, runs {@code read} when that is complete, and follows all later changes. */
   public void start(Runnable read) {
     whenRead = read;
     start();
@@ -84,13 +87,13 @@
             timers.after(0.3, this::start);
             return;
           }
-          Set<String> there = new HashSet<>();
+          Set<String> present = new HashSet<>();
           for (Store.Pair p : range.pairs()) {
-            there.add(p.key());
+            present.add(p.key());
             apply(p.key(), p.value(), p.stamp());
           }
           for (String key : Set.copyOf(stamps.keySet())) {
-            if (!there.contains(key) && stamps.get(key) <= range.revision()) {
+            if (!present.contains(key) && stamps.get(key) <= range.revision()) {
               apply(key, null, range.revision());
             }
           }
@@ -103,7 +106,10 @@
         });
   }
 
-  /** Asks at once for what has changed, besides following; the action runs when it is here. */
+  /**
+   * Fetches the latest changes at once, in addition to the running watch. The action runs after the
+   * response, even if the request failed.
+   */
   void catchUp(Runnable then) {
     store.watch(
         PREFIX,
@@ -125,13 +131,13 @@
   }
 
   private void follow(long from) {
-    loops.turned("following the state", timers.now(), STALLED_S);
+    loops.turned("state watch", timers.now(), STALLED_S);
     store.watch(
         PREFIX,
         from,
         BLOCK_S,
         watched -> {
-          loops.turned("following the state", timers.now(), STALLED_S);
+          loops.turned("state watch", timers.now(), STALLED_S);
           took(watched);
           if (watched.tooOld()) {
             start();
@@ -142,7 +148,10 @@
         });
   }
 
-  /** Takes a change that a watch, a read or our own write has shown; older ones are ignored. */
+  /**
+   * Applies a change seen by a watch, a read or this controller's own write; older changes are
+   * ignored.
+   */
   public void apply(String key, Doc value, long stamp) {
     if (stamp <= stamps.getOrDefault(key, 0L) || stamp <= tombstones.getOrDefault(key, 0L)) {
       return;
@@ -158,7 +167,7 @@
     listeners.forEach(
         (prefix, listener) -> {
           if (key.startsWith(prefix)) {
-            // A record that cannot be understood concerns whoever reads it, and not what follows.
+            // A malformed record must affect only the listener that reads it, not the watch.
             decisionLock.run(() -> listener.changed(key.substring(prefix.length()), value, stamp));
           }
         });
--- a/src/main/java/dev/dunefront/store/Share.java
+++ b/src/main/java/dev/dunefront/store/Share.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /**
- * One controller's part of a rate that all share. Parts follow what the living controllers ask for:
- * nobody gets less than an equal part if it wants it, and what some leave unused is lent to the
- * others. All work it out alike from what they tell each other, so the sum stays within the rate.
+ * Divides a rate limit among the live controllers by max-min fairness: each gets at least an equal
+ * share if it needs it, and unused capacity goes to the others. All controllers compute the shares
+ * from the same usage reports, so the sum stays within the limit.
  */
 final class Share {
-  /** Demand is taken a little larger than it was, so that a rising one finds room. */
+  /** Factor applied to the reported usage, so that rising demand finds capacity. */
   private static final double RISING = 1.3;
 
   private static final double LEAST = 1;
@@ -22,30 +22,33 @@
     this.controllers = controllers;
   }
 
-  /** What each may use while nothing is known of the others. */
+  /** Share of each controller while the usage of the others is unknown. */
   double equalPart() {
     return total / controllers;
   }
 
-  /** The part of a controller that asks for {@code own} a second beside others that live. */
+  /**
+   * Returns the share of a controller that uses {@code own} per second, next to the usage of the
+   * other live controllers.
+   */
   double of(double own, List<Double> others) {
     List<Double> demands = new ArrayList<>();
     others.forEach(d -> demands.add(d * RISING + LEAST));
-    double mine = own * RISING + LEAST;
-    demands.add(mine);
+    double ownDemand = own * RISING + LEAST;
+    demands.add(ownDemand);
     demands.sort(null);
-    double left = total;
-    int sharers = demands.size();
+    double remaining = total;
+    int remainingDemands = demands.size();
     for (double d : demands) {
-      double part = left / sharers;
-      if (part <= d) {
-        // From here on everybody wants more than there is: equal parts of the rest.
-        return Math.min(mine, part);
+      double equal = remaining / remainingDemands;
+      if (equal <= d) {
+        // This and all larger demands exceed the remaining capacity: they get equal shares of it.
+        return Math.min(ownDemand, equal);
       }
-      left -= d;
-      sharers--;
+      remaining -= d;
+      remainingDemands--;
     }
-    // All are content; what is left is spread evenly.
-    return mine + left / demands.size();
+    // All demands are met; the rest is divided evenly.
+    return ownDemand + remaining / demands.size();
   }
 }
--- a/src/main/java/dev/dunefront/store/Standstill.java
+++ b/src/main/java/dev/dunefront/store/Standstill.java
@@ -8,21 +8,21 @@
 import java.util.List;
 
 /**
- * Notices that this controller has stood still while its clock ran on: by the steady clock between
- * two decisions, for its timers come several times a second. Meanwhile others may have taken its
- * claims and machines, and what is due or has arrived since comes all at once. So it first asks
- * whether its lease still lives and what has changed, and until it knows it deals no room, sends no
- * orders, calls nothing gone, rents and returns nothing and lets workers wait a moment for their
- * answers.
+ * Detects that this process was paused while its clock continued, from the monotonic time between
+ * two decisions: its timers fire several times a second. During a pause other controllers may have
+ * taken over its claims and machines, and afterwards overdue timers and messages arrive all at
+ * once. The controller therefore first checks whether its lease is still valid and which changes it
+ * has missed. Until this is known it makes no offers, sends no orders, declares nothing as lost,
+ * rents and returns no machines, and briefly delays its responses to workers.
  *
- * <p>Where the state service does not answer it goes on after a while as before: every placement
- * and every proof is conditional on the record of the hold, so nothing untrue can be written; in an
- * outage nobody can have taken anything, and workers need answers.
+ * <p>If the state service does not respond, the controller resumes after a timeout. Every placement
+ * and every proof is conditional on the record of the hold, so no false state can be written; in an
+ * outage no other controller can have taken anything over, and workers need responses.
  */
 public final class Standstill {
   private static final System.Logger LOG = System.getLogger(Standstill.class.getName());
 
-  /** How long is waited for the state service's word. */
+  /** Timeout of the state service's responses after a pause. */
   private static final double WAIT_S = 1.5;
 
   private final Replica replica;
@@ -38,7 +38,9 @@
   private int unknown;
   private boolean current = true;
 
-  /** A gap of {@code gapS} is one in which this controller's lease may have run out. */
+  /**
+   * {@code gapS} is the length of a pause during which this controller's lease may have expired.
+   */
   public Standstill(
       Replica replica,
       Membership membership,
@@ -56,17 +58,20 @@
     decisionLock.onEntering(this::turned);
   }
 
-  /** Hears whenever this controller knows again what holds. */
-  public void listen(Runnable woken) {
-    listeners.add(woken);
+  /** Adds a listener that runs whenever the local state is current again after a pause. */
+  public void listen(Runnable listener) {
+    listeners.add(listener);
   }
 
-  /** Whether what this controller believes was not overtaken while it stood still. */
+  /**
+   * Whether the local state is current; false after a pause until it has been refreshed or the
+   * refresh has timed out.
+   */
   public boolean current() {
     return current;
   }
 
-  /** Runs the action when this controller is current, which may be now. */
+  /** Runs the action once the local state is current, which may be at once. */
   public void whenCurrent(Runnable action) {
     if (current) {
       action.run();
@@ -75,7 +80,7 @@
     }
   }
 
-  /** A decision is about to be made. */
+  /** Runs before each decision. */
   private void turned() {
     double now = timers.now();
     double gap = now - turnedAt;
@@ -87,29 +92,29 @@
     if (!replica.ready()) {
       return;
     }
-    LOG.log(Level.INFO, "stood still for {0} s; asks what has changed", gap);
-    long waking = ++wakings;
+    LOG.log(Level.INFO, "process was paused for {0} s; refreshing the lease and the state", gap);
+    long pause = ++wakings;
     current = false;
     unknown = 2;
-    replica.catchUp(() -> known(waking));
-    membership.verify(() -> known(waking));
-    timers.after(WAIT_S, () -> decisionLock.run(() -> wake(waking)));
+    replica.catchUp(() -> known(pause));
+    membership.verify(() -> known(pause));
+    timers.after(WAIT_S, () -> decisionLock.run(() -> wake(pause)));
   }
 
-  private void known(long waking) {
-    if (waking == wakings && --unknown == 0) {
-      wake(waking);
+  private void known(long pause) {
+    if (pause == wakings && --unknown == 0) {
+      wake(pause);
     }
   }
 
-  private void wake(long waking) {
-    if (waking != wakings || current) {
+  private void wake(long pause) {
+    if (pause != wakings || current) {
       return;
     }
     current = true;
     listeners.forEach(Runnable::run);
-    List<Runnable> all = List.copyOf(waiting);
+    List<Runnable> actions = List.copyOf(waiting);
     waiting.clear();
-    all.forEach(Runnable::run);
+    actions.forEach(Runnable::run);
   }
 }
--- a/src/main/java/dev/dunefront/store/Store.java
+++ b/src/main/java/dev/dunefront/store/Store.java
@@ -6,44 +6,51 @@
 import java.util.function.Consumer;
 import java.util.function.IntConsumer;
 
-/** What the rest of the program may ask of the state service. Answers come outside any lock. */
+/**
+ * Client interface of the state service, a key-value store with transactions, watches and leases.
+ * The stamp of a key is the revision of its last change. Callbacks run asynchronously, after the
+ * caller has released its lock.
+ */
 public interface Store {
-  /** The mark in every value that tells who wrote it, by which unclear writes are read back. */
+  /**
+   * Field of every value that identifies the write, to resolve unknown outcomes by reading back.
+   */
   String MARK = "w";
 
-  /** What became of a request. */
+  /** Outcome of a request. */
   enum Outcome {
     OK,
-    /** The key does not exist, or the lease has ended. */
+    /** The key does not exist, or the lease has expired. */
     MISSING,
     /** A condition failed; nothing was changed. */
     CONFLICT,
-    /** Not carried out: the service refused, or the budget is spent. */
+    /** Not executed: rejected by the service, or expired while queued for the rate limit. */
     REFUSED,
-    /** Nobody knows whether it was carried out. */
+    /** It is unknown whether the request was executed. */
     UNCLEAR
   }
 
-  /** Whose work a request is; in the order in which it goes. */
+  /** Priority of a request, in the order in which queued requests are sent. */
   enum Urgency {
     USER,
-    /** What keeps a worker's lease alive. */
+    /** Requests that keep a worker's lease alive. */
     LEASE,
     CORE,
     BACKGROUND
   }
 
-  /** A value and its stamp, if it was found. */
+  /** Result of a read; the value is null unless the outcome is {@link Outcome#OK}. */
   record Got(Outcome outcome, Doc value, long stamp) {}
 
   /** A key with its value and stamp. */
   record Pair(String key, Doc value, long stamp) {}
 
-  /** All keys of a prefix, at or after a revision. */
+  /** All keys with a prefix, as of {@code revision} or later. */
   record Range(Outcome outcome, List<Pair> pairs, long revision) {}
 
   /**
-   * What became of a transaction or lease: its revision or id; on conflict, the keys that failed.
+   * Result of a transaction or lease request: its revision or lease ID; after a conflict, the keys
+   * whose conditions failed.
    */
   record Done(Outcome outcome, long revision, List<String> failed) {
     public boolean ok() {
@@ -51,68 +58,82 @@
     }
   }
 
-  /** A change seen by a watch; a null value means removed. */
+  /** A change reported by a watch; a null value means that the key was removed. */
   record Event(String key, Doc value, long stamp) {}
 
-  /** Changes up to a revision; or that the revision asked for is too old to tell. */
+  /**
+   * Changes up to {@code revision}; {@code compacted} means that the service cannot return all
+   * changes since the requested revision, and the keys must be read anew.
+   */
   record Watched(Outcome outcome, List<Event> events, long revision, boolean tooOld) {}
 
-  void get(String key, Urgency urgency, Consumer<Got> then);
+  void get(String key, Urgency priority, Consumer<Got> callback);
 
-  /** Reads every key with the prefix, page after page. */
-  void range(String prefix, Urgency urgency, Consumer<Range> then);
+  /** Reads all keys with the prefix, page by page. */
+  void range(String prefix, Urgency priority, Consumer<Range> callback);
 
-  /** One attempt, for callers that would rather hear UNCLEAR than wait. */
-  void tryTxn(Txn txn, Urgency urgency, Consumer<Done> then);
+  /** Sends the transaction once, for callers that prefer {@link Outcome#UNCLEAR} to waiting. */
+  void tryTxn(Txn txn, Urgency priority, Consumer<Done> callback);
 
   /**
-   * Repeats the transaction until its outcome is certain, through outages too. The first value put
-   * must carry {@code mark} under {@link #MARK}.
+   * Repeats the transaction until its outcome is certain, also through outages. The first value put
+   * must contain {@code writeId} in the field {@link #MARK}.
    */
-  void commit(Txn txn, String mark, Urgency urgency, Consumer<Done> then);
+  void commit(Txn txn, String writeId, Urgency priority, Consumer<Done> callback);
 
-  /** The same, as part of the ordinary work. */
-  default void commit(Txn txn, String mark, Consumer<Done> then) {
-    commit(txn, mark, Urgency.CORE, then);
+  /** Commits with {@link Urgency#CORE}. */
+  default void commit(Txn txn, String writeId, Consumer<Done> callback) {
+    commit(txn, writeId, Urgency.CORE, callback);
   }
 
-  void watch(String prefix, long from, double blockS, Consumer<Watched> then);
+  void watch(String prefix, long from, double blockS, Consumer<Watched> callback);
 
-  /** Answers with the lease's id as revision. */
-  void grantLease(double lifeS, Consumer<Done> then);
+  /** Requests a lease; the revision of the result is the lease ID. */
+  void grantLease(double ttlS, Consumer<Done> callback);
 
-  void touchLease(long tenancy, Consumer<Done> then);
+  void touchLease(long leaseId, Consumer<Done> callback);
 
-  /** How long a change would wait now before it is sent. */
+  /** Seconds that a write queued now would wait until it is sent. */
   double writeDelayS();
 
-  /** So many changes are about to be asked for; what lacks is borrowed, if others have some. */
-  void anticipate(int changes);
+  /**
+   * Announces writes that are about to be queued; missing write tokens are borrowed if other
+   * controllers have some.
+   */
+  void anticipate(int writes);
 
-  /** Hears of how many changes are lacking for what waits or is about to come. */
+  /**
+   * Sets the listener that receives the number of write tokens missing for queued or announced
+   * writes.
+   */
   void onShort(IntConsumer listener);
 
-  /** Gives away up to so many changes that nothing here waits for; says how many. */
-  int lend(int changes);
+  /**
+   * Gives up to {@code writes} write tokens to another controller if no write is queued here;
+   * returns the number given.
+   */
+  int lend(int writes);
 
-  /** Another controller has given so many of its changes. */
-  void borrow(int changes);
+  /** Adds write tokens lent by another controller. */
+  void borrow(int writes);
 
-  /** What a controller asks of the service in a second. */
+  /** Requests and writes per second that a controller sends to the service. */
   record Use(double requests, double writes) {}
 
-  /** What was asked since this was last called, and is still waiting. */
+  /** Usage since the last call, plus the requests and writes that are queued now. */
   Use use();
 
-  /** Shares the common budget with the other living controllers by what each asks for. */
+  /**
+   * Divides the rate limit of the service among this and the other live controllers by their usage.
+   */
   void share(Use own, Collection<Use> others);
 
   /**
-   * Whether the service refused the last request that it answered, or answers nothing: whoever asks
-   * for something now need not wait for it.
+   * Whether the service is unavailable: its last response was a refusal, or it does not respond.
+   * Callers need not wait for it then.
    */
   boolean down();
 
-  /** A mark that nobody has used before. */
+  /** A write ID that has not been used before. */
   String newMark();
 }
--- a/src/main/java/dev/dunefront/store/Txn.java
+++ b/src/main/java/dev/dunefront/store/Txn.java
@@ -6,17 +6,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** An atomic change: conditions on stamps, then puts and removes. */
+/** An atomic transaction: conditions on the stamps of keys, then puts and removals. */
 public final class Txn {
   private final List<Doc> when = new ArrayList<>();
   private final List<Doc> then = new ArrayList<>();
   private final Map<String, Long> conditions = new HashMap<>();
   private String firstPut;
 
-  /** Requires the key to have this stamp; 0 means that it does not exist. */
+  /** Requires the key to have this stamp; 0 requires that the key does not exist. */
   public Txn when(String key, long stamp) {
-    Long known = conditions.putIfAbsent(key, stamp);
-    if (known == null || known != stamp) {
+    Long previous = conditions.putIfAbsent(key, stamp);
+    if (previous == null || previous != stamp) {
       when.add(Doc.of().put("k", key).put("stamp", stamp));
     }
     return this;
@@ -30,12 +30,12 @@
     return this;
   }
 
-  /** A put that disappears with the lease. */
-  public Txn put(String key, Doc value, long tenancy) {
+  /** Puts a value that is removed when the lease ends. */
+  public Txn put(String key, Doc value, long leaseId) {
     if (firstPut == null) {
       firstPut = key;
     }
-    then.add(Doc.of().put("put", key).put("data", value).put("tenancy", tenancy));
+    then.add(Doc.of().put("put", key).put("data", value).put("tenancy", leaseId));
     return this;
   }
 
@@ -48,7 +48,7 @@
     return then.size();
   }
 
-  /** The key by which an unclear outcome is read back. */
+  /** The key that is read back when the outcome is unknown. */
   String witness() {
     return firstPut;
   }
--- a/src/main/java/dev/dunefront/store/package-info.java
+++ b/src/main/java/dev/dunefront/store/package-info.java
@@ -1,2 +1,2 @@
-/** The state service: its client, the budget of requests, the local replica, this node's lease. */
+/** Client of the state service: rate limits, the local replica, membership and leases. */
 package dev.dunefront.store;
--- a/src/test/java/dev/dunefront/net/DecisionLockTest.java
+++ b/src/test/java/dev/dunefront/net/DecisionLockTest.java
@@ -10,18 +10,21 @@
 class DecisionLockTest {
   private final List<String> said = new ArrayList<>();
 
-  private void fail(String why) {
-    throw new IllegalStateException(why);
+  private void fail(String message) {
+    throw new IllegalStateException(message);
   }
 
-  /** An exception once ended the loop of whoever rents, while its process lived on and answered. */
+  /**
+   * Guards against an exception that ends a loop, such as the renting of machines, while the
+   * process keeps running and responding.
+   */
   @Test
   void whatFailsEndsItselfAndNothingElse() {
     DecisionLock decisionLock = new DecisionLock(e -> said.add("failed: " + e.getMessage()));
     decisionLock.run(
         () -> {
-          decisionLock.then(() -> fail("an effect"));
-          decisionLock.then(() -> said.add("the next effect"));
+          decisionLock.then(() -> fail("an action"));
+          decisionLock.then(() -> said.add("the next action"));
           decisionLock.run(() -> fail("a part"));
           decisionLock.run(() -> said.add("the next part"));
           fail("the rest");
@@ -32,8 +35,8 @@
             "failed: a part",
             "the next part",
             "failed: the rest",
-            "failed: an effect",
-            "the next effect",
+            "failed: an action",
+            "the next action",
             "the next decision"),
         said);
   }
@@ -48,7 +51,7 @@
     loops.turned("tick", 116, 15);
     assertNull(loops.stalled(130));
     loops.stoodStill(160);
-    assertNull(loops.stalled(175), "a whole process that stood still is no stalled loop");
+    assertNull(loops.stalled(175), "a pause of the whole process is not a stalled loop");
     assertEquals("tick", loops.stalled(176));
   }
 }
--- a/src/test/java/dev/dunefront/net/FakeClock.java
+++ b/src/test/java/dev/dunefront/net/FakeClock.java
@@ -2,7 +2,7 @@
 
 import java.util.PriorityQueue;
 
-/** A clock that stands until it is told to go on, and the timers that are set by it. */
+/** A clock that only advances when a test calls {@link #pass}, and its timers. */
 public final class FakeClock implements Timers {
   private record Due(double at, long order, Runnable action) {}
 
@@ -27,7 +27,7 @@
     due.add(new Due(now + Math.max(0, seconds), order++, action));
   }
 
-  /** Lets the time pass. */
+  /** Advances the clock and runs the actions that become due. */
   public void pass(double seconds) {
     double until = now + seconds;
     while (!due.isEmpty() && due.peek().at <= until) {
--- a/src/test/java/dev/dunefront/peer/DetailTest.java
+++ b/src/test/java/dev/dunefront/peer/DetailTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which change of a machine is news to whom. */
+/** Levels of detail at which a change of a machine is sent. */
 class DetailTest {
   private static final Size ROOM = new Size(4, 0, 4);
 
@@ -42,7 +42,7 @@
         List.of());
   }
 
-  /** The levels to which the change from one view to the other is news. */
+  /** Levels at which the change from one view to the other is sent. */
   private static List<Detail> toldAt(View before, View now) {
     List<Detail> levels = new ArrayList<>();
     for (Detail level : Detail.values()) {
@@ -65,21 +65,27 @@
   void roomIsToldToThoseWhoLookForIt() {
     View free = view(true, 0, ROOM, "i", 0, 0, 0);
     View full = view(true, 0, Size.NONE, "i", 0, 0, 0);
-    List<Detail> seekers = List.of(Detail.ROOM, Detail.LOAD);
-    assertEquals(seekers, toldAt(free, full));
-    assertEquals(seekers, toldAt(full, free));
-    assertEquals(seekers, toldAt(full, view(true, 0, Size.NONE, "i", 0, 0, 1)), "room can be made");
-    assertEquals(seekers, toldAt(free, view(true, 0, ROOM, "j", 0, 0, 0)), "starts are warm there");
+    List<Detail> capacityLevels = List.of(Detail.ROOM, Detail.LOAD);
+    assertEquals(capacityLevels, toldAt(free, full));
+    assertEquals(capacityLevels, toldAt(full, free));
+    assertEquals(
+        capacityLevels,
+        toldAt(full, view(true, 0, Size.NONE, "i", 0, 0, 1)),
+        "room can be made by preemption");
+    assertEquals(
+        capacityLevels,
+        toldAt(free, view(true, 0, ROOM, "j", 0, 0, 0)),
+        "tasks with a cached image start faster");
   }
 
   @Test
   void theRestIsToldToThoseWhoAskForEverything() {
     View free = view(true, 0, ROOM, "i", 0, 0, 0);
     View full = view(true, 0, Size.NONE, "i", 0, 0, 0);
-    List<Detail> all = List.of(Detail.LOAD);
-    assertEquals(all, toldAt(full, view(true, 0, Size.NONE, "j", 0, 0, 0)));
-    assertEquals(all, toldAt(full, view(true, 0, Size.NONE, "i", 0, 1, 0)));
-    assertEquals(all, toldAt(full, view(true, 0, Size.NONE, "i", 1, 0, 0)));
-    assertEquals(all, toldAt(free, view(true, 7, ROOM, "i", 0, 0, 0)));
+    List<Detail> fullLevel = List.of(Detail.LOAD);
+    assertEquals(fullLevel, toldAt(full, view(true, 0, Size.NONE, "j", 0, 0, 0)));
+    assertEquals(fullLevel, toldAt(full, view(true, 0, Size.NONE, "i", 0, 1, 0)));
+    assertEquals(fullLevel, toldAt(full, view(true, 0, Size.NONE, "i", 1, 0, 0)));
+    assertEquals(fullLevel, toldAt(free, view(true, 7, ROOM, "i", 0, 0, 0)));
   }
 }
--- a/src/test/java/dev/dunefront/peer/MessageTest.java
+++ b/src/test/java/dev/dunefront/peer/MessageTest.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Records between controllers. */
+/** Encoding of messages between controllers. */
 class MessageTest {
   private static final List<Message> ALL =
       List.of(
@@ -75,10 +75,10 @@
   @Test
   void garbledRecordsAreRefused() {
     for (Message m : ALL) {
-      byte[] good = Records.encode(m);
-      assertThrows(IOException.class, () -> Records.decode(Arrays.copyOf(good, good.length + 1)));
-      byte[] cut = Arrays.copyOf(good, good.length - 1);
-      assertThrows(IOException.class, () -> Records.decode(cut));
+      byte[] valid = Records.encode(m);
+      assertThrows(IOException.class, () -> Records.decode(Arrays.copyOf(valid, valid.length + 1)));
+      byte[] truncated = Arrays.copyOf(valid, valid.length - 1);
+      assertThrows(IOException.class, () -> Records.decode(truncated));
     }
     assertThrows(IOException.class, () -> Records.decode(new byte[] {99}));
   }
--- a/src/test/java/dev/dunefront/store/BudgetTest.java
+++ b/src/test/java/dev/dunefront/store/BudgetTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** The parts of the state service's rate, and what controllers lend each other of them. */
+/** Shares of the state service's rate limit, and loans between controllers. */
 class BudgetTest {
   private static final double RATE = 90;
   private static final int CONTROLLERS = 14;
@@ -66,10 +66,10 @@
     borrower.spend(5);
     int missing = borrower.missing(Urgency.CORE, 4);
     assertEquals(5, missing);
-    int given = lender.lend(missing);
-    assertEquals(4, given, "a change is kept for a user");
+    int lent = lender.lend(missing);
+    assertEquals(4, lent, "one token is kept for users");
     assertEquals(0, lender.lend(1));
-    borrower.borrow(given, 0);
+    borrower.borrow(lent, 0);
     assertEquals(1, borrower.missing(Urgency.CORE, 4));
   }
 
@@ -79,46 +79,45 @@
     borrower.borrow(20, 0);
     assertEquals(0, borrower.missing(Urgency.CORE, 4));
     borrower.refill(Budget.BORROWED_S / 2);
-    assertEquals(24, borrower.lend(100), "it is there for a moment");
+    assertEquals(24, borrower.lend(100), "borrowed tokens are usable for a short time");
     borrower.borrow(24, Budget.BORROWED_S / 2);
     borrower.refill(2 * Budget.BORROWED_S);
-    assertEquals(4, borrower.lend(100), "and then there is the own part alone");
+    assertEquals(4, borrower.lend(100), "only the own share is left after they expire");
   }
 
   /**
-   * However controllers spend, lend and borrow, and however long a loan is on its way: in no
-   * stretch of time do they send more than the service allows, which is its rate and a second's
-   * worth.
+   * For any sequence of requests and loans, and any delay of loans, the controllers together never
+   * exceed the limit of the service: its rate, with a burst of one second's worth.
    */
   @Property(tries = 60, seed = "1100")
   void togetherTheyNeverSendMoreThanTheServiceAllows(
-      @ForAll long seed, @ForAll @IntRange(min = 1, max = 14) int busy) {
+      @ForAll long seed, @ForAll @IntRange(min = 1, max = 14) int busyControllers) {
     Random random = new Random(seed);
-    List<Budget> all = new ArrayList<>();
+    List<Budget> limiters = new ArrayList<>();
     for (int i = 0; i < CONTROLLERS; i++) {
-      all.add(new Budget(settings(), 0));
+      limiters.add(new Budget(settings(), 0));
     }
     double allowance = RATE;
-    double step = 0.01;
+    double stepS = 0.01;
     ArrayDeque<double[]> loans = new ArrayDeque<>();
     int sent = 0;
-    for (double now = 0; now < 8; now += step) {
-      allowance = Math.min(RATE, allowance + step * RATE);
+    for (double now = 0; now < 8; now += stepS) {
+      allowance = Math.min(RATE, allowance + stepS * RATE);
       double time = now;
-      all.forEach(b -> b.refill(time));
+      limiters.forEach(b -> b.refill(time));
       while (!loans.isEmpty() && loans.peek()[0] <= now) {
         double[] loan = loans.poll();
-        all.get((int) loan[1]).borrow((int) loan[2], now);
+        limiters.get((int) loan[1]).borrow((int) loan[2], now);
       }
-      for (int i = 0; i < busy; i++) {
-        int changes = 1 + random.nextInt(4);
-        if (random.nextInt(4) == 0 && all.get(i).allowsChanges(Urgency.CORE, changes)) {
-          all.get(i).spend(changes);
-          allowance -= changes;
-          sent += changes;
+      for (int i = 0; i < busyControllers; i++) {
+        int writes = 1 + random.nextInt(4);
+        if (random.nextInt(4) == 0 && limiters.get(i).allowsChanges(Urgency.CORE, writes)) {
+          limiters.get(i).spend(writes);
+          allowance -= writes;
+          sent += writes;
         } else if (random.nextInt(10) == 0) {
-          int given = all.get(random.nextInt(CONTROLLERS)).lend(1 + random.nextInt(5));
-          loans.add(new double[] {now + random.nextDouble() * Lending.ANSWER_S, i, given});
+          int lent = limiters.get(random.nextInt(CONTROLLERS)).lend(1 + random.nextInt(5));
+          loans.add(new double[] {now + random.nextDouble() * Lending.ANSWER_S, i, lent});
         }
       }
       assertTrue(allowance >= 0, "429 at " + now);
--- a/src/test/java/dev/dunefront/store/HttpStoreTest.java
+++ b/src/test/java/dev/dunefront/store/HttpStoreTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What goes to the state service first when there is little to spend. */
+/** Order of requests to the state service under its rate limit. */
 class HttpStoreTest {
   private final FakeClock timers = new FakeClock();
   private final List<String> sent = new ArrayList<>();
@@ -52,8 +52,8 @@
     Caller caller =
         (address, method, path, body, deadlineS, then) -> {
           sent.add(path);
-          byte[] answer = Doc.of().put("tenancy", 7).put("ledger_rev", 9).encode();
-          timers.after(0.01, () -> then.accept(new Caller.Reply(200, answer, 0)));
+          byte[] response = Doc.of().put("tenancy", 7).put("ledger_rev", 9).encode();
+          timers.after(0.01, () -> then.accept(new Caller.Reply(200, response, 0)));
         };
     return new HttpStore(
         settings,
@@ -67,53 +67,55 @@
   }
 
   /**
-   * A controller that had asked for nothing had the least part, one request a second, of which it
-   * could save up less than one, so that none ever went out. It lost its lease while it stood
-   * still, and without a lease it took no larger part: it was gone for the rest of the day.
+   * Guards against a controller that never regains its lease. An idle controller has the minimum
+   * share of one request per second; if its bucket cannot hold a whole token, no request is ever
+   * sent. Once its lease has expired during a pause it gets no larger share either, because that
+   * requires a lease.
    */
   @Test
   void aLeaseWaitsBehindNothing() throws BadSetting {
     HttpStore store = store();
     store.share(new Store.Use(0, 0), Collections.nCopies(4, new Store.Use(1e6, 1e6)));
     for (int i = 0; i < 60; i++) {
-      String mark = store.newMark();
-      Doc value = Doc.of().put(Store.MARK, mark);
-      store.commit(new Txn().when("w/x/" + i, 0).put("w/x/" + i, value), mark, done -> {});
+      String writeId = store.newMark();
+      Doc value = Doc.of().put(Store.MARK, writeId);
+      store.commit(new Txn().when("w/x/" + i, 0).put("w/x/" + i, value), writeId, done -> {});
     }
     timers.pass(10);
     ask(store);
     timers.pass(4);
-    assertEquals(1, granted, "though there is no more than one request a second");
+    assertEquals(1, granted, "a lease is granted at a rate of one request per second");
     assertTrue(sent.contains("/leases"));
   }
 
   /**
-   * A transaction of six changes left a debt of five, and each submission waited until that was
-   * paid. It is sent when there is enough for it, and leaves a change for users.
+   * Guards against submissions that wait until the debt of a large transaction is paid. A
+   * transaction of six writes must be sent only when the bucket holds enough tokens for it, and
+   * must leave one for users; sent early it leaves a debt of five.
    */
   @Test
   void aSubmissionWaitsBehindNoDebt() throws BadSetting {
     HttpStore store = store();
     store.share(new Store.Use(10, 100), List.of());
     timers.pass(2);
-    List<Double> waits = new ArrayList<>();
+    List<Double> delaysS = new ArrayList<>();
     for (int round = 0; round < 30; round++) {
-      // More than there is for: it is always short.
-      Txn six = new Txn();
+      // More writes than the rate allows, so that tokens are always short.
+      Txn largeTxn = new Txn();
       for (int i = 0; i < 6; i++) {
-        six.put("t/x/" + round + "/" + i, Doc.of().put(Store.MARK, "m"));
+        largeTxn.put("t/x/" + round + "/" + i, Doc.of().put(Store.MARK, "m"));
       }
-      store.tryTxn(six, Store.Urgency.CORE, d -> {});
+      store.tryTxn(largeTxn, Store.Urgency.CORE, d -> {});
       timers.pass(0.23 + round % 4 * 0.08);
-      double asked = timers.now();
-      Txn user = new Txn().put("w/j/x", Doc.of().put(Store.MARK, "u"));
-      store.tryTxn(user, Store.Urgency.USER, d -> waits.add(timers.now() - asked));
+      double sentAt = timers.now();
+      Txn submission = new Txn().put("w/j/x", Doc.of().put(Store.MARK, "u"));
+      store.tryTxn(submission, Store.Urgency.USER, d -> delaysS.add(timers.now() - sentAt));
       timers.pass(0.2);
     }
     timers.pass(3);
-    assertEquals(30, waits.size());
-    double mean = waits.stream().mapToDouble(d -> d).average().orElseThrow();
-    assertTrue(mean < 0.1, "on average after " + mean + " s");
+    assertEquals(30, delaysS.size());
+    double meanS = delaysS.stream().mapToDouble(d -> d).average().orElseThrow();
+    assertTrue(meanS < 0.1, "mean delay of submissions: " + meanS + " s");
   }
 
   private int granted;
--- a/src/test/java/dev/dunefront/store/ShareTest.java
+++ b/src/test/java/dev/dunefront/store/ShareTest.java
@@ -6,18 +6,19 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Parts of a common rate. */
+/** Shares of a common rate limit. */
 class ShareTest {
   private final Share share = new Share(40, 4);
 
   @Test
   void whatSomeLeaveUnusedIsLentToOthers() {
     double busy = share.of(100, List.of(0.0, 0.0, 0.0));
-    double quiet = share.of(0, List.of(100.0, 0.0, 0.0));
-    assertTrue(busy > 30, "the busy one has nearly all");
-    assertTrue(busy + 3 * quiet <= 40.001, "and the sum stays within the rate");
-    assertEquals(10, share.of(100, List.of(100.0, 100.0, 100.0)), 0.001, "equal parts for equals");
-    assertEquals(40, share.of(100, List.of()), 0.001, "the last one living has all");
+    double idle = share.of(0, List.of(100.0, 0.0, 0.0));
+    assertTrue(busy > 30, "the busy controller has nearly all");
+    assertTrue(busy + 3 * idle <= 40.001, "the sum stays within the limit");
+    assertEquals(
+        10, share.of(100, List.of(100.0, 100.0, 100.0)), 0.001, "equal demands get equal shares");
+    assertEquals(40, share.of(100, List.of()), 0.001, "the only live controller has all");
   }
 
   @Test
