--- a/src/main/java/dev/dunefront/peer/Message.java
+++ b/src/main/java/dev/dunefront/peer/Message.java
@@ -250,7 +250,7 @@
   /**
    * Tasks of the job have failed on the machine. The weight is {@link #PROVEN} if the job runs on
    * other machines, {@link #UNPROVEN} if none of its tasks has completed yet, and {@link
-   * #WITHDRAWN} if the job fails on every machine, which says nothing about this one.
+   * #WITHDRAWN} if the job fails on every machine, which is no evidence against this one.
    */
   record Blame(String host, String job, int weight) implements Message {
     public static final int WITHDRAWN = 0;
