--- a/src/main/java/dev/dunefront/net/DecisionLock.java
+++ b/src/main/java/dev/dunefront/net/DecisionLock.java
@@ -6,7 +6,7 @@
 
 /**
  * The single lock around a controller's decisions, held only briefly. Decisions change memory only;
- * sending and other actions are queued with {@link #then} and run, in order, after the lock is
+ * sending and other actions are queued with {@link #defer} and run, in order, after the lock is
  * released.
  *
  * <p>An exception ends only the decision or deferred action that throws it: loops are chains of
@@ -15,48 +15,48 @@
  */
 public final class DecisionLock {
   private final ReentrantLock lock = new ReentrantLock();
-  private final ArrayDeque<Runnable> effects = new ArrayDeque<>();
-  private final Consumer<RuntimeException> failed;
-  private Runnable entering = () -> {};
-  private boolean draining;
+  private final ArrayDeque<Runnable> deferredActions = new ArrayDeque<>();
+  private final Consumer<RuntimeException> failureListener;
+  private Runnable beforeDecision = () -> {};
+  private boolean runningDeferred;
 
   /** {@code failed} receives each exception thrown by a decision or a deferred action. */
   public DecisionLock(Consumer<RuntimeException> failed) {
-    this.failed = failed;
+    this.failureListener = failed;
   }
 
   /** Sets the action that runs inside the lock before each decision. */
-  public void onEntering(Runnable action) {
-    entering = action;
+  public void beforeEachDecision(Runnable action) {
+    beforeDecision = action;
   }
 
   public void run(Runnable decision) {
     lock.lock();
     try {
       if (lock.getHoldCount() == 1) {
-        guarded(entering);
+        runCatching(beforeDecision);
       }
-      guarded(decision);
+      runCatching(decision);
     } finally {
       lock.unlock();
     }
-    drain();
+    runDeferred();
   }
 
-  private void guarded(Runnable action) {
+  private void runCatching(Runnable action) {
     try {
       action.run();
     } catch (RuntimeException e) {
-      failed.accept(e);
+      failureListener.accept(e);
     }
   }
 
   /** Queues an action that runs after the lock is released. */
-  public void then(Runnable action) {
-    effects.add(action);
+  public void defer(Runnable action) {
+    deferredActions.add(action);
   }
 
-  private void drain() {
+  private void runDeferred() {
     if (lock.isHeldByCurrentThread()) {
       return;
     }
@@ -64,19 +64,19 @@
       Runnable next;
       lock.lock();
       try {
-        if (draining || effects.isEmpty()) {
+        if (runningDeferred || deferredActions.isEmpty()) {
           return;
         }
-        next = effects.poll();
-        draining = true;
+        next = deferredActions.poll();
+        runningDeferred = true;
       } finally {
         lock.unlock();
       }
       try {
-        guarded(next);
+        runCatching(next);
       } finally {
         lock.lock();
-        draining = false;
+        runningDeferred = false;
         lock.unlock();
       }
     }
--- a/src/main/java/dev/dunefront/net/Caller.java
+++ b/src/main/java/dev/dunefront/net/HttpCaller.java
@@ -4,15 +4,15 @@
 
 /**
  * Sends HTTP requests. The callback always runs within the deadline: a request without a response
- * yields {@link Reply#UNCLEAR}.
+ * yields {@link Response#NO_RESPONSE}.
  */
-public interface Caller {
+public interface HttpCaller {
   /**
    * A response; status 0 means that none arrived, and that the request may or may not have been
    * executed.
    */
-  record Reply(int status, byte[] body, double retryAfterS) {
-    public static final Reply UNCLEAR = new Reply(0, new byte[0], 0);
+  record Response(int status, byte[] body, double retryAfterS) {
+    public static final Response NO_RESPONSE = new Response(0, new byte[0], 0);
 
     public boolean ok() {
       return status == 200;
@@ -25,5 +25,5 @@
       String path,
       byte[] body,
       double deadlineS,
-      Consumer<Reply> callback);
+      Consumer<Response> callback);
 }
--- a/src/main/java/dev/dunefront/net/HttpServer.java
+++ b/src/main/java/dev/dunefront/net/HttpServer.java
@@ -14,16 +14,16 @@
 /** HTTP server for users, workers and health checks. */
 public final class HttpServer {
   /** Maximum size of an accepted request body, in bytes. */
-  public static final int MAX_BODY = 64 * 1024;
+  public static final int MAX_BODY_BYTES = 64 * 1024;
 
   /** The only path with a plain-text response. */
-  public static final String TEXT_PATH = "/metrics";
+  public static final String METRICS_PATH = "/metrics";
 
   /** A request with its complete body. */
   public record Request(String method, String path, String query, byte[] body) {}
 
   /** Sends the response to a request; only the first call has an effect. */
-  public interface Answer {
+  public interface Responder {
     void send(int status, byte[] body, int retryAfterS);
 
     default void send(int status, byte[] body) {
@@ -33,7 +33,7 @@
 
   /** Serves requests; must respond to each one, at once or later. */
   public interface Handler {
-    void handle(Request request, Answer responder);
+    void handle(Request request, Responder responder);
   }
 
   private HttpServer() {}
@@ -54,13 +54,13 @@
   }
 
   private static void receive(HttpServerExchange exchange, Handler handler) {
-    if (exchange.getRequestContentLength() > MAX_BODY) {
+    if (exchange.getRequestContentLength() > MAX_BODY_BYTES) {
       exchange.setPersistent(false);
-      answer(exchange).send(413, null);
+      responder(exchange).send(413, null);
       return;
     }
     Receiver receiver = exchange.getRequestReceiver();
-    receiver.setMaxBufferSize(MAX_BODY);
+    receiver.setMaxBufferSize(MAX_BODY_BYTES);
     receiver.receiveFullBytes(
         (ex, body) ->
             // Dispatching keeps the exchange open until the response is sent, however late.
@@ -73,16 +73,16 @@
                             ex.getRequestPath(),
                             ex.getQueryString(),
                             body),
-                        answer(ex))),
+                        responder(ex))),
         (ex, error) -> {
           ex.setPersistent(false);
           int status = error instanceof Receiver.RequestToLargeException ? 413 : 400;
-          answer(ex).send(status, null);
+          responder(ex).send(status, null);
         });
   }
 
-  private static Answer answer(HttpServerExchange exchange) {
-    return new Answer() {
+  private static Responder responder(HttpServerExchange exchange) {
+    return new Responder() {
       private boolean sent;
 
       @Override
@@ -103,7 +103,7 @@
             .getResponseHeaders()
             .put(
                 Headers.CONTENT_TYPE,
-                exchange.getRequestPath().equals(TEXT_PATH)
+                exchange.getRequestPath().equals(METRICS_PATH)
                     ? "text/plain; charset=utf-8"
                     : "application/msgpack");
         exchange.getResponseSender().send(ByteBuffer.wrap(body));
--- a/src/main/java/dev/dunefront/net/Loops.java
+++ b/src/main/java/dev/dunefront/net/LoopWatchdog.java
@@ -9,31 +9,31 @@
  * while one is overdue, the process must not be given user requests. Also counts failed decisions
  * and deferred actions. Guarded by the controller's decision lock.
  */
-public final class Loops {
-  private static final System.Logger LOG = System.getLogger(Loops.class.getName());
+public final class LoopWatchdog {
+  private static final System.Logger LOG = System.getLogger(LoopWatchdog.class.getName());
 
-  private record Turn(double at, double within) {}
+  private record Iteration(double at, double timeoutS) {}
 
-  private final Map<String, Turn> turns = new HashMap<>();
+  private final Map<String, Iteration> lastIterations = new HashMap<>();
   private int failures;
 
   /** Records an iteration of the loop; the next one is due within {@code withinS} seconds. */
-  public void turned(String loop, double now, double withinS) {
-    turns.put(loop, new Turn(now, withinS));
+  public void recordIteration(String loop, double now, double withinS) {
+    lastIterations.put(loop, new Iteration(now, withinS));
   }
 
   /**
    * Restarts the time limits of all loops after a pause of the whole process, which is no failure
    * of a loop.
    */
-  public void stoodStill(double now) {
-    turns.replaceAll((loop, last) -> new Turn(now, last.within));
+  public void resetAfterPause(double now) {
+    lastIterations.replaceAll((loop, last) -> new Iteration(now, last.timeoutS));
   }
 
   /** Returns a loop whose next iteration is overdue, or null. */
-  public String stalled(double now) {
-    for (var e : turns.entrySet()) {
-      if (now - e.getValue().at > e.getValue().within) {
+  public String stalledLoop(double now) {
+    for (var e : lastIterations.entrySet()) {
+      if (now - e.getValue().at > e.getValue().timeoutS) {
         return e.getKey();
       }
     }
@@ -41,7 +41,7 @@
   }
 
   /** Records the exception that ended a decision or deferred action; everything else continues. */
-  public void failed(RuntimeException e) {
+  public void recordFailure(RuntimeException e) {
     failures++;
     LOG.log(Level.ERROR, "a decision or deferred action failed with an exception", e);
   }
--- a/src/main/java/dev/dunefront/net/Lag.java
+++ b/src/main/java/dev/dunefront/net/TimerLag.java
@@ -4,20 +4,20 @@
  * Measures how late timers fire, which shows how far the process is behind with its work. A delay
  * counts at once and decays within a few seconds.
  */
-public final class Lag {
-  private static final double FORGET = 0.85;
+public final class TimerLag {
+  private static final double DECAY = 0.85;
 
-  private double due = Double.NaN;
+  private double expectedAt = Double.NaN;
   private double lagS;
 
   /**
    * Records that a timer has fired that was set for {@code everyS} seconds after the previous one.
    */
   public void fired(double now, double everyS) {
-    if (!Double.isNaN(due)) {
-      lagS = Math.max(Math.max(0, now - due), lagS * FORGET);
+    if (!Double.isNaN(expectedAt)) {
+      lagS = Math.max(Math.max(0, now - expectedAt), lagS * DECAY);
     }
-    due = now + everyS;
+    expectedAt = now + everyS;
   }
 
   public double seconds() {
--- a/src/main/java/dev/dunefront/net/Timers.java
+++ b/src/main/java/dev/dunefront/net/Timers.java
@@ -6,7 +6,7 @@
   double now();
 
   /** Wall-clock time in milliseconds, accurate to within the bound in the settings. */
-  long timeOfDayMs();
+  long wallClockMs();
 
   /** Runs the action once, after {@code seconds}. */
   void after(double seconds, Runnable action);
--- a/src/main/java/dev/dunefront/peer/Peers.java
+++ b/src/main/java/dev/dunefront/peer/Peers.java
@@ -12,13 +12,13 @@
     void received(String from, Message message);
 
     /** An outgoing link to the node has been opened. */
-    void reached(String node);
+    void connected(String node);
 
     /**
      * The incoming link from the node is lost or replaced: state received from it is no longer
      * valid.
      */
-    void gone(String node);
+    void disconnected(String node);
   }
 
   void send(String node, Message message);
@@ -32,7 +32,7 @@
   void broadcast(Message message);
 
   /** Traffic to other controllers since the start. */
-  default Traffic sent() {
+  default Traffic sentTraffic() {
     return Traffic.NONE;
   }
 
--- a/src/main/java/dev/dunefront/peer/Detail.java
+++ b/src/main/java/dev/dunefront/peer/ViewDetail.java
@@ -1,22 +1,22 @@
 package dev.dunefront.peer;
 
-import dev.dunefront.peer.Message.View;
+import dev.dunefront.peer.Message.MachineView;
 
 /**
  * Level of detail at which a controller receives the state of machines that others hold, in
  * increasing order; each level includes those before it. Tasks of its own jobs are sent to a
  * controller at every level.
  */
-public enum Detail {
+public enum ViewDetail {
   /**
    * Rare changes, and the facts that proofs of the end of an attempt depend on: which machines
    * exist, who holds them and under which fencing token, their sessions and leases, and whether
    * they are schedulable.
    */
-  STANDING {
+  STATUS {
     @Override
-    public boolean differs(View now, View before) {
-      return !now.standsLike(before);
+    public boolean hasChanged(MachineView now, MachineView before) {
+      return !now.sameStatus(before);
     }
   },
 
@@ -24,13 +24,13 @@
    * Also free capacity, and where capacity can be freed: for controllers with tasks that wait for
    * room.
    */
-  ROOM {
+  CAPACITY {
     @Override
-    public boolean differs(View now, View before) {
-      return STANDING.differs(now, before)
+    public boolean hasChanged(MachineView now, MachineView before) {
+      return STATUS.hasChanged(now, before)
           || !now.free().equals(before.free())
-          || now.yielding() != before.yielding()
-          || now.roomy() && !now.images().equals(before.images());
+          || now.preemptibleBestEffort() != before.preemptibleBestEffort()
+          || now.hasFreeCapacity() && !now.images().equals(before.images());
     }
   },
 
@@ -38,13 +38,13 @@
    * Everything: for the controller that rents machines, and for urgent tasks that may preempt
    * others.
    */
-  LOAD {
+  FULL {
     @Override
-    public boolean differs(View now, View before) {
-      return !now.saysTheSame(before);
+    public boolean hasChanged(MachineView now, MachineView before) {
+      return !now.sameMachineState(before);
     }
   };
 
   /** Whether a controller at this level that was sent {@code before} must be sent {@code now}. */
-  public abstract boolean differs(View now, View before);
+  public abstract boolean hasChanged(MachineView now, MachineView before);
 }
--- a/src/main/java/dev/dunefront/store/Share.java
+++ b/src/main/java/dev/dunefront/store/FairShare.java
@@ -8,36 +8,36 @@
  * share if it needs it, and unused capacity goes to the others. All controllers compute the shares
  * from the same usage reports, so the sum stays within the limit.
  */
-final class Share {
+final class FairShare {
   /** Factor applied to the reported usage, so that rising demand finds capacity. */
-  private static final double RISING = 1.3;
+  private static final double DEMAND_HEADROOM = 1.3;
 
-  private static final double LEAST = 1;
+  private static final double MIN_DEMAND_PER_S = 1;
 
-  private final double total;
+  private final double totalPerS;
   private final int controllers;
 
-  Share(double total, int controllers) {
-    this.total = total;
+  FairShare(double total, int controllers) {
+    this.totalPerS = total;
     this.controllers = controllers;
   }
 
   /** Share of each controller while the usage of the others is unknown. */
-  double equalPart() {
-    return total / controllers;
+  double equalShare() {
+    return totalPerS / controllers;
   }
 
   /**
    * Returns the share of a controller that uses {@code own} per second, next to the usage of the
    * other live controllers.
    */
-  double of(double own, List<Double> others) {
+  double allocate(double own, List<Double> others) {
     List<Double> demands = new ArrayList<>();
-    others.forEach(d -> demands.add(d * RISING + LEAST));
-    double ownDemand = own * RISING + LEAST;
+    others.forEach(d -> demands.add(d * DEMAND_HEADROOM + MIN_DEMAND_PER_S));
+    double ownDemand = own * DEMAND_HEADROOM + MIN_DEMAND_PER_S;
     demands.add(ownDemand);
     demands.sort(null);
-    double remaining = total;
+    double remaining = totalPerS;
     int remainingDemands = demands.size();
     for (double d : demands) {
       double equal = remaining / remainingDemands;
--- a/src/main/java/dev/dunefront/store/Membership.java
+++ b/src/main/java/dev/dunefront/store/Membership.java
@@ -1,9 +1,9 @@
 package dev.dunefront.store;
 
-import dev.dunefront.net.Loops;
+import dev.dunefront.net.LoopWatchdog;
 import dev.dunefront.net.Timers;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import java.lang.System.Logger.Level;
 import java.util.Map;
 import java.util.Set;
@@ -19,53 +19,53 @@
   public static final String PREFIX = Replica.PREFIX + "n/";
 
   /** Even in an outage the lease is requested or renewed more often than this. */
-  private static final double STALLED_S = 30;
+  private static final double STALL_TIMEOUT_S = 30;
 
   private static final System.Logger LOG = System.getLogger(Membership.class.getName());
 
   private final String node;
   private final String zone;
-  private final Store store;
+  private final StateStore store;
   private final Replica replica;
   private final Timers timers;
-  private final double lifeS;
-  private final Loops loops;
-  private final Map<String, String> live = new TreeMap<>();
+  private final double leaseTtlS;
+  private final LoopWatchdog loopWatchdog;
+  private final Map<String, String> liveIncarnations = new TreeMap<>();
 
   /** Zones of the live controllers, as they report them. */
   private final Map<String, String> zones = new TreeMap<>();
 
-  private Runnable reborn = () -> {};
+  private Runnable newIncarnationListener = () -> {};
 
   /** Stamp of this controller's key as last seen; 0 if the key does not exist. */
-  private long keyStamp;
+  private long ownKeyRevision;
 
-  private long tenancy;
-  private String self;
+  private long leaseId;
+  private String ownIncarnation;
 
   public Membership(
       String node,
       String zone,
-      Store store,
+      StateStore store,
       Replica replica,
       Timers timers,
       double lifeS,
-      Loops loops) {
+      LoopWatchdog loops) {
     this.node = node;
     this.zone = zone;
     this.store = store;
     this.replica = replica;
     this.timers = timers;
-    this.lifeS = lifeS;
-    this.loops = loops;
-    replica.listen(
+    this.leaseTtlS = lifeS;
+    this.loopWatchdog = loops;
+    replica.addListener(
         PREFIX,
         (name, value, stamp) -> {
           String incarnation = null;
           try {
             incarnation = value == null ? null : value.text("inc");
             zones.put(name, value == null ? "" : value.textOr("zone", ""));
-          } catch (BadMessage e) {
+          } catch (MalformedMessageException e) {
             LOG.log(
                 Level.ERROR,
                 "cannot decode the membership record of {0}: {1}",
@@ -73,15 +73,15 @@
                 e.getMessage());
           }
           if (incarnation == null) {
-            live.remove(name);
+            liveIncarnations.remove(name);
             zones.remove(name);
           } else {
-            live.put(name, incarnation);
+            liveIncarnations.put(name, incarnation);
           }
           if (name.equals(node)) {
-            keyStamp = value == null ? 0 : stamp;
-            if (self != null && !self.equals(incarnation)) {
-              reassert(self);
+            ownKeyRevision = value == null ? 0 : stamp;
+            if (ownIncarnation != null && !ownIncarnation.equals(incarnation)) {
+              rewriteOwnKey(ownIncarnation);
             }
           }
         });
@@ -92,64 +92,67 @@
    * this one is live. Either the lease has just expired, or another writer has overwritten the key;
    * the others would then treat this controller as dead for as long as it runs.
    */
-  private void reassert(String name) {
-    if (!name.equals(self) || name.equals(live.get(node))) {
+  private void rewriteOwnKey(String name) {
+    if (!name.equals(ownIncarnation) || name.equals(liveIncarnations.get(node))) {
       return;
     }
-    Doc value = value(name);
+    Document value = memberRecord(name);
     store.tryTxn(
-        new Txn().when(PREFIX + node, keyStamp).put(PREFIX + node, value, tenancy),
-        Store.Urgency.USER,
+        new Txn().requireRevision(PREFIX + node, ownKeyRevision).put(PREFIX + node, value, leaseId),
+        StateStore.RequestPriority.USER,
         result -> {
-          if (!name.equals(self)) {
+          if (!name.equals(ownIncarnation)) {
             return;
           }
           if (result.ok()) {
             replica.apply(PREFIX + node, value, result.revision());
-          } else if (result.outcome() == Store.Outcome.MISSING) {
-            lapsed();
+          } else if (result.outcome() == StateStore.Outcome.NOT_FOUND) {
+            leaseExpired();
           } else {
-            timers.after(0.3, () -> reassert(name));
+            timers.after(0.3, () -> rewriteOwnKey(name));
           }
         });
   }
 
-  private void lapsed() {
-    LOG.log(Level.INFO, "lease of {0} has expired", self);
-    self = null;
-    tenancy = 0;
+  private void leaseExpired() {
+    LOG.log(Level.INFO, "lease of {0} has expired", ownIncarnation);
+    ownIncarnation = null;
+    leaseId = 0;
     start();
   }
 
-  private Doc value(String name) {
-    return Doc.of().put("inc", name).put("zone", zone).put(Store.MARK, store.newMark());
+  private Document memberRecord(String name) {
+    return Document.create()
+        .put("inc", name)
+        .put("zone", zone)
+        .put(StateStore.WRITE_ID_FIELD, store.newWriteId());
   }
 
   /** Sets the action to run whenever this controller has registered as a new incarnation. */
-  public void onReborn(Runnable action) {
-    reborn = action;
+  public void onNewIncarnation(Runnable action) {
+    newIncarnationListener = action;
   }
 
   /** Name of the current incarnation, or null while this controller is not registered. */
-  public String self() {
-    return self;
+  public String ownIncarnation() {
+    return ownIncarnation;
   }
 
-  public long tenancy() {
-    return tenancy;
+  public long leaseId() {
+    return leaseId;
   }
 
   public boolean alive(String incarnation) {
-    return incarnation.equals(live.get(nodeOf(incarnation)));
+    return incarnation.equals(liveIncarnations.get(nodeOf(incarnation)));
   }
 
   /** Live incarnation of a node, or null. */
-  public String incarnation(String name) {
-    return live.get(name);
+  public String liveIncarnation(String name) {
+    return liveIncarnations.get(name);
   }
 
   public Set<String> liveNodes() {
-    return live.keySet();
+    return liveIncarnations.keySet();
   }
 
   /** Zone of a live controller; empty if it is unknown. */
@@ -166,7 +169,7 @@
   }
 
   /** Lease ID of an incarnation; 0 if the argument is not the name of one. */
-  public static long leaseOf(String incarnation) {
+  public static long leaseIdOf(String incarnation) {
     try {
       return Long.parseLong(incarnation.substring(incarnation.lastIndexOf('#') + 1));
     } catch (NumberFormatException e) {
@@ -176,15 +179,15 @@
 
   public void start() {
     store.grantLease(
-        lifeS,
+        leaseTtlS,
         result -> {
           if (!result.ok()) {
             LOG.log(Level.INFO, "lease request failed: {0}; retrying", result.outcome());
             timers.after(0.3, this::start);
             return;
           }
-          loops.turned("lease renewal", timers.now(), STALLED_S);
-          enrol(result.revision());
+          loopWatchdog.recordIteration("lease renewal", timers.now(), STALL_TIMEOUT_S);
+          register(result.revision());
         });
   }
 
@@ -193,45 +196,48 @@
    * Without it, a delayed write of an earlier attempt or incarnation could replace the key by one
    * that names a dead incarnation and is removed when that one's lease ends.
    */
-  private void enrol(long id) {
+  private void register(long id) {
     String name = node + "#" + id;
     store.get(
         PREFIX + node,
         // Highest priority: without a lease this controller cannot do anything else.
-        Store.Urgency.USER,
+        StateStore.RequestPriority.USER,
         current -> {
-          if (current.outcome() != Store.Outcome.OK && current.outcome() != Store.Outcome.MISSING) {
-            again(name, current.outcome());
+          if (current.outcome() != StateStore.Outcome.OK
+              && current.outcome() != StateStore.Outcome.NOT_FOUND) {
+            retryRegistration(name, current.outcome());
             return;
           }
-          Doc value = value(name);
+          Document value = memberRecord(name);
           store.tryTxn(
-              new Txn().when(PREFIX + node, current.stamp()).put(PREFIX + node, value, id),
-              Store.Urgency.USER,
+              new Txn()
+                  .requireRevision(PREFIX + node, current.revision())
+                  .put(PREFIX + node, value, id),
+              StateStore.RequestPriority.USER,
               result -> {
                 if (!result.ok()) {
-                  again(name, result.outcome());
+                  retryRegistration(name, result.outcome());
                   return;
                 }
-                tenancy = id;
-                self = name;
-                timers.after(lifeS / 4, () -> renew(id));
+                leaseId = id;
+                ownIncarnation = name;
+                timers.after(leaseTtlS / 4, () -> renewPeriodically(id));
                 replica.apply(PREFIX + node, value, result.revision());
                 LOG.log(Level.INFO, "serving as {0}", name);
-                reborn.run();
+                newIncarnationListener.run();
               });
         });
   }
 
-  private void again(String name, Store.Outcome outcome) {
+  private void retryRegistration(String name, StateStore.Outcome outcome) {
     LOG.log(
         Level.INFO, "registration as {0} failed: {1}; retrying with a new lease", name, outcome);
     timers.after(0.3, this::start);
   }
 
-  private void renew(long id) {
-    if (id == tenancy) {
-      touch(id, ok -> timers.after(ok ? lifeS / 4 : 0.3, () -> renew(id)));
+  private void renewPeriodically(long id) {
+    if (id == leaseId) {
+      renewOnce(id, ok -> timers.after(ok ? leaseTtlS / 4 : 0.3, () -> renewPeriodically(id)));
     }
   }
 
@@ -239,21 +245,21 @@
    * Checks whether this incarnation's lease is still valid. The action runs after the response has
    * been processed.
    */
-  void verify(Runnable callback) {
-    if (self == null) {
+  void verifyLease(Runnable callback) {
+    if (ownIncarnation == null) {
       callback.run();
     } else {
-      touch(tenancy, ok -> callback.run());
+      renewOnce(leaseId, ok -> callback.run());
     }
   }
 
-  private void touch(long id, Consumer<Boolean> callback) {
-    store.touchLease(
+  private void renewOnce(long id, Consumer<Boolean> callback) {
+    store.renewLease(
         id,
         result -> {
-          loops.turned("lease renewal", timers.now(), STALLED_S);
-          if (result.outcome() == Store.Outcome.MISSING && id == tenancy) {
-            lapsed();
+          loopWatchdog.recordIteration("lease renewal", timers.now(), STALL_TIMEOUT_S);
+          if (result.outcome() == StateStore.Outcome.NOT_FOUND && id == leaseId) {
+            leaseExpired();
           }
           callback.accept(result.ok());
         });
--- a/src/main/java/dev/dunefront/store/Standstill.java
+++ b/src/main/java/dev/dunefront/store/PauseDetector.java
@@ -1,7 +1,7 @@
 package dev.dunefront.store;
 
 import dev.dunefront.net.DecisionLock;
-import dev.dunefront.net.Loops;
+import dev.dunefront.net.LoopWatchdog;
 import dev.dunefront.net.Timers;
 import java.lang.System.Logger.Level;
 import java.util.ArrayList;
@@ -19,47 +19,47 @@
  * and every proof is conditional on the record of the hold, so no false state can be written; in an
  * outage no other controller can have taken anything over, and workers need responses.
  */
-public final class Standstill {
-  private static final System.Logger LOG = System.getLogger(Standstill.class.getName());
+public final class PauseDetector {
+  private static final System.Logger LOG = System.getLogger(PauseDetector.class.getName());
 
   /** Timeout of the state service's responses after a pause. */
-  private static final double WAIT_S = 1.5;
+  private static final double REFRESH_TIMEOUT_S = 1.5;
 
   private final Replica replica;
   private final Membership membership;
   private final Timers timers;
   private final DecisionLock decisionLock;
-  private final Loops loops;
-  private final double gapS;
+  private final LoopWatchdog loopWatchdog;
+  private final double pauseThresholdS;
   private final List<Runnable> waiting = new ArrayList<>();
   private final List<Runnable> listeners = new ArrayList<>();
-  private double turnedAt;
-  private long wakings;
-  private int unknown;
+  private double lastDecisionAt;
+  private long pauseCount;
+  private int pendingRefreshes;
   private boolean current = true;
 
   /**
    * {@code gapS} is the length of a pause during which this controller's lease may have expired.
    */
-  public Standstill(
+  public PauseDetector(
       Replica replica,
       Membership membership,
       Timers timers,
       DecisionLock decisionLock,
-      Loops loops,
+      LoopWatchdog loops,
       double gapS) {
     this.replica = replica;
     this.membership = membership;
     this.timers = timers;
     this.decisionLock = decisionLock;
-    this.loops = loops;
-    this.gapS = gapS;
-    this.turnedAt = timers.now();
-    decisionLock.onEntering(this::turned);
+    this.loopWatchdog = loops;
+    this.pauseThresholdS = gapS;
+    this.lastDecisionAt = timers.now();
+    decisionLock.beforeEachDecision(this::detectPause);
   }
 
   /** Adds a listener that runs whenever the local state is current again after a pause. */
-  public void listen(Runnable listener) {
+  public void addResumeListener(Runnable listener) {
     listeners.add(listener);
   }
 
@@ -81,34 +81,34 @@
   }
 
   /** Runs before each decision. */
-  private void turned() {
+  private void detectPause() {
     double now = timers.now();
-    double gap = now - turnedAt;
-    turnedAt = now;
-    if (gap < gapS) {
+    double gap = now - lastDecisionAt;
+    lastDecisionAt = now;
+    if (gap < pauseThresholdS) {
       return;
     }
-    loops.stoodStill(now);
+    loopWatchdog.resetAfterPause(now);
     if (!replica.ready()) {
       return;
     }
     LOG.log(Level.INFO, "process was paused for {0} s; refreshing the lease and the state", gap);
-    long pause = ++wakings;
+    long pause = ++pauseCount;
     current = false;
-    unknown = 2;
-    replica.catchUp(() -> known(pause));
-    membership.verify(() -> known(pause));
-    timers.after(WAIT_S, () -> decisionLock.run(() -> wake(pause)));
+    pendingRefreshes = 2;
+    replica.catchUp(() -> refreshCompleted(pause));
+    membership.verifyLease(() -> refreshCompleted(pause));
+    timers.after(REFRESH_TIMEOUT_S, () -> decisionLock.run(() -> resume(pause)));
   }
 
-  private void known(long pause) {
-    if (pause == wakings && --unknown == 0) {
-      wake(pause);
+  private void refreshCompleted(long pause) {
+    if (pause == pauseCount && --pendingRefreshes == 0) {
+      resume(pause);
     }
   }
 
-  private void wake(long pause) {
-    if (pause != wakings || current) {
+  private void resume(long pause) {
+    if (pause != pauseCount || current) {
       return;
     }
     current = true;
--- a/src/main/java/dev/dunefront/store/Budget.java
+++ b/src/main/java/dev/dunefront/store/RateLimiter.java
@@ -1,7 +1,7 @@
 package dev.dunefront.store;
 
 import dev.dunefront.config.Settings;
-import dev.dunefront.store.Store.Urgency;
+import dev.dunefront.store.StateStore.RequestPriority;
 import java.util.Collection;
 
 /**
@@ -10,9 +10,9 @@
  * burst. Tokens lent to another controller are deducted here first, so the sum stays within the
  * limit.
  */
-final class Budget {
+final class RateLimiter {
   /** Write tokens that are kept for user requests. */
-  private static final double USERS_CHANGES = 1;
+  private static final double RESERVED_USER_WRITES = 1;
 
   /** Capacity of a bucket, in seconds of its rate. */
   private static final double BURST_S = 0.8;
@@ -21,60 +21,63 @@
    * Seconds after which unused borrowed write tokens expire. By then the lender has refilled its
    * bucket, and both together would exceed the burst of the service.
    */
-  static final double BORROWED_S = 0.15;
-
-  private final Share requestShare;
-  private final Share changeShare;
-  private double requestRate;
-  private double changeRate;
-  private double requests;
-  private double changes;
+  static final double BORROWED_TTL_S = 0.15;
+
+  private final FairShare requestShare;
+  private final FairShare writeShare;
+  private double requestsPerS;
+  private double writesPerS;
+  private double requestTokens;
+  private double writeTokens;
   private double refilledAt;
   private double borrowedUntil = Double.NEGATIVE_INFINITY;
 
-  Budget(Settings settings, double now) {
-    requestShare = new Share(settings.stateLimits().rps(), settings.controllers());
-    changeShare = new Share(settings.stateLimits().writeRps(), settings.controllers());
-    requestRate = requestShare.equalPart();
-    changeRate = changeShare.equalPart();
+  RateLimiter(Settings settings, double now) {
+    requestShare = new FairShare(settings.stateLimits().rps(), settings.controllerCount());
+    writeShare = new FairShare(settings.stateLimits().writeRps(), settings.controllerCount());
+    requestsPerS = requestShare.equalShare();
+    writesPerS = writeShare.equalShare();
     // Starts with this controller's share of the burst: all controllers may start at once.
-    requests = requestRate * BURST_S;
-    changes = changeRate * BURST_S;
+    requestTokens = requestsPerS * BURST_S;
+    writeTokens = writesPerS * BURST_S;
     refilledAt = now;
   }
 
   /** Sets the rates from the usage of this controller and of the other live ones. */
-  void share(Store.Use own, Collection<Store.Use> others) {
-    requestRate =
-        requestShare.of(own.requests(), others.stream().map(Store.Use::requests).toList());
-    changeRate = changeShare.of(own.writes(), others.stream().map(Store.Use::writes).toList());
+  void updateRates(StateStore.Usage own, Collection<StateStore.Usage> others) {
+    requestsPerS =
+        requestShare.allocate(
+            own.requestsPerS(), others.stream().map(StateStore.Usage::requestsPerS).toList());
+    writesPerS =
+        writeShare.allocate(
+            own.writesPerS(), others.stream().map(StateStore.Usage::writesPerS).toList());
   }
 
   /**
    * Capacity of a bucket with this rate. It is at least 1: a bucket that never holds a whole token
    * would block every request.
    */
-  private static double burst(double rate) {
+  private static double burstCapacity(double rate) {
     return Math.max(1, rate * BURST_S);
   }
 
   /** Refills both buckets for the time since the last call. */
   void refill(double now) {
     double elapsedS = now - refilledAt;
-    requests = Math.min(burst(requestRate), requests + elapsedS * requestRate);
-    double refilled = Math.min(burst(changeRate), changes + elapsedS * changeRate);
-    changes = now < borrowedUntil ? Math.max(changes, refilled) : refilled;
+    requestTokens = Math.min(burstCapacity(requestsPerS), requestTokens + elapsedS * requestsPerS);
+    double refilled = Math.min(burstCapacity(writesPerS), writeTokens + elapsedS * writesPerS);
+    writeTokens = now < borrowedUntil ? Math.max(writeTokens, refilled) : refilled;
     refilledAt = now;
   }
 
   /** Whether a request may be sent now. */
   boolean allowsRequest() {
-    return requests >= 1;
+    return requestTokens >= 1;
   }
 
   /** Whether a request with {@code count} writes may be sent now. */
-  boolean allowsChanges(Urgency priority, int count) {
-    return changes >= needed(priority, count);
+  boolean allowsWrites(RequestPriority priority, int count) {
+    return writeTokens >= requiredWriteTokens(priority, count);
   }
 
   /**
@@ -82,33 +85,33 @@
    * requests may overdraw the bucket. Others leave one token: after a transaction of 20 writes at a
    * rate of 10 writes per second, each submission would otherwise wait 2 seconds.
    */
-  private double needed(Urgency priority, int count) {
-    return priority == Urgency.USER
+  private double requiredWriteTokens(RequestPriority priority, int count) {
+    return priority == RequestPriority.USER
         ? Double.MIN_VALUE
-        : Math.min(count + USERS_CHANGES, burst(changeRate));
+        : Math.min(count + RESERVED_USER_WRITES, burstCapacity(writesPerS));
   }
 
   /** Deducts a request with {@code count} writes. */
-  void spend(int count) {
-    requests -= 1;
-    changes -= count;
+  void consume(int count) {
+    requestTokens -= 1;
+    writeTokens -= count;
   }
 
   /**
    * Seconds until {@code count} writes can be sent without the token reserved for user requests.
    */
-  double delayS(int count) {
-    return Math.max(0, (count + 1 - changes) / changeRate);
+  double writeDelayS(int count) {
+    return Math.max(0, (count + 1 - writeTokens) / writesPerS);
   }
 
   /** Write tokens missing before a request with {@code count} writes may be sent, rounded up. */
-  int missing(Urgency priority, int count) {
-    return (int) Math.ceil(Math.max(0, needed(priority, count) - changes));
+  int missingWrites(RequestPriority priority, int count) {
+    return (int) Math.ceil(Math.max(0, requiredWriteTokens(priority, count) - writeTokens));
   }
 
   /** Seconds in which the bucket gains {@code count} write tokens. */
-  double waitS(int count) {
-    return count / changeRate;
+  double refillTimeS(int count) {
+    return count / writesPerS;
   }
 
   /**
@@ -116,15 +119,16 @@
    * for user requests. Returns the number deducted.
    */
   int lend(int requested) {
-    int lent = (int) Math.max(0, Math.min(requested, Math.floor(changes - USERS_CHANGES)));
-    changes -= lent;
+    int lent =
+        (int) Math.max(0, Math.min(requested, Math.floor(writeTokens - RESERVED_USER_WRITES)));
+    writeTokens -= lent;
     return lent;
   }
 
   /** Adds write tokens received from another controller. */
   void borrow(int count, double now) {
     refill(now);
-    changes += count;
-    borrowedUntil = now + BORROWED_S;
+    writeTokens += count;
+    borrowedUntil = now + BORROWED_TTL_S;
   }
 }
--- a/src/main/java/dev/dunefront/store/Proofs.java
+++ b/src/main/java/dev/dunefront/store/ReadBarrier.java
@@ -13,32 +13,32 @@
  * read. It serves all requests that wait when it is sent, so the load on the state service does not
  * grow with their number.
  */
-public final class Proofs {
+public final class ReadBarrier {
   /**
    * Minimum time between two reads, in seconds; users wait for up to 2 s, and the state may lag by
    * 3 s.
    */
-  private static final double PACE_S = 0.3;
+  private static final double MIN_READ_INTERVAL_S = 0.3;
 
   /** Maximum number of waiting requests; further ones are rejected at once. */
-  private static final int MOST = 4000;
+  private static final int MAX_WAITING = 4000;
 
-  private final Store store;
+  private final StateStore store;
   private final Replica replica;
   private final Timers timers;
   private final DecisionLock decisionLock;
   private final String prefix;
   private List<Consumer<Boolean>> waiting = new ArrayList<>();
-  private double waitingSince;
-  private double begunAt = Double.NEGATIVE_INFINITY;
-  private boolean due;
-  private boolean underWay;
-  private long seen;
-  private int proofs;
+  private double oldestWaitingSince;
+  private double lastReadAt = Double.NEGATIVE_INFINITY;
+  private boolean readScheduled;
+  private boolean readInFlight;
+  private long verifiedRevision;
+  private int readCount;
 
   /** Creates a barrier for the keys under a prefix, which lies within the replica's own prefix. */
-  public Proofs(
-      Store store, Replica replica, Timers timers, DecisionLock decisionLock, String prefix) {
+  public ReadBarrier(
+      StateStore store, Replica replica, Timers timers, DecisionLock decisionLock, String prefix) {
     this.store = store;
     this.replica = replica;
     this.timers = timers;
@@ -53,75 +53,75 @@
 
   /** Waiting time of the oldest request, in seconds. */
   public double oldestS() {
-    return waiting.isEmpty() ? 0 : timers.now() - waitingSince;
+    return waiting.isEmpty() ? 0 : timers.now() - oldestWaitingSince;
   }
 
   /** Number of reads sent so far. */
-  public int made() {
-    return proofs;
+  public int readCount() {
+    return readCount;
   }
 
   /**
    * Passes true to the callback once the replica is confirmed to be current, or false if it cannot
    * be confirmed now.
    */
-  public void await(Consumer<Boolean> callback) {
-    if (!replica.ready() || waiting.size() >= MOST) {
+  public void whenCurrent(Consumer<Boolean> callback) {
+    if (!replica.ready() || waiting.size() >= MAX_WAITING) {
       callback.accept(false);
       return;
     }
     if (waiting.isEmpty()) {
-      waitingSince = timers.now();
+      oldestWaitingSince = timers.now();
     }
     waiting.add(callback);
-    beginSoon();
+    scheduleRead();
   }
 
-  private void beginSoon() {
-    if (due || underWay) {
+  private void scheduleRead() {
+    if (readScheduled || readInFlight) {
       return;
     }
-    double delayS = begunAt + PACE_S - timers.now();
+    double delayS = lastReadAt + MIN_READ_INTERVAL_S - timers.now();
     if (delayS <= 0) {
-      begin();
+      startRead();
       return;
     }
-    due = true;
+    readScheduled = true;
     timers.after(
         delayS,
         () ->
             decisionLock.run(
                 () -> {
-                  due = false;
-                  begin();
+                  readScheduled = false;
+                  startRead();
                 }));
   }
 
-  private void begin() {
-    if (underWay || waiting.isEmpty()) {
+  private void startRead() {
+    if (readInFlight || waiting.isEmpty()) {
       return;
     }
-    underWay = true;
-    proofs++;
-    begunAt = timers.now();
+    readInFlight = true;
+    readCount++;
+    lastReadAt = timers.now();
     List<Consumer<Boolean>> served = waiting;
     waiting = new ArrayList<>();
-    seen = Math.max(seen, replica.seen());
+    verifiedRevision = Math.max(verifiedRevision, replica.appliedRevision());
     store.watch(
         prefix,
-        seen,
+        verifiedRevision,
         0,
         watched -> {
-          underWay = false;
-          boolean ok = watched.outcome() == Store.Outcome.OK;
+          readInFlight = false;
+          boolean ok = watched.outcome() == StateStore.Outcome.OK;
           if (ok) {
-            watched.events().forEach(e -> replica.apply(e.key(), e.value(), e.stamp()));
-            seen = Math.max(seen, watched.revision());
+            watched.events().forEach(e -> replica.apply(e.key(), e.value(), e.revision()));
+            verifiedRevision = Math.max(verifiedRevision, watched.revision());
           }
           // A callback that throws must not prevent the others from running.
           served.forEach(callback -> decisionLock.run(() -> callback.accept(ok)));
           if (!waiting.isEmpty()) {
-            beginSoon();
+            scheduleRead();
           }
         });
   }
--- a/src/main/java/dev/dunefront/store/Replica.java
+++ b/src/main/java/dev/dunefront/store/Replica.java
@@ -1,10 +1,10 @@
 package dev.dunefront.store;
 
 import dev.dunefront.net.DecisionLock;
-import dev.dunefront.net.Loops;
+import dev.dunefront.net.LoopWatchdog;
 import dev.dunefront.net.Timers;
-import dev.dunefront.store.Store.Urgency;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.store.StateStore.RequestPriority;
+import dev.dunefront.wire.Document;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -19,43 +19,43 @@
   /** Prefix of all copied keys. */
   public static final String PREFIX = "w/";
 
-  private static final double BLOCK_S = 10;
-  private static final double PAUSE_S = 0.06;
+  private static final double WATCH_BLOCK_S = 10;
+  private static final double WATCH_PAUSE_S = 0.06;
 
   /** A watch returns or times out well within this time. */
-  private static final double STALLED_S = 30;
+  private static final double STALL_TIMEOUT_S = 30;
 
-  private static final int TOMBSTONES = 4096;
+  private static final int MAX_TOMBSTONES = 4096;
 
   /** Receives each change; a null value means that the key was removed. */
   public interface Listener {
-    void changed(String key, Doc value, long stamp);
+    void changed(String key, Document value, long stamp);
   }
 
-  private final Store store;
+  private final StateStore store;
   private final Timers timers;
   private final Map<String, Listener> listeners = new LinkedHashMap<>();
-  private final Map<String, Long> stamps = new HashMap<>();
+  private final Map<String, Long> revisions = new HashMap<>();
   private final Map<String, Long> tombstones =
       new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
-          return size() > TOMBSTONES;
+          return size() > MAX_TOMBSTONES;
         }
       };
   private final DecisionLock decisionLock;
-  private final Loops loops;
+  private final LoopWatchdog loopWatchdog;
   private boolean ready;
-  private Runnable whenRead = () -> {};
+  private Runnable initialReadListener = () -> {};
 
   /** The revision up to which all changes have been applied. */
-  private long seen;
+  private long appliedRevision;
 
-  public Replica(Store store, Timers timers, DecisionLock decisionLock, Loops loops) {
+  public Replica(StateStore store, Timers timers, DecisionLock decisionLock, LoopWatchdog loops) {
     this.store = store;
     this.timers = timers;
     this.decisionLock = decisionLock;
-    this.loops = loops;
+    this.loopWatchdog = loops;
   }
 
   /** Whether the initial read is complete. */
@@ -64,45 +64,45 @@
   }
 
   /** Revision up to which every change has been applied. */
-  public long seen() {
-    return seen;
+  public long appliedRevision() {
+    return appliedRevision;
   }
 
-  public void listen(String prefix, Listener listener) {
+  public void addListener(String prefix, Listener listener) {
     listeners.put(prefix, listener);
   }
 
   /** Reads all keys, runs {@code read} when that is complete, and follows all later changes. */
   public void start(Runnable read) {
-    whenRead = read;
+    initialReadListener = read;
     start();
   }
 
   private void start() {
     store.range(
         PREFIX,
-        Urgency.CORE,
+        RequestPriority.CORE,
         range -> {
-          if (range.outcome() != Store.Outcome.OK) {
+          if (range.outcome() != StateStore.Outcome.OK) {
             timers.after(0.3, this::start);
             return;
           }
           Set<String> present = new HashSet<>();
-          for (Store.Pair p : range.pairs()) {
+          for (StateStore.KeyValue p : range.pairs()) {
             present.add(p.key());
-            apply(p.key(), p.value(), p.stamp());
+            apply(p.key(), p.value(), p.revision());
           }
-          for (String key : Set.copyOf(stamps.keySet())) {
-            if (!present.contains(key) && stamps.get(key) <= range.revision()) {
+          for (String key : Set.copyOf(revisions.keySet())) {
+            if (!present.contains(key) && revisions.get(key) <= range.revision()) {
               apply(key, null, range.revision());
             }
           }
-          seen = Math.max(seen, range.revision());
+          appliedRevision = Math.max(appliedRevision, range.revision());
           if (!ready) {
             ready = true;
-            decisionLock.run(whenRead);
+            decisionLock.run(initialReadListener);
           }
-          follow(range.revision());
+          watchFrom(range.revision());
         });
   }
 
@@ -113,38 +113,38 @@
   void catchUp(Runnable then) {
     store.watch(
         PREFIX,
-        seen,
+        appliedRevision,
         0,
         watched -> {
-          took(watched);
+          applyWatchResult(watched);
           then.run();
         });
   }
 
-  private void took(Store.Watched watched) {
-    for (Store.Event e : watched.events()) {
-      apply(e.key(), e.value(), e.stamp());
+  private void applyWatchResult(StateStore.WatchResult watched) {
+    for (StateStore.WatchEvent e : watched.events()) {
+      apply(e.key(), e.value(), e.revision());
     }
-    if (watched.outcome() == Store.Outcome.OK) {
-      seen = Math.max(seen, watched.revision());
+    if (watched.outcome() == StateStore.Outcome.OK) {
+      appliedRevision = Math.max(appliedRevision, watched.revision());
     }
   }
 
-  private void follow(long from) {
-    loops.turned("state watch", timers.now(), STALLED_S);
+  private void watchFrom(long from) {
+    loopWatchdog.recordIteration("state watch", timers.now(), STALL_TIMEOUT_S);
     store.watch(
         PREFIX,
         from,
-        BLOCK_S,
+        WATCH_BLOCK_S,
         watched -> {
-          loops.turned("state watch", timers.now(), STALLED_S);
-          took(watched);
-          if (watched.tooOld()) {
+          loopWatchdog.recordIteration("state watch", timers.now(), STALL_TIMEOUT_S);
+          applyWatchResult(watched);
+          if (watched.compacted()) {
             start();
             return;
           }
-          boolean ok = watched.outcome() == Store.Outcome.OK;
-          timers.after(ok ? PAUSE_S : 0.3, () -> follow(watched.revision()));
+          boolean ok = watched.outcome() == StateStore.Outcome.OK;
+          timers.after(ok ? WATCH_PAUSE_S : 0.3, () -> watchFrom(watched.revision()));
         });
   }
 
@@ -152,17 +152,17 @@
    * Applies a change seen by a watch, a read or this controller's own write; older changes are
    * ignored.
    */
-  public void apply(String key, Doc value, long stamp) {
-    if (stamp <= stamps.getOrDefault(key, 0L) || stamp <= tombstones.getOrDefault(key, 0L)) {
+  public void apply(String key, Document value, long stamp) {
+    if (stamp <= revisions.getOrDefault(key, 0L) || stamp <= tombstones.getOrDefault(key, 0L)) {
       return;
     }
     if (value == null) {
       tombstones.put(key, stamp);
-      if (stamps.remove(key) == null) {
+      if (revisions.remove(key) == null) {
         return;
       }
     } else {
-      stamps.put(key, stamp);
+      revisions.put(key, stamp);
     }
     listeners.forEach(
         (prefix, listener) -> {
--- a/src/main/java/dev/dunefront/store/Store.java
+++ b/src/main/java/dev/dunefront/store/StateStore.java
@@ -1,6 +1,6 @@
 package dev.dunefront.store;
 
-import dev.dunefront.wire.Doc;
+import dev.dunefront.wire.Document;
 import java.util.Collection;
 import java.util.List;
 import java.util.function.Consumer;
@@ -11,27 +11,27 @@
  * The stamp of a key is the revision of its last change. Callbacks run asynchronously, after the
  * caller has released its lock.
  */
-public interface Store {
+public interface StateStore {
   /**
    * Field of every value that identifies the write, to resolve unknown outcomes by reading back.
    */
-  String MARK = "w";
+  String WRITE_ID_FIELD = "w";
 
   /** Outcome of a request. */
   enum Outcome {
     OK,
     /** The key does not exist, or the lease has expired. */
-    MISSING,
+    NOT_FOUND,
     /** A condition failed; nothing was changed. */
     CONFLICT,
     /** Not executed: rejected by the service, or expired while queued for the rate limit. */
     REFUSED,
     /** It is unknown whether the request was executed. */
-    UNCLEAR
+    UNKNOWN
   }
 
   /** Priority of a request, in the order in which queued requests are sent. */
-  enum Urgency {
+  enum RequestPriority {
     USER,
     /** Requests that keep a worker's lease alive. */
     LEASE,
@@ -40,58 +40,58 @@
   }
 
   /** Result of a read; the value is null unless the outcome is {@link Outcome#OK}. */
-  record Got(Outcome outcome, Doc value, long stamp) {}
+  record GetResult(Outcome outcome, Document value, long revision) {}
 
   /** A key with its value and stamp. */
-  record Pair(String key, Doc value, long stamp) {}
+  record KeyValue(String key, Document value, long revision) {}
 
   /** All keys with a prefix, as of {@code revision} or later. */
-  record Range(Outcome outcome, List<Pair> pairs, long revision) {}
+  record RangeResult(Outcome outcome, List<KeyValue> pairs, long revision) {}
 
   /**
    * Result of a transaction or lease request: its revision or lease ID; after a conflict, the keys
    * whose conditions failed.
    */
-  record Done(Outcome outcome, long revision, List<String> failed) {
+  record WriteResult(Outcome outcome, long revision, List<String> failed) {
     public boolean ok() {
       return outcome == Outcome.OK;
     }
   }
 
   /** A change reported by a watch; a null value means that the key was removed. */
-  record Event(String key, Doc value, long stamp) {}
+  record WatchEvent(String key, Document value, long revision) {}
 
   /**
    * Changes up to {@code revision}; {@code compacted} means that the service cannot return all
    * changes since the requested revision, and the keys must be read anew.
    */
-  record Watched(Outcome outcome, List<Event> events, long revision, boolean tooOld) {}
+  record WatchResult(Outcome outcome, List<WatchEvent> events, long revision, boolean compacted) {}
 
-  void get(String key, Urgency priority, Consumer<Got> callback);
+  void get(String key, RequestPriority priority, Consumer<GetResult> callback);
 
   /** Reads all keys with the prefix, page by page. */
-  void range(String prefix, Urgency priority, Consumer<Range> callback);
+  void range(String prefix, RequestPriority priority, Consumer<RangeResult> callback);
 
-  /** Sends the transaction once, for callers that prefer {@link Outcome#UNCLEAR} to waiting. */
-  void tryTxn(Txn txn, Urgency priority, Consumer<Done> callback);
+  /** Sends the transaction once, for callers that prefer {@link Outcome#UNKNOWN} to waiting. */
+  void tryTxn(Txn txn, RequestPriority priority, Consumer<WriteResult> callback);
 
   /**
    * Repeats the transaction until its outcome is certain, also through outages. The first value put
-   * must contain {@code writeId} in the field {@link #MARK}.
+   * must contain {@code writeId} in the field {@link #WRITE_ID_FIELD}.
    */
-  void commit(Txn txn, String writeId, Urgency priority, Consumer<Done> callback);
+  void commit(Txn txn, String writeId, RequestPriority priority, Consumer<WriteResult> callback);
 
-  /** Commits with {@link Urgency#CORE}. */
-  default void commit(Txn txn, String writeId, Consumer<Done> callback) {
-    commit(txn, writeId, Urgency.CORE, callback);
+  /** Commits with {@link RequestPriority#CORE}. */
+  default void commit(Txn txn, String writeId, Consumer<WriteResult> callback) {
+    commit(txn, writeId, RequestPriority.CORE, callback);
   }
 
-  void watch(String prefix, long from, double blockS, Consumer<Watched> callback);
+  void watch(String prefix, long from, double blockS, Consumer<WatchResult> callback);
 
   /** Requests a lease; the revision of the result is the lease ID. */
-  void grantLease(double ttlS, Consumer<Done> callback);
+  void grantLease(double ttlS, Consumer<WriteResult> callback);
 
-  void touchLease(long leaseId, Consumer<Done> callback);
+  void renewLease(long leaseId, Consumer<WriteResult> callback);
 
   /** Seconds that a write queued now would wait until it is sent. */
   double writeDelayS();
@@ -100,40 +100,40 @@
    * Announces writes that are about to be queued; missing write tokens are borrowed if other
    * controllers have some.
    */
-  void anticipate(int writes);
+  void anticipateWrites(int writes);
 
   /**
    * Sets the listener that receives the number of write tokens missing for queued or announced
    * writes.
    */
-  void onShort(IntConsumer listener);
+  void onWriteShortage(IntConsumer listener);
 
   /**
    * Gives up to {@code writes} write tokens to another controller if no write is queued here;
    * returns the number given.
    */
-  int lend(int writes);
+  int lendWrites(int writes);
 
   /** Adds write tokens lent by another controller. */
-  void borrow(int writes);
+  void addBorrowedWrites(int writes);
 
   /** Requests and writes per second that a controller sends to the service. */
-  record Use(double requests, double writes) {}
+  record Usage(double requestsPerS, double writesPerS) {}
 
   /** Usage since the last call, plus the requests and writes that are queued now. */
-  Use use();
+  Usage takeUsage();
 
   /**
    * Divides the rate limit of the service among this and the other live controllers by their usage.
    */
-  void share(Use own, Collection<Use> others);
+  void updateShares(Usage own, Collection<Usage> others);
 
   /**
    * Whether the service is unavailable: its last response was a refusal, or it does not respond.
    * Callers need not wait for it then.
    */
-  boolean down();
+  boolean unavailable();
 
   /** A write ID that has not been used before. */
-  String newMark();
+  String newWriteId();
 }
--- a/src/test/java/dev/dunefront/net/DecisionLockTest.java
+++ b/src/test/java/dev/dunefront/net/DecisionLockTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 class DecisionLockTest {
-  private final List<String> said = new ArrayList<>();
+  private final List<String> events = new ArrayList<>();
 
   private void fail(String message) {
     throw new IllegalStateException(message);
@@ -19,17 +19,17 @@
    * process keeps running and responding.
    */
   @Test
-  void whatFailsEndsItselfAndNothingElse() {
-    DecisionLock decisionLock = new DecisionLock(e -> said.add("failed: " + e.getMessage()));
+  void exceptionDoesNotStopOtherDecisionsOrActions() {
+    DecisionLock decisionLock = new DecisionLock(e -> events.add("failed: " + e.getMessage()));
     decisionLock.run(
         () -> {
-          decisionLock.then(() -> fail("an action"));
-          decisionLock.then(() -> said.add("the next action"));
+          decisionLock.defer(() -> fail("an action"));
+          decisionLock.defer(() -> events.add("the next action"));
           decisionLock.run(() -> fail("a part"));
-          decisionLock.run(() -> said.add("the next part"));
+          decisionLock.run(() -> events.add("the next part"));
           fail("the rest");
         });
-    decisionLock.run(() -> said.add("the next decision"));
+    decisionLock.run(() -> events.add("the next decision"));
     assertEquals(
         List.of(
             "failed: a part",
@@ -38,20 +38,20 @@
             "failed: an action",
             "the next action",
             "the next decision"),
-        said);
+        events);
   }
 
   @Test
-  void aLoopThatNoLongerTurnsIsNamed() {
-    Loops loops = new Loops();
-    loops.turned("tick", 100, 15);
-    loops.turned("watch", 100, 30);
-    assertNull(loops.stalled(115));
-    assertEquals("tick", loops.stalled(116));
-    loops.turned("tick", 116, 15);
-    assertNull(loops.stalled(130));
-    loops.stoodStill(160);
-    assertNull(loops.stalled(175), "a pause of the whole process is not a stalled loop");
-    assertEquals("tick", loops.stalled(176));
+  void stalledLoopIsReported() {
+    LoopWatchdog loops = new LoopWatchdog();
+    loops.recordIteration("tick", 100, 15);
+    loops.recordIteration("watch", 100, 30);
+    assertNull(loops.stalledLoop(115));
+    assertEquals("tick", loops.stalledLoop(116));
+    loops.recordIteration("tick", 116, 15);
+    assertNull(loops.stalledLoop(130));
+    loops.resetAfterPause(160);
+    assertNull(loops.stalledLoop(175), "a pause of the whole process is not a stalled loop");
+    assertEquals("tick", loops.stalledLoop(176));
   }
 }
--- a/src/test/java/dev/dunefront/store/HttpStoreTest.java
+++ b/src/test/java/dev/dunefront/store/HttpStateStoreTest.java
@@ -3,23 +3,23 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dev.dunefront.config.BadSetting;
+import dev.dunefront.config.InvalidSettingException;
 import dev.dunefront.config.Settings;
-import dev.dunefront.net.Caller;
 import dev.dunefront.net.DecisionLock;
 import dev.dunefront.net.FakeClock;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.net.HttpCaller;
+import dev.dunefront.wire.Document;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Order of requests to the state service under its rate limit. */
-class HttpStoreTest {
+class HttpStateStoreTest {
   private final FakeClock timers = new FakeClock();
-  private final List<String> sent = new ArrayList<>();
+  private final List<String> sentPaths = new ArrayList<>();
 
-  private HttpStore store() throws BadSetting {
+  private HttpStateStore newStore() throws InvalidSettingException {
     Settings settings =
         Settings.parse(
             """
@@ -49,13 +49,13 @@
             memory_mb = 256.0
             fd_limit = 500
             """);
-    Caller caller =
+    HttpCaller caller =
         (address, method, path, body, deadlineS, then) -> {
-          sent.add(path);
-          byte[] response = Doc.of().put("tenancy", 7).put("ledger_rev", 9).encode();
-          timers.after(0.01, () -> then.accept(new Caller.Reply(200, response, 0)));
+          sentPaths.add(path);
+          byte[] response = Document.create().put("tenancy", 7).put("ledger_rev", 9).encode();
+          timers.after(0.01, () -> then.accept(new HttpCaller.Response(200, response, 0)));
         };
-    return new HttpStore(
+    return new HttpStateStore(
         settings,
         caller,
         timers,
@@ -73,19 +73,21 @@
    * requires a lease.
    */
   @Test
-  void aLeaseWaitsBehindNothing() throws BadSetting {
-    HttpStore store = store();
-    store.share(new Store.Use(0, 0), Collections.nCopies(4, new Store.Use(1e6, 1e6)));
+  void leaseRequestsPassQueuedWrites() throws InvalidSettingException {
+    HttpStateStore store = newStore();
+    store.updateShares(
+        new StateStore.Usage(0, 0), Collections.nCopies(4, new StateStore.Usage(1e6, 1e6)));
     for (int i = 0; i < 60; i++) {
-      String writeId = store.newMark();
-      Doc value = Doc.of().put(Store.MARK, writeId);
-      store.commit(new Txn().when("w/x/" + i, 0).put("w/x/" + i, value), writeId, done -> {});
+      String writeId = store.newWriteId();
+      Document value = Document.create().put(StateStore.WRITE_ID_FIELD, writeId);
+      store.commit(
+          new Txn().requireRevision("w/x/" + i, 0).put("w/x/" + i, value), writeId, done -> {});
     }
-    timers.pass(10);
-    ask(store);
-    timers.pass(4);
-    assertEquals(1, granted, "a lease is granted at a rate of one request per second");
-    assertTrue(sent.contains("/leases"));
+    timers.advance(10);
+    grantLease(store);
+    timers.advance(4);
+    assertEquals(1, leasesGranted, "a lease is granted at a rate of one request per second");
+    assertTrue(sentPaths.contains("/leases"));
   }
 
   /**
@@ -94,40 +96,43 @@
    * must leave one for users; sent early it leaves a debt of five.
    */
   @Test
-  void aSubmissionWaitsBehindNoDebt() throws BadSetting {
-    HttpStore store = store();
-    store.share(new Store.Use(10, 100), List.of());
-    timers.pass(2);
+  void submissionsAreNotDelayedByLargeTransactions() throws InvalidSettingException {
+    HttpStateStore store = newStore();
+    store.updateShares(new StateStore.Usage(10, 100), List.of());
+    timers.advance(2);
     List<Double> delaysS = new ArrayList<>();
     for (int round = 0; round < 30; round++) {
       // More writes than the rate allows, so that tokens are always short.
       Txn largeTxn = new Txn();
       for (int i = 0; i < 6; i++) {
-        largeTxn.put("t/x/" + round + "/" + i, Doc.of().put(Store.MARK, "m"));
+        largeTxn.put(
+            "t/x/" + round + "/" + i, Document.create().put(StateStore.WRITE_ID_FIELD, "m"));
       }
-      store.tryTxn(largeTxn, Store.Urgency.CORE, d -> {});
-      timers.pass(0.23 + round % 4 * 0.08);
+      store.tryTxn(largeTxn, StateStore.RequestPriority.CORE, d -> {});
+      timers.advance(0.23 + round % 4 * 0.08);
       double sentAt = timers.now();
-      Txn submission = new Txn().put("w/j/x", Doc.of().put(Store.MARK, "u"));
-      store.tryTxn(submission, Store.Urgency.USER, d -> delaysS.add(timers.now() - sentAt));
-      timers.pass(0.2);
+      Txn submission =
+          new Txn().put("w/j/x", Document.create().put(StateStore.WRITE_ID_FIELD, "u"));
+      store.tryTxn(
+          submission, StateStore.RequestPriority.USER, d -> delaysS.add(timers.now() - sentAt));
+      timers.advance(0.2);
     }
-    timers.pass(3);
+    timers.advance(3);
     assertEquals(30, delaysS.size());
     double meanS = delaysS.stream().mapToDouble(d -> d).average().orElseThrow();
     assertTrue(meanS < 0.1, "mean delay of submissions: " + meanS + " s");
   }
 
-  private int granted;
+  private int leasesGranted;
 
-  private void ask(HttpStore store) {
+  private void grantLease(HttpStateStore store) {
     store.grantLease(
         4,
         done -> {
           if (done.ok()) {
-            granted++;
+            leasesGranted++;
           } else {
-            timers.after(0.3, () -> ask(store));
+            timers.after(0.3, () -> grantLease(store));
           }
         });
   }
--- a/src/test/java/dev/dunefront/store/BudgetTest.java
+++ b/src/test/java/dev/dunefront/store/RateLimiterTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dev.dunefront.config.BadSetting;
+import dev.dunefront.config.InvalidSettingException;
 import dev.dunefront.config.Settings;
-import dev.dunefront.store.Store.Urgency;
+import dev.dunefront.store.StateStore.RequestPriority;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Shares of the state service's rate limit, and loans between controllers. */
-class BudgetTest {
+class RateLimiterTest {
   private static final double RATE = 90;
   private static final int CONTROLLERS = 14;
 
@@ -54,34 +54,34 @@
     }
     try {
       return Settings.parse(text.toString());
-    } catch (BadSetting e) {
+    } catch (InvalidSettingException e) {
       throw new AssertionError(e);
     }
   }
 
   @Test
-  void whatIsLentIsTakenFirst() {
-    Budget lender = new Budget(settings(), 0);
-    Budget borrower = new Budget(settings(), 0);
-    borrower.spend(5);
-    int missing = borrower.missing(Urgency.CORE, 4);
+  void lendingTakesTokensFromTheLenderFirst() {
+    RateLimiter lender = new RateLimiter(settings(), 0);
+    RateLimiter borrower = new RateLimiter(settings(), 0);
+    borrower.consume(5);
+    int missing = borrower.missingWrites(RequestPriority.CORE, 4);
     assertEquals(5, missing);
     int lent = lender.lend(missing);
     assertEquals(4, lent, "one token is kept for users");
     assertEquals(0, lender.lend(1));
     borrower.borrow(lent, 0);
-    assertEquals(1, borrower.missing(Urgency.CORE, 4));
+    assertEquals(1, borrower.missingWrites(RequestPriority.CORE, 4));
   }
 
   @Test
-  void whatIsBorrowedAndNotUsedIsDropped() {
-    Budget borrower = new Budget(settings(), 0);
+  void unusedBorrowedTokensExpire() {
+    RateLimiter borrower = new RateLimiter(settings(), 0);
     borrower.borrow(20, 0);
-    assertEquals(0, borrower.missing(Urgency.CORE, 4));
-    borrower.refill(Budget.BORROWED_S / 2);
+    assertEquals(0, borrower.missingWrites(RequestPriority.CORE, 4));
+    borrower.refill(RateLimiter.BORROWED_TTL_S / 2);
     assertEquals(24, borrower.lend(100), "borrowed tokens are usable for a short time");
-    borrower.borrow(24, Budget.BORROWED_S / 2);
-    borrower.refill(2 * Budget.BORROWED_S);
+    borrower.borrow(24, RateLimiter.BORROWED_TTL_S / 2);
+    borrower.refill(2 * RateLimiter.BORROWED_TTL_S);
     assertEquals(4, borrower.lend(100), "only the own share is left after they expire");
   }
 
@@ -90,12 +90,12 @@
    * exceed the limit of the service: its rate, with a burst of one second's worth.
    */
   @Property(tries = 60, seed = "1100")
-  void togetherTheyNeverSendMoreThanTheServiceAllows(
+  void controllersTogetherStayWithinTheServiceRate(
       @ForAll long seed, @ForAll @IntRange(min = 1, max = 14) int busyControllers) {
     Random random = new Random(seed);
-    List<Budget> limiters = new ArrayList<>();
+    List<RateLimiter> limiters = new ArrayList<>();
     for (int i = 0; i < CONTROLLERS; i++) {
-      limiters.add(new Budget(settings(), 0));
+      limiters.add(new RateLimiter(settings(), 0));
     }
     double allowance = RATE;
     double stepS = 0.01;
@@ -111,13 +111,13 @@
       }
       for (int i = 0; i < busyControllers; i++) {
         int writes = 1 + random.nextInt(4);
-        if (random.nextInt(4) == 0 && limiters.get(i).allowsChanges(Urgency.CORE, writes)) {
-          limiters.get(i).spend(writes);
+        if (random.nextInt(4) == 0 && limiters.get(i).allowsWrites(RequestPriority.CORE, writes)) {
+          limiters.get(i).consume(writes);
           allowance -= writes;
           sent += writes;
         } else if (random.nextInt(10) == 0) {
           int lent = limiters.get(random.nextInt(CONTROLLERS)).lend(1 + random.nextInt(5));
-          loans.add(new double[] {now + random.nextDouble() * Lending.ANSWER_S, i, lent});
+          loans.add(new double[] {now + random.nextDouble() * WriteLoans.LOAN_TIMEOUT_S, i, lent});
         }
       }
       assertTrue(allowance >= 0, "429 at " + now);
