--- a/src/main/java/dev/dunefront/net/DecisionLock.java
+++ b/src/main/java/dev/dunefront/net/DecisionLock.java
@@ -20,9 +20,9 @@
   private Runnable beforeDecision = () -> {};
   private boolean runningDeferred;
 
-  /** {@code failed} receives each exception thrown by a decision or a deferred action. */
-  public DecisionLock(Consumer<RuntimeException> failed) {
-    this.failureListener = failed;
+  /** {@code failureListener} receives each exception thrown by a decision or a deferred action. */
+  public DecisionLock(Consumer<RuntimeException> failureListener) {
+    this.failureListener = failureListener;
   }
 
   /** Sets the action that runs inside the lock before each decision. */
--- a/src/main/java/dev/dunefront/net/LoopWatchdog.java
+++ b/src/main/java/dev/dunefront/net/LoopWatchdog.java
@@ -17,9 +17,9 @@
   private final Map<String, Iteration> lastIterations = new HashMap<>();
   private int failures;
 
-  /** Records an iteration of the loop; the next one is due within {@code withinS} seconds. */
-  public void recordIteration(String loop, double now, double withinS) {
-    lastIterations.put(loop, new Iteration(now, withinS));
+  /** Records an iteration of the loop; the next one is due within {@code timeoutS} seconds. */
+  public void recordIteration(String loop, double now, double timeoutS) {
+    lastIterations.put(loop, new Iteration(now, timeoutS));
   }
 
   /**
--- a/src/main/java/dev/dunefront/peer/Message.java
+++ b/src/main/java/dev/dunefront/peer/Message.java
@@ -71,7 +71,7 @@
       long token,
       long holdRevision,
       long session,
-      /** The worker has reported under this token, and no order has an unknown outcome. */
+      /** The worker has reported under this token, and no command to it has an unknown outcome. */
       boolean tokenAcknowledged,
       /** The lease of this session has certainly expired. */
       boolean leaseExpired,
@@ -81,7 +81,7 @@
       boolean quarantined,
       /** It is idle and makes no offers, because it is about to be returned. */
       boolean retiring,
-      /** Its reports arrive, but nothing that is sent to it does. */
+      /** Its reports arrive here, but messages to it are lost. */
       boolean unresponsive,
       /**
        * Wall-clock time in milliseconds since which it has been idle and schedulable; 0 if it is
@@ -288,8 +288,8 @@
   record Demand(List<PendingTasks> pending, List<String> unreportedHosts) implements Message {}
 
   /**
-   * Tasks of a job that wait for room. If they must run together or apart, {@code zones} contains
-   * the number of tasks that each zone may still take.
+   * Tasks of a job that wait for room. If they must run together or apart, {@code roomByZone}
+   * contains the number of tasks that each zone may still take.
    */
   record PendingTasks(String job, int count, Map<String, Integer> roomByZone) {}
 
--- a/src/main/java/dev/dunefront/peer/MessageCodec.java
+++ b/src/main/java/dev/dunefront/peer/MessageCodec.java
@@ -347,11 +347,11 @@
             for (int i = 0; i < n; i++) {
               all.add(new PendingTasks(in.readUTF(), in.readInt(), readRoomByZone(in)));
             }
-            List<String> unheard = new ArrayList<>();
+            List<String> unreportedHosts = new ArrayList<>();
             for (int i = in.readInt(); i > 0; i--) {
-              unheard.add(in.readUTF());
+              unreportedHosts.add(in.readUTF());
             }
-            yield new Demand(all, unheard);
+            yield new Demand(all, unreportedHosts);
           }
           case 19 -> new Preempt(in.readUTF(), in.readByte(), readSize(in), in.readInt());
           case 18 ->
@@ -383,22 +383,22 @@
     String zone = in.readUTF();
     boolean spot = in.readBoolean();
     long token = in.readLong();
-    long stamp = in.readLong();
+    long holdRevision = in.readLong();
     long session = in.readLong();
-    boolean settled = in.readBoolean();
-    boolean lost = in.readBoolean();
-    boolean open = in.readBoolean();
+    boolean tokenAcknowledged = in.readBoolean();
+    boolean leaseExpired = in.readBoolean();
+    boolean schedulable = in.readBoolean();
     boolean quarantined = in.readBoolean();
     boolean retiring = in.readBoolean();
-    boolean deaf = in.readBoolean();
+    boolean unresponsive = in.readBoolean();
     long idleSinceMs = in.readLong();
     Resources free = readSize(in);
     List<String> images = new ArrayList<>();
     for (int n = in.readShort(); n > 0; n--) {
       images.add(in.readUTF());
     }
-    List<Integer> unfinished = readCounts(in);
-    List<Integer> young = readCounts(in);
+    List<Integer> unfinishedByPriority = readCounts(in);
+    List<Integer> preemptibleByPriority = readCounts(in);
     List<TaskStatus> tasks = new ArrayList<>();
     for (int n = in.readInt(); n > 0; n--) {
       tasks.add(
@@ -415,19 +415,19 @@
         zone,
         spot,
         token,
-        stamp,
+        holdRevision,
         session,
-        settled,
-        lost,
-        open,
+        tokenAcknowledged,
+        leaseExpired,
+        schedulable,
         quarantined,
         retiring,
-        deaf,
+        unresponsive,
         idleSinceMs,
         free,
         images,
-        unfinished,
-        young,
+        unfinishedByPriority,
+        preemptibleByPriority,
         tasks);
   }
 
--- a/src/main/java/dev/dunefront/peer/XnioPeers.java
+++ b/src/main/java/dev/dunefront/peer/XnioPeers.java
@@ -178,7 +178,7 @@
     }
 
     /** Reads the available bytes; returns false at the end of the stream. */
-    boolean read(StreamConnection c, RecordConsumer sink) throws IOException {
+    boolean read(StreamConnection c, RecordConsumer consumer) throws IOException {
       while (true) {
         int n = c.getSourceChannel().read(buffer);
         if (n < 0) {
@@ -199,7 +199,7 @@
           buffer.getInt();
           byte[] record = new byte[length];
           buffer.get(record);
-          sink.accept(record);
+          consumer.accept(record);
         }
         int required =
             buffer.remaining() >= 4 ? 4 + buffer.getInt(buffer.position()) : buffer.capacity();
--- a/src/main/java/dev/dunefront/store/FairShare.java
+++ b/src/main/java/dev/dunefront/store/FairShare.java
@@ -17,8 +17,8 @@
   private final double totalPerS;
   private final int controllers;
 
-  FairShare(double total, int controllers) {
-    this.totalPerS = total;
+  FairShare(double totalPerS, int controllers) {
+    this.totalPerS = totalPerS;
     this.controllers = controllers;
   }
 
@@ -40,10 +40,10 @@
     double remaining = totalPerS;
     int remainingDemands = demands.size();
     for (double d : demands) {
-      double equal = remaining / remainingDemands;
-      if (equal <= d) {
+      double evenShare = remaining / remainingDemands;
+      if (evenShare <= d) {
         // This and all larger demands exceed the remaining capacity: they get equal shares of it.
-        return Math.min(ownDemand, equal);
+        return Math.min(ownDemand, evenShare);
       }
       remaining -= d;
       remainingDemands--;
--- a/src/main/java/dev/dunefront/store/HttpStateStore.java
+++ b/src/main/java/dev/dunefront/store/HttpStateStore.java
@@ -57,8 +57,8 @@
   private double usageSince;
   private boolean dispatchScheduled;
 
-  /** Whether the last response other than 429 was a 503. */
-  private boolean down;
+  /** Whether the last response other than 429 was 503 (Service Unavailable). */
+  private boolean refusing;
 
   /** When the last response arrived. */
   private double lastResponseAt = Double.NEGATIVE_INFINITY;
@@ -74,22 +74,22 @@
       HttpCaller caller,
       Timers timers,
       DecisionLock decisionLock,
-      String markPrefix) {
+      String writeIdPrefix) {
     this.address = settings.state();
     this.caller = caller;
     this.timers = timers;
     this.decisionLock = decisionLock;
     this.rateLimiter = new RateLimiter(settings, timers.now());
-    this.writeIdPrefix = markPrefix;
+    this.writeIdPrefix = writeIdPrefix;
     this.usageSince = timers.now();
-    for (RequestPriority u : RequestPriority.values()) {
-      queues.put(u, new ArrayDeque<>());
+    for (RequestPriority priority : RequestPriority.values()) {
+      queues.put(priority, new ArrayDeque<>());
     }
   }
 
   @Override
   public boolean unavailable() {
-    return down || unresponsive;
+    return refusing || unresponsive;
   }
 
   @Override
@@ -103,8 +103,8 @@
     int queued = 0;
     for (var e : queues.entrySet()) {
       if (e.getKey().compareTo(lowest) <= 0) {
-        for (QueuedRequest w : e.getValue()) {
-          queued += w.writes;
+        for (QueuedRequest request : e.getValue()) {
+          queued += request.writes;
         }
       }
     }
@@ -118,14 +118,14 @@
       queued += queue.size();
     }
     double spanS = Math.max(0.1, timers.now() - usageSince);
-    Usage use =
+    Usage usage =
         new Usage(
             requestsSent / spanS + queued,
             writesSent / spanS + queuedWrites(RequestPriority.BACKGROUND));
     requestsSent = 0;
     writesSent = 0;
     usageSince = timers.now();
-    return use;
+    return usage;
   }
 
   @Override
@@ -260,39 +260,39 @@
       String writeId,
       RequestPriority priority,
       boolean outcomeUnknown,
-      double pauseS,
+      double retryDelayS,
       Consumer<WriteResult> callback) {
     tryTxn(
         txn,
         priority,
-        done -> {
-          switch (done.outcome()) {
-            case OK -> callback.accept(done);
+        result -> {
+          switch (result.outcome()) {
+            case OK -> callback.accept(result);
             case REFUSED, UNKNOWN, NOT_FOUND -> {
-              if (done.outcome() == Outcome.NOT_FOUND) {
+              if (result.outcome() == Outcome.NOT_FOUND) {
                 LOG.log(
                     Level.ERROR,
                     "state service rejected transaction {0} as malformed; retrying",
                     writeId);
               }
-              boolean unknownSoFar = outcomeUnknown || done.outcome() == Outcome.UNKNOWN;
+              boolean unknownSoFar = outcomeUnknown || result.outcome() == Outcome.UNKNOWN;
               timers.after(
-                  pauseS,
+                  retryDelayS,
                   () ->
                       tryCommit(
                           txn,
                           writeId,
                           priority,
                           unknownSoFar,
-                          Math.min(1.0, pauseS * 2),
+                          Math.min(1.0, retryDelayS * 2),
                           callback));
             }
             case CONFLICT -> {
               if (outcomeUnknown) {
                 // An earlier attempt may have been applied and have caused the conflict.
-                readBack(txn, writeId, done, callback);
+                readBack(txn, writeId, result, callback);
               } else {
-                callback.accept(done);
+                callback.accept(result);
               }
             }
           }
@@ -304,17 +304,17 @@
     get(
         txn.readBackKey(),
         RequestPriority.CORE,
-        got -> {
-          switch (got.outcome()) {
+        current -> {
+          switch (current.outcome()) {
             case OK -> {
               boolean ownWrite;
               try {
-                ownWrite = writeId.equals(got.value().textOr(WRITE_ID_FIELD, ""));
+                ownWrite = writeId.equals(current.value().textOr(WRITE_ID_FIELD, ""));
               } catch (MalformedMessageException e) {
                 ownWrite = false;
               }
               callback.accept(
-                  ownWrite ? new WriteResult(Outcome.OK, got.revision(), List.of()) : conflict);
+                  ownWrite ? new WriteResult(Outcome.OK, current.revision(), List.of()) : conflict);
             }
             case NOT_FOUND -> callback.accept(conflict);
             default -> timers.after(0.3, () -> readBack(txn, writeId, conflict, callback));
@@ -460,10 +460,10 @@
       lastResponseAt = timers.now();
       unresponsive = false;
       if (response.status() == 503) {
-        down = true;
+        refusing = true;
         probe(PROBE_INTERVAL_S);
       } else if (response.status() != 429) {
-        down = false;
+        refusing = false;
       }
     } else if (!blocking && lastResponseAt < sentAt) {
       probe(0);
@@ -471,19 +471,19 @@
   }
 
   /**
-   * Sends one small read after {@code pauseS} seconds. In an outage it is repeated, so that
+   * Sends one small read after {@code delayS} seconds. In an outage it is repeated, so that
    * recovery is noticed at once. It also follows a request without a response: a controller that
    * alone has lost the connection to the state service receives no error, and each user request
    * would wait in vain if that were not detected. One missing response may only mean that this
    * controller is slow; the service counts as unresponsive after two in a row.
    */
-  private void probe(double pauseS) {
+  private void probe(double delayS) {
     if (probePending) {
       return;
     }
     probePending = true;
     timers.after(
-        pauseS,
+        delayS,
         () -> {
           double sentAt = timers.now();
           caller.call(
@@ -501,7 +501,7 @@
                         } else if (lastResponseAt < sentAt) {
                           unresponsive = true;
                           probe(PROBE_INTERVAL_S);
-                        } else if (down) {
+                        } else if (refusing) {
                           probe(PROBE_INTERVAL_S);
                         }
                       }));
@@ -517,18 +517,19 @@
     for (var e : queues.entrySet()) {
       ArrayDeque<QueuedRequest> queue = e.getValue();
       while (!queue.isEmpty()) {
-        QueuedRequest w = queue.peek();
+        QueuedRequest request = queue.peek();
         boolean writable =
-            w.writes == 0 || !writesBlocked && rateLimiter.allowsWrites(e.getKey(), w.writes);
-        if (w.expiresAt < now) {
+            request.writes == 0
+                || !writesBlocked && rateLimiter.allowsWrites(e.getKey(), request.writes);
+        if (request.expiresAt < now) {
           queue.poll();
-          decisionLock.defer(w.reject);
+          decisionLock.defer(request.reject);
         } else if (rateLimiter.allowsRequest() && writable) {
           queue.poll();
-          rateLimiter.consume(w.writes);
+          rateLimiter.consume(request.writes);
           requestsSent++;
-          writesSent += w.writes;
-          decisionLock.defer(w.send);
+          writesSent += request.writes;
+          decisionLock.defer(request.send);
         } else {
           // Lower priorities must not take the tokens for which this request waits.
           if (!writable && !writesBlocked) {
@@ -536,7 +537,7 @@
             missing =
                 e.getKey() == RequestPriority.BACKGROUND
                     ? 0
-                    : rateLimiter.missingWrites(e.getKey(), w.writes);
+                    : rateLimiter.missingWrites(e.getKey(), request.writes);
           }
           requestsRemain = true;
           break;
--- a/src/main/java/dev/dunefront/store/Membership.java
+++ b/src/main/java/dev/dunefront/store/Membership.java
@@ -37,7 +37,7 @@
 
   private Runnable newIncarnationListener = () -> {};
 
-  /** Stamp of this controller's key as last seen; 0 if the key does not exist. */
+  /** Revision of this controller's key as last seen; 0 if the key does not exist. */
   private long ownKeyRevision;
 
   private long leaseId;
@@ -49,18 +49,18 @@
       StateStore store,
       Replica replica,
       Timers timers,
-      double lifeS,
-      LoopWatchdog loops) {
+      double leaseTtlS,
+      LoopWatchdog loopWatchdog) {
     this.node = node;
     this.zone = zone;
     this.store = store;
     this.replica = replica;
     this.timers = timers;
-    this.leaseTtlS = lifeS;
-    this.loopWatchdog = loops;
+    this.leaseTtlS = leaseTtlS;
+    this.loopWatchdog = loopWatchdog;
     replica.addListener(
         PREFIX,
-        (name, value, stamp) -> {
+        (name, value, revision) -> {
           String incarnation = null;
           try {
             incarnation = value == null ? null : value.text("inc");
@@ -79,7 +79,7 @@
             liveIncarnations.put(name, incarnation);
           }
           if (name.equals(node)) {
-            ownKeyRevision = value == null ? 0 : stamp;
+            ownKeyRevision = value == null ? 0 : revision;
             if (ownIncarnation != null && !ownIncarnation.equals(incarnation)) {
               rewriteOwnKey(ownIncarnation);
             }
@@ -196,8 +196,8 @@
    * Without it, a delayed write of an earlier attempt or incarnation could replace the key by one
    * that names a dead incarnation and is removed when that one's lease ends.
    */
-  private void register(long id) {
-    String name = node + "#" + id;
+  private void register(long newLeaseId) {
+    String name = node + "#" + newLeaseId;
     store.get(
         PREFIX + node,
         // Highest priority: without a lease this controller cannot do anything else.
@@ -212,16 +212,16 @@
           store.tryTxn(
               new Txn()
                   .requireRevision(PREFIX + node, current.revision())
-                  .put(PREFIX + node, value, id),
+                  .put(PREFIX + node, value, newLeaseId),
               StateStore.RequestPriority.USER,
               result -> {
                 if (!result.ok()) {
                   retryRegistration(name, result.outcome());
                   return;
                 }
-                leaseId = id;
+                leaseId = newLeaseId;
                 ownIncarnation = name;
-                timers.after(leaseTtlS / 4, () -> renewPeriodically(id));
+                timers.after(leaseTtlS / 4, () -> renewPeriodically(newLeaseId));
                 replica.apply(PREFIX + node, value, result.revision());
                 LOG.log(Level.INFO, "serving as {0}", name);
                 newIncarnationListener.run();
--- a/src/main/java/dev/dunefront/store/PauseDetector.java
+++ b/src/main/java/dev/dunefront/store/PauseDetector.java
@@ -12,7 +12,7 @@
  * two decisions: its timers fire several times a second. During a pause other controllers may have
  * taken over its claims and machines, and afterwards overdue timers and messages arrive all at
  * once. The controller therefore first checks whether its lease is still valid and which changes it
- * has missed. Until this is known it makes no offers, sends no orders, declares nothing as lost,
+ * has missed. Until this is known it makes no offers, sends no commands, declares nothing as lost,
  * rents and returns no machines, and briefly delays its responses to workers.
  *
  * <p>If the state service does not respond, the controller resumes after a timeout. Every placement
@@ -39,21 +39,22 @@
   private boolean current = true;
 
   /**
-   * {@code gapS} is the length of a pause during which this controller's lease may have expired.
+   * {@code pauseThresholdS} is the length of a pause during which this controller's lease may have
+   * expired.
    */
   public PauseDetector(
       Replica replica,
       Membership membership,
       Timers timers,
       DecisionLock decisionLock,
-      LoopWatchdog loops,
-      double gapS) {
+      LoopWatchdog loopWatchdog,
+      double pauseThresholdS) {
     this.replica = replica;
     this.membership = membership;
     this.timers = timers;
     this.decisionLock = decisionLock;
-    this.loopWatchdog = loops;
-    this.pauseThresholdS = gapS;
+    this.loopWatchdog = loopWatchdog;
+    this.pauseThresholdS = pauseThresholdS;
     this.lastDecisionAt = timers.now();
     decisionLock.beforeEachDecision(this::detectPause);
   }
@@ -83,16 +84,16 @@
   /** Runs before each decision. */
   private void detectPause() {
     double now = timers.now();
-    double gap = now - lastDecisionAt;
+    double gapS = now - lastDecisionAt;
     lastDecisionAt = now;
-    if (gap < pauseThresholdS) {
+    if (gapS < pauseThresholdS) {
       return;
     }
     loopWatchdog.resetAfterPause(now);
     if (!replica.ready()) {
       return;
     }
-    LOG.log(Level.INFO, "process was paused for {0} s; refreshing the lease and the state", gap);
+    LOG.log(Level.INFO, "process was paused for {0} s; refreshing the lease and the state", gapS);
     long pause = ++pauseCount;
     current = false;
     pendingRefreshes = 2;
--- a/src/main/java/dev/dunefront/store/ReadBarrier.java
+++ b/src/main/java/dev/dunefront/store/ReadBarrier.java
@@ -111,12 +111,12 @@
         prefix,
         verifiedRevision,
         0,
-        watched -> {
+        result -> {
           readInFlight = false;
-          boolean ok = watched.outcome() == StateStore.Outcome.OK;
+          boolean ok = result.outcome() == StateStore.Outcome.OK;
           if (ok) {
-            watched.events().forEach(e -> replica.apply(e.key(), e.value(), e.revision()));
-            verifiedRevision = Math.max(verifiedRevision, watched.revision());
+            result.events().forEach(e -> replica.apply(e.key(), e.value(), e.revision()));
+            verifiedRevision = Math.max(verifiedRevision, result.revision());
           }
           // A callback that throws must not prevent the others from running.
           served.forEach(callback -> decisionLock.run(() -> callback.accept(ok)));
--- a/src/main/java/dev/dunefront/store/Replica.java
+++ b/src/main/java/dev/dunefront/store/Replica.java
@@ -29,7 +29,7 @@
 
   /** Receives each change; a null value means that the key was removed. */
   public interface Listener {
-    void changed(String key, Document value, long stamp);
+    void changed(String key, Document value, long revision);
   }
 
   private final StateStore store;
@@ -51,11 +51,12 @@
   /** The revision up to which all changes have been applied. */
   private long appliedRevision;
 
-  public Replica(StateStore store, Timers timers, DecisionLock decisionLock, LoopWatchdog loops) {
+  public Replica(
+      StateStore store, Timers timers, DecisionLock decisionLock, LoopWatchdog loopWatchdog) {
     this.store = store;
     this.timers = timers;
     this.decisionLock = decisionLock;
-    this.loopWatchdog = loops;
+    this.loopWatchdog = loopWatchdog;
   }
 
   /** Whether the initial read is complete. */
@@ -72,9 +73,9 @@
     listeners.put(prefix, listener);
   }
 
-  /** Reads all keys, runs {@code read} when that is complete, and follows all later changes. */
-  public void start(Runnable read) {
-    initialReadListener = read;
+  /** Reads all keys, runs the listener when that is complete, and follows all later changes. */
+  public void start(Runnable listener) {
+    initialReadListener = listener;
     start();
   }
 
@@ -110,14 +111,14 @@
    * Fetches the latest changes at once, in addition to the running watch. The action runs after the
    * response, even if the request failed.
    */
-  void catchUp(Runnable then) {
+  void catchUp(Runnable callback) {
     store.watch(
         PREFIX,
         appliedRevision,
         0,
         watched -> {
           applyWatchResult(watched);
-          then.run();
+          callback.run();
         });
   }
 
@@ -152,23 +153,25 @@
    * Applies a change seen by a watch, a read or this controller's own write; older changes are
    * ignored.
    */
-  public void apply(String key, Document value, long stamp) {
-    if (stamp <= revisions.getOrDefault(key, 0L) || stamp <= tombstones.getOrDefault(key, 0L)) {
+  public void apply(String key, Document value, long revision) {
+    if (revision <= revisions.getOrDefault(key, 0L)
+        || revision <= tombstones.getOrDefault(key, 0L)) {
       return;
     }
     if (value == null) {
-      tombstones.put(key, stamp);
+      tombstones.put(key, revision);
       if (revisions.remove(key) == null) {
         return;
       }
     } else {
-      revisions.put(key, stamp);
+      revisions.put(key, revision);
     }
     listeners.forEach(
         (prefix, listener) -> {
           if (key.startsWith(prefix)) {
             // A malformed record must affect only the listener that reads it, not the watch.
-            decisionLock.run(() -> listener.changed(key.substring(prefix.length()), value, stamp));
+            decisionLock.run(
+                () -> listener.changed(key.substring(prefix.length()), value, revision));
           }
         });
   }
--- a/src/main/java/dev/dunefront/store/StateStore.java
+++ b/src/main/java/dev/dunefront/store/StateStore.java
@@ -8,8 +8,8 @@
 
 /**
  * Client interface of the state service, a key-value store with transactions, watches and leases.
- * The stamp of a key is the revision of its last change. Callbacks run asynchronously, after the
- * caller has released its lock.
+ * The revision of a key, called its stamp on the wire, is that of its last change. Callbacks run
+ * asynchronously, after the caller has released its lock.
  */
 public interface StateStore {
   /**
@@ -32,9 +32,11 @@
 
   /** Priority of a request, in the order in which queued requests are sent. */
   enum RequestPriority {
+    /** Requests for which a user waits, and those for the controller's own lease. */
     USER,
     /** Requests that keep a worker's lease alive. */
     LEASE,
+    /** The controller's ordinary work. */
     CORE,
     BACKGROUND
   }
@@ -42,7 +44,7 @@
   /** Result of a read; the value is null unless the outcome is {@link Outcome#OK}. */
   record GetResult(Outcome outcome, Document value, long revision) {}
 
-  /** A key with its value and stamp. */
+  /** A key with its value and revision. */
   record KeyValue(String key, Document value, long revision) {}
 
   /** All keys with a prefix, as of {@code revision} or later. */
--- a/src/main/java/dev/dunefront/store/Txn.java
+++ b/src/main/java/dev/dunefront/store/Txn.java
@@ -6,18 +6,18 @@
 import java.util.List;
 import java.util.Map;
 
-/** An atomic transaction: conditions on the stamps of keys, then puts and removals. */
+/** An atomic transaction: conditions on the revisions of keys, then puts and removals. */
 public final class Txn {
-  private final List<Document> requireRevision = new ArrayList<>();
+  private final List<Document> conditions = new ArrayList<>();
   private final List<Document> operations = new ArrayList<>();
   private final Map<String, Long> requiredRevisions = new HashMap<>();
   private String firstPutKey;
 
-  /** Requires the key to have this stamp; 0 requires that the key does not exist. */
-  public Txn requireRevision(String key, long stamp) {
-    Long previous = requiredRevisions.putIfAbsent(key, stamp);
-    if (previous == null || previous != stamp) {
-      requireRevision.add(Document.create().put("k", key).put("stamp", stamp));
+  /** Requires the key to have this revision; 0 requires that the key does not exist. */
+  public Txn requireRevision(String key, long revision) {
+    Long previous = requiredRevisions.putIfAbsent(key, revision);
+    if (previous == null || previous != revision) {
+      conditions.add(Document.create().put("k", key).put("stamp", revision));
     }
     return this;
   }
@@ -54,6 +54,6 @@
   }
 
   byte[] encode() {
-    return Document.create().put("when", requireRevision).put("then", operations).encode();
+    return Document.create().put("when", conditions).put("then", operations).encode();
   }
 }
--- a/src/main/java/dev/dunefront/store/WriteLoans.java
+++ b/src/main/java/dev/dunefront/store/WriteLoans.java
@@ -35,8 +35,8 @@
   private int nextLender;
 
   public WriteLoans(
-      String self, StateStore store, Membership membership, Peers peers, Timers timers) {
-    this.ownNode = self;
+      String ownNode, StateStore store, Membership membership, Peers peers, Timers timers) {
+    this.ownNode = ownNode;
     this.store = store;
     this.membership = membership;
     this.peers = peers;
--- a/src/test/java/dev/dunefront/net/FakeClock.java
+++ b/src/test/java/dev/dunefront/net/FakeClock.java
@@ -31,9 +31,9 @@
   public void advance(double seconds) {
     double until = now + seconds;
     while (!scheduledActions.isEmpty() && scheduledActions.peek().at <= until) {
-      ScheduledAction d = scheduledActions.poll();
-      now = d.at;
-      d.action.run();
+      ScheduledAction next = scheduledActions.poll();
+      now = next.at;
+      next.action.run();
     }
     now = until;
   }
--- a/src/test/java/dev/dunefront/peer/ViewDetailTest.java
+++ b/src/test/java/dev/dunefront/peer/ViewDetailTest.java
@@ -13,13 +13,13 @@
   private static final Resources FREE = new Resources(4, 0, 4);
 
   private static MachineView view(
-      boolean open,
+      boolean schedulable,
       long idleSinceMs,
       Resources free,
       String image,
       int urgent,
-      int young,
-      int yielding) {
+      int preemptibleNormal,
+      int preemptibleBestEffort) {
     return new MachineView(
         "h",
         "t",
@@ -30,15 +30,15 @@
         1,
         true,
         false,
-        open,
+        schedulable,
         false,
         false,
         false,
         idleSinceMs,
         free,
         List.of(image),
-        List.of(0, urgent, 0, yielding),
-        List.of(0, 0, young, yielding),
+        List.of(0, urgent, 0, preemptibleBestEffort),
+        List.of(0, 0, preemptibleNormal, preemptibleBestEffort),
         List.of());
   }
 
@@ -55,10 +55,10 @@
 
   @Test
   void statusChangesAreSentAtEveryLevel() {
-    MachineView open = view(true, 0, FREE, "i", 0, 0, 0);
-    MachineView closed = view(false, 0, FREE, "i", 0, 0, 0);
-    assertEquals(List.of(ViewDetail.values()), levelsNotified(open, closed));
-    assertEquals(List.of(), levelsNotified(open, view(true, 0, FREE, "i", 0, 0, 0)));
+    MachineView schedulable = view(true, 0, FREE, "i", 0, 0, 0);
+    MachineView unschedulable = view(false, 0, FREE, "i", 0, 0, 0);
+    assertEquals(List.of(ViewDetail.values()), levelsNotified(schedulable, unschedulable));
+    assertEquals(List.of(), levelsNotified(schedulable, view(true, 0, FREE, "i", 0, 0, 0)));
   }
 
   @Test
--- a/src/test/java/dev/dunefront/store/HttpStateStoreTest.java
+++ b/src/test/java/dev/dunefront/store/HttpStateStoreTest.java
@@ -50,10 +50,10 @@
             fd_limit = 500
             """);
     HttpCaller caller =
-        (address, method, path, body, deadlineS, then) -> {
+        (address, method, path, body, deadlineS, callback) -> {
           sentPaths.add(path);
           byte[] response = Document.create().put("tenancy", 7).put("ledger_rev", 9).encode();
-          timers.after(0.01, () -> then.accept(new HttpCaller.Response(200, response, 0)));
+          timers.after(0.01, () -> callback.accept(new HttpCaller.Response(200, response, 0)));
         };
     return new HttpStateStore(
         settings,
@@ -81,7 +81,7 @@
       String writeId = store.newWriteId();
       Document value = Document.create().put(StateStore.WRITE_ID_FIELD, writeId);
       store.commit(
-          new Txn().requireRevision("w/x/" + i, 0).put("w/x/" + i, value), writeId, done -> {});
+          new Txn().requireRevision("w/x/" + i, 0).put("w/x/" + i, value), writeId, result -> {});
     }
     timers.advance(10);
     grantLease(store);
@@ -128,8 +128,8 @@
   private void grantLease(HttpStateStore store) {
     store.grantLease(
         4,
-        done -> {
-          if (done.ok()) {
+        result -> {
+          if (result.ok()) {
             leasesGranted++;
           } else {
             timers.after(0.3, () -> grantLease(store));
--- a/src/test/java/dev/dunefront/store/RateLimiterTest.java
+++ b/src/test/java/dev/dunefront/store/RateLimiterTest.java
@@ -17,7 +17,7 @@
 
 /** Shares of the state service's rate limit, and loans between controllers. */
 class RateLimiterTest {
-  private static final double RATE = 90;
+  private static final double WRITES_PER_S = 90;
   private static final int CONTROLLERS = 14;
 
   private static Settings settings() {
@@ -97,14 +97,14 @@
     for (int i = 0; i < CONTROLLERS; i++) {
       limiters.add(new RateLimiter(settings(), 0));
     }
-    double allowance = RATE;
+    double allowance = WRITES_PER_S;
     double stepS = 0.01;
     ArrayDeque<double[]> loans = new ArrayDeque<>();
     int sent = 0;
     for (double now = 0; now < 8; now += stepS) {
-      allowance = Math.min(RATE, allowance + stepS * RATE);
+      allowance = Math.min(WRITES_PER_S, allowance + stepS * WRITES_PER_S);
       double time = now;
-      limiters.forEach(b -> b.refill(time));
+      limiters.forEach(limiter -> limiter.refill(time));
       while (!loans.isEmpty() && loans.peek()[0] <= now) {
         double[] loan = loans.poll();
         limiters.get((int) loan[1]).borrow((int) loan[2], now);
@@ -120,7 +120,7 @@
           loans.add(new double[] {now + random.nextDouble() * WriteLoans.LOAN_TIMEOUT_S, i, lent});
         }
       }
-      assertTrue(allowance >= 0, "429 at " + now);
+      assertTrue(allowance >= 0, "the service would answer 429 at " + now);
     }
     assertTrue(sent > 0);
   }
