--- a/src/main/java/dev/dunefront/store/PauseDetector.java
+++ b/src/main/java/dev/dunefront/store/PauseDetector.java
@@ -31,7 +31,7 @@
   private final DecisionLock decisionLock;
   private final LoopWatchdog loopWatchdog;
   private final double pauseThresholdS;
-  private final List<Runnable> waiting = new ArrayList<>();
+  private final List<Runnable> pendingActions = new ArrayList<>();
   private final List<Runnable> listeners = new ArrayList<>();
   private double lastDecisionAt;
   private long pauseCount;
@@ -77,7 +77,7 @@
     if (current) {
       action.run();
     } else {
-      waiting.add(action);
+      pendingActions.add(action);
     }
   }
 
@@ -114,8 +114,8 @@
     }
     current = true;
     listeners.forEach(Runnable::run);
-    List<Runnable> actions = List.copyOf(waiting);
-    waiting.clear();
+    List<Runnable> actions = List.copyOf(pendingActions);
+    pendingActions.clear();
     actions.forEach(Runnable::run);
   }
 }
--- a/src/main/java/dev/dunefront/store/StateStore.java
+++ b/src/main/java/dev/dunefront/store/StateStore.java
@@ -32,7 +32,7 @@
 
   /** Priority of a request, in the order in which queued requests are sent. */
   enum RequestPriority {
-    /** Requests for which a user waits, and those for the controller's own lease. */
+    /** Requests for which a user waits, and those for this controller's lease and duties. */
     USER,
     /** Requests that keep a worker's lease alive. */
     LEASE,
