--- a/src/main/java/dev/dunefront/net/HttpCaller.java
+++ b/src/main/java/dev/dunefront/net/HttpCaller.java
@@ -2,9 +2,15 @@
 
 import java.util.function.Consumer;
 
-/** Makes HTTP calls. The answer always comes, within the deadline: a hung call yields UNCLEAR. */
+/**
+ * Sends HTTP requests. The callback always runs within the deadline: a request without a response
+ * yields {@link Response#NO_RESPONSE}.
+ */
 public interface HttpCaller {
-  /** An answer; status 0 means that none came and the request may or may not be carried out. */
+  /**
+   * A response; status 0 means that none arrived, and that the request may or may not have been
+   * executed.
+   */
   record Response(int status, byte[] body, double retryAfterS) {
     public static final Response NO_RESPONSE = new Response(0, new byte[0], 0);
 
@@ -19,5 +25,5 @@
       String path,
       byte[] body,
       double deadlineS,
-      Consumer<Response> then);
+      Consumer<Response> callback);
 }
--- a/src/main/java/dev/dunefront/net/LoopWatchdog.java
+++ b/src/main/java/dev/dunefront/net/LoopWatchdog.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 
 /**
- * Whether what has to go on for ever does: every loop tells of its turns, and of one that has not
- * turned for as long as it may take its process is not to be trusted with users' requests. Counts
- * what has failed as well. Guarded by the controller's lock.
+ * Monitors the loops that must run for as long as the process. Each loop records its iterations;
+ * while one is overdue, the process must not be given user requests. Also counts failed decisions
+ * and deferred actions. Guarded by the controller's decision lock.
  */
 public final class LoopWatchdog {
   private static final System.Logger LOG = System.getLogger(LoopWatchdog.class.getName());
@@ -17,17 +17,20 @@
   private final Map<String, Iteration> lastIterations = new HashMap<>();
   private int failures;
 
-  /** The loop has turned, and will within so many seconds again. */
-  public void recordIteration(String loop, double now, double withinS) {
-    lastIterations.put(loop, new Iteration(now, withinS));
+  /** Records an iteration of the loop; the next one is due within {@code timeoutS} seconds. */
+  public void recordIteration(String loop, double now, double timeoutS) {
+    lastIterations.put(loop, new Iteration(now, timeoutS));
   }
 
-  /** The whole process has stood still until now, which is no loop's fault. */
+  /**
+   * Restarts the time limits of all loops after a pause of the whole process, which is no failure
+   * of a loop.
+   */
   public void resetAfterPause(double now) {
-    lastIterations.replaceAll((loop, turn) -> new Iteration(now, turn.timeoutS));
+    lastIterations.replaceAll((loop, last) -> new Iteration(now, last.timeoutS));
   }
 
-  /** A loop that should have turned and has not, or null. */
+  /** Returns a loop whose next iteration is overdue, or null. */
   public String stalledLoop(double now) {
     for (var e : lastIterations.entrySet()) {
       if (now - e.getValue().at > e.getValue().timeoutS) {
@@ -37,13 +40,13 @@
     return null;
   }
 
-  /** A decision or an effect has thrown; it is over, and all else goes on. */
+  /** Records the exception that ended a decision or deferred action; everything else continues. */
   public void recordFailure(RuntimeException e) {
     failures++;
-    LOG.log(Level.ERROR, "a decision failed and was given up", e);
+    LOG.log(Level.ERROR, "a decision or deferred action failed with an exception", e);
   }
 
-  /** How many decisions and effects have thrown. */
+  /** Number of decisions and deferred actions that have thrown an exception. */
   public int failures() {
     return failures;
   }
--- a/src/main/java/dev/dunefront/net/UndertowHttpCaller.java
+++ b/src/main/java/dev/dunefront/net/UndertowHttpCaller.java
@@ -25,8 +25,8 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * Undertow's client with a small pool of open connections for each address. All of it runs on one
- * I/O thread, so its own fields need no lock.
+ * HTTP client based on Undertow's, with a small pool of idle connections per address. It runs on a
+ * single I/O thread, so its fields need no lock.
  */
 public final class UndertowHttpCaller implements HttpCaller {
   private static final int MAX_IDLE_CONNECTIONS = 6;
@@ -53,8 +53,8 @@
       String path,
       byte[] body,
       double deadlineS,
-      Consumer<Response> then) {
-    Call call = new Call(address, method, path, body, then);
+      Consumer<Response> callback) {
+    Call call = new Call(address, method, path, body, callback);
     if (Thread.currentThread() == ioThread) {
       call.start(deadlineS);
     } else {
@@ -67,18 +67,18 @@
     private final String method;
     private final String path;
     private final byte[] body;
-    private final Consumer<Response> then;
+    private final Consumer<Response> callback;
     private XnioExecutor.Key deadline;
     private IoFuture<ClientConnection> connecting;
     private ClientConnection connection;
     private boolean finished;
 
-    Call(String address, String method, String path, byte[] body, Consumer<Response> then) {
+    Call(String address, String method, String path, byte[] body, Consumer<Response> callback) {
       this.address = address;
       this.method = method;
       this.path = path;
       this.body = body;
-      this.then = then;
+      this.callback = callback;
     }
 
     void start(double deadlineS) {
@@ -196,15 +196,15 @@
 
     private void receive(ClientExchange exchange) {
       StreamSourceChannel channel = exchange.getResponseChannel();
-      ByteArrayOutputStream all = new ByteArrayOutputStream();
-      if (readAvailable(exchange, channel, all)) {
+      ByteArrayOutputStream received = new ByteArrayOutputStream();
+      if (readAvailable(exchange, channel, received)) {
         return;
       }
       channel
           .getReadSetter()
           .set(
               c -> {
-                if (readAvailable(exchange, c, all)) {
+                if (readAvailable(exchange, c, received)) {
                   c.suspendReads();
                 }
               });
@@ -212,7 +212,7 @@
     }
 
     private boolean readAvailable(
-        ClientExchange exchange, StreamSourceChannel channel, ByteArrayOutputStream all) {
+        ClientExchange exchange, StreamSourceChannel channel, ByteArrayOutputStream received) {
       ByteBuffer buffer = ByteBuffer.allocate(4096);
       try {
         while (true) {
@@ -224,8 +224,8 @@
           if (n < 0) {
             break;
           }
-          all.write(buffer.array(), 0, n);
-          if (all.size() > MAX_BODY_BYTES) {
+          received.write(buffer.array(), 0, n);
+          if (received.size() > MAX_BODY_BYTES) {
             connectionFailed();
             return true;
           }
@@ -234,34 +234,35 @@
         connectionFailed();
         return true;
       }
-      double retryAfter = 0;
+      double retryAfterS = 0;
       String header = exchange.getResponse().getResponseHeaders().getFirst(Headers.RETRY_AFTER);
       if (header != null) {
         try {
-          retryAfter = Double.parseDouble(header);
+          retryAfterS = Double.parseDouble(header);
         } catch (NumberFormatException e) {
-          // a date or nonsense: the caller's own pause applies
+          // Not a number of seconds, for example a date: the caller's own retry delay applies.
         }
       }
       finish(
-          new Response(exchange.getResponse().getResponseCode(), all.toByteArray(), retryAfter),
+          new Response(
+              exchange.getResponse().getResponseCode(), received.toByteArray(), retryAfterS),
           true);
       return true;
     }
 
-    /** The connection failed; nobody knows whether the request arrived. */
+    /** The connection failed; it is unknown whether the request arrived. */
     private void connectionFailed() {
       finish(Response.NO_RESPONSE, false);
     }
 
-    private void finish(Response reply, boolean keep) {
+    private void finish(Response reply, boolean reusable) {
       if (finished) {
         return;
       }
       finished = true;
       deadline.remove();
       if (connection != null) {
-        if (keep && connection.isOpen()) {
+        if (reusable && connection.isOpen()) {
           ArrayDeque<IdleConnection> idle =
               idleConnections.computeIfAbsent(address, a -> new ArrayDeque<>());
           idle.addLast(new IdleConnection(connection, timers.now()));
@@ -274,7 +275,7 @@
       } else if (connecting != null) {
         connecting.cancel();
       }
-      then.accept(reply);
+      callback.accept(reply);
     }
   }
 }
--- a/src/main/java/dev/dunefront/peer/Message.java
+++ b/src/main/java/dev/dunefront/peer/Message.java
@@ -6,20 +6,20 @@
 import java.util.Map;
 
 /**
- * What controllers tell each other. A task is named by job and number; a hold by its token, which
- * is never used twice for one machine; a claim by its term, which rises whenever a job changes
- * hands. Whatever acts on a machine names these, for its sender may have stood still since it knew
- * them (the table in docs/design.md).
+ * Messages between controllers. A task is identified by job and number, a hold by its fencing
+ * token, which is never reused for the same machine, and a claim by its term, which increases
+ * whenever a job changes its owner. Messages that act on a machine carry these, because the sender
+ * may have been paused after it read them (see the table in docs/design.md).
  */
 public sealed interface Message {
 
-  /** Opens a link: who speaks. */
+  /** First message on a link; identifies the sender. */
   record Hello(String node) implements Message {}
 
-  /** Keeps a link from falling silent; echoed. */
+  /** Keeps an idle link alive; the receiver echoes it. */
   record Ping() implements Message {}
 
-  /** A task on a machine as its holder knows it; PENDING means that its start is under way. */
+  /** A task on a machine as its holder knows it; PENDING means that its start is in progress. */
   record TaskStatus(String job, int number, long attempt, State state, ExitReason exitReason) {
     public boolean exited() {
       return state == State.EXITED;
@@ -41,7 +41,7 @@
     }
   }
 
-  /** The state of a task on a machine; PENDING: its start is under way. */
+  /** State of a task on a machine; PENDING means that its start is in progress. */
   enum State {
     PENDING,
     FETCHING,
@@ -50,7 +50,7 @@
     EXITED
   }
 
-  /** Why a task ended; NONE while it has not. */
+  /** Reason for the end of a task; NONE while it has not ended. */
   enum ExitReason {
     NONE,
     DONE,
@@ -60,8 +60,8 @@
   }
 
   /**
-   * A held machine, told when something has changed that the receiver wants to hear of ({@link
-   * ViewSubscription}), and those of its tasks whose jobs the receiver has claimed.
+   * State of a held machine, sent after each change that the receiver subscribes to ({@link
+   * ViewSubscription}), with those of its tasks whose jobs the receiver has claimed.
    */
   record MachineView(
       String host,
@@ -71,57 +71,63 @@
       long token,
       long holdRevision,
       long session,
-      /** The worker has reported under this token and no order is in doubt. */
+      /** The worker has reported under this token, and no command to it has an unknown outcome. */
       boolean tokenAcknowledged,
-      /** The lease of this session is surely over. */
+      /** The lease of this session has certainly expired. */
       boolean leaseExpired,
-      /** Room is being dealt. */
+      /** Its free capacity is offered to tasks. */
       boolean schedulable,
-      /** Several jobs fail on it that run elsewhere. */
+      /** Several jobs fail on it that run on other machines. */
       boolean quarantined,
-      /** Nothing runs on it and no room is dealt, for it is about to be returned. */
+      /** It is idle and makes no offers, because it is about to be returned. */
       boolean retiring,
-      /** Its reports come, but nothing that is said to it arrives. */
+      /** Its reports arrive here, but messages to it are lost. */
       boolean unresponsive,
-      /** Time of day since when nothing has run on it while it was open; 0 while that is not so. */
+      /**
+       * Wall-clock time in milliseconds since which it has been idle and schedulable; 0 if it is
+       * not.
+       */
       long idleSinceMs,
       Resources free,
       List<String> images,
-      /** Unfinished tasks on it, by priority. */
+      /** Number of unfinished tasks, by priority. */
       List<Integer> unfinishedByPriority,
-      /** Those of them that may give way: they began just now, or yield to whatever comes. */
+      /**
+       * How many of them may be preempted, because they have just started or yield to any other
+       * task.
+       */
       List<Integer> preemptibleByPriority,
       List<TaskStatus> tasks)
       implements Message {
-    /** Whether the other says the same of the hold, the session and the machine's condition. */
-    boolean sameStatus(MachineView o) {
-      return token == o.token
-          && holdRevision == o.holdRevision
-          && session == o.session
-          && tokenAcknowledged == o.tokenAcknowledged
-          && leaseExpired == o.leaseExpired
-          && schedulable == o.schedulable
-          && quarantined == o.quarantined
-          && retiring == o.retiring
-          && unresponsive == o.unresponsive;
+    /** Whether the other has the same hold, session and condition of the machine. */
+    boolean sameStatus(MachineView other) {
+      return token == other.token
+          && holdRevision == other.holdRevision
+          && session == other.session
+          && tokenAcknowledged == other.tokenAcknowledged
+          && leaseExpired == other.leaseExpired
+          && schedulable == other.schedulable
+          && quarantined == other.quarantined
+          && retiring == other.retiring
+          && unresponsive == other.unresponsive;
     }
 
-    /** Whether the other says the same of the machine itself, whatever tasks it shows. */
-    boolean sameMachineState(MachineView o) {
-      return sameStatus(o)
-          && idleSinceMs == o.idleSinceMs
-          && free.equals(o.free)
-          && images.equals(o.images)
-          && unfinishedByPriority.equals(o.unfinishedByPriority)
-          && preemptibleByPriority.equals(o.preemptibleByPriority);
+    /** Whether the other is equal except for the tasks that it shows. */
+    boolean sameMachineState(MachineView other) {
+      return sameStatus(other)
+          && idleSinceMs == other.idleSinceMs
+          && free.equals(other.free)
+          && images.equals(other.images)
+          && unfinishedByPriority.equals(other.unfinishedByPriority)
+          && preemptibleByPriority.equals(other.preemptibleByPriority);
     }
 
-    /** Whether anything may fit right now. */
+    /** Whether it has free capacity that is offered now. */
     public boolean hasFreeCapacity() {
       return schedulable && (free.cpu() > 0 || free.gpu() > 0);
     }
 
-    /** How many young tasks there are of a lower priority. */
+    /** Number of preemptible tasks with a lower priority. */
     public int preemptibleBelow(Priority priority) {
       int n = 0;
       for (int p = priority.ordinal() + 1; p < preemptibleByPriority.size(); p++) {
@@ -130,13 +136,13 @@
       return n;
     }
 
-    /** How many tasks of the lowest priority may give way. */
+    /** Number of preemptible tasks with the lowest priority. */
     public int preemptibleBestEffort() {
       int lowest = Priority.BEST_EFFORT.ordinal();
       return lowest < preemptibleByPriority.size() ? preemptibleByPriority.get(lowest) : 0;
     }
 
-    /** Whether urgent tasks are on it. */
+    /** Whether it has unfinished urgent tasks. */
     public boolean hasUrgentTasks() {
       for (Priority p : Priority.values()) {
         if (p.urgent()
@@ -148,7 +154,7 @@
       return false;
     }
 
-    /** Whether nothing runs or is about to. */
+    /** Whether no task runs on it or is about to. */
     public boolean idle() {
       for (int n : unfinishedByPriority) {
         if (n != 0) {
@@ -158,7 +164,7 @@
       return true;
     }
 
-    public MachineView withTasks(List<TaskStatus> shown) {
+    public MachineView withTasks(List<TaskStatus> visibleTasks) {
       return new MachineView(
           host,
           type,
@@ -178,13 +184,14 @@
           images,
           unfinishedByPriority,
           preemptibleByPriority,
-          shown);
+          visibleTasks);
     }
   }
 
   /**
-   * How much the sender wants to hear of the receiver's machines, until it says otherwise. Said
-   * again and again, for a receiver that has not heard it lately tells everything.
+   * Sets the level of detail at which the sender receives the state of the receiver's machines,
+   * until it is changed. Repeated regularly, because a receiver without a recent subscription sends
+   * everything.
    */
   record ViewSubscription(ViewDetail detail) implements Message {}
 
@@ -192,25 +199,25 @@
   record HoldReleased(String host) implements Message {}
 
   /**
-   * Parks wants for tasks of a job in a machine's book; a count of 0 withdraws them. The rank, 0
-   * being first, orders wants within a priority by how much is still to be won by serving them.
+   * Queues wants for tasks of a job in a machine's book; a count of 0 withdraws them. The rank,
+   * with 0 first, orders wants of the same priority by the remaining benefit of serving them.
    */
   record Want(String host, String job, int priority, int rank, Resources size, int count)
       implements Message {}
 
-  /** Room for one task of the job is set aside. */
+  /** Room for one task of the job is reserved. */
   record Offer(long offerId, String host, String job, long token, long holdRevision, long session)
       implements Message {}
 
-  /** The offer is not taken; its room is free again. */
+  /** The offer is declined; its room is free again. */
   record DeclineOffer(long offerId, String host) implements Message {}
 
-  /** The offer is being taken: its room is kept until the placement is recorded. */
+  /** The offer is about to be accepted: its room stays reserved until the placement is recorded. */
   record ReserveOffer(long offerId, String host) implements Message {}
 
   /**
-   * Takes an offer: the placement is recorded, for this session of the worker alone, and the task
-   * may be started in it.
+   * Accepts an offer: the placement is recorded for this session of the worker only, and the task
+   * may be started in the reserved room.
    */
   record StartTask(
       long offerId,
@@ -223,16 +230,21 @@
       long attempt)
       implements Message {}
 
-  /** Asks whether an attempt that the holder's view lacks is surely gone. */
+  /**
+   * Asks whether an attempt that is missing from the holder's view is certainly not on the machine.
+   */
   record AttemptQuery(String host, long term, String job, int number, long attempt)
       implements Message {}
 
-  /** It is, and the holder will never start it under this token. */
+  /**
+   * Confirms {@link AttemptQuery}: the attempt is not on the machine, and the holder will never
+   * start it under this token.
+   */
   record AttemptAbsent(
       String host, long token, long holdRevision, String job, int number, long attempt)
       implements Message {}
 
-  /** Ends an attempt, with so many seconds to save. */
+  /** Stops an attempt, with {@code graceS} seconds to save its state. */
   record StopTask(String host, long term, String job, int number, long attempt, double graceS)
       implements Message {}
 
@@ -241,9 +253,9 @@
       implements Message {}
 
   /**
-   * Tasks of the job have failed on the machine. With a weight of {@link #PROVEN} the job runs
-   * elsewhere; with {@link #UNPROVEN} nothing of it has been done yet; with {@link #WITHDRAWN} it
-   * fails wherever it runs, and says nothing of the machine.
+   * Tasks of the job have failed on the machine. The weight is {@link #PROVEN} if the job runs on
+   * other machines, {@link #UNPROVEN} if none of its tasks has completed yet, and {@link
+   * #WITHDRAWN} if the job fails on every machine, which is no evidence against this one.
    */
   record FailureReport(String host, String job, int weight) implements Message {
     public static final int WITHDRAWN = 0;
@@ -252,59 +264,69 @@
   }
 
   /**
-   * A machine that the receiver holds has reported here, in this session with this serial and
-   * having seen this token: does the receiver still hear it?
+   * A machine held by the receiver has reported to the sender, in this session with this serial and
+   * with this token as the last one seen. Asks whether the receiver still gets its reports.
    */
   record HoldQuery(String host, long session, long serial, long token) implements Message {}
 
-  /** Answers HoldAsk: whether the sender holds the machine, and when it last heard it. */
+  /**
+   * Reply to {@link HoldQuery}: whether the sender holds the machine, and the age of its last
+   * report there in seconds.
+   */
   record HoldStatus(String host, boolean held, double lastReportAgeS) implements Message {}
 
-  /** The job's final state is recorded: it is done, or else cancelled. */
+  /** The final state of the job is recorded: done if {@code done} is true, or cancelled. */
   record JobEnded(String job, boolean done) implements Message {}
 
-  /** A user was told that the job is cancelled. */
+  /** A user has received the confirmation that the job is cancelled. */
   record JobCancelled(String job) implements Message {}
 
   /**
-   * What a controller has waiting, for whoever rents machines, and machines on which it has placed
-   * tasks and of which nobody tells.
+   * Tasks of the sender that wait for room, for the controller that rents machines; and machines on
+   * which it has placed tasks but of which no holder has confirmed the state.
    */
   record Demand(List<PendingTasks> pending, List<String> unreportedHosts) implements Message {}
 
   /**
-   * So many tasks wait for room. Where a job's tasks must be together or apart, {@code zones} says
-   * how many of them each zone may still take.
+   * Tasks of a job that wait for room. If they must run together or apart, {@code roomByZone}
+   * contains the number of tasks that each zone may still take.
    */
   record PendingTasks(String job, int count, Map<String, Integer> roomByZone) {}
 
   /**
-   * A machine that is to be returned: if nothing is on it, it is closed for some seconds. Names the
-   * term of the duty for which it is sent.
+   * Asks the holder to close an idle machine for some seconds, because it is to be returned.
+   * Carries the term of the duty on whose behalf it is sent.
    */
   record RetireMachine(String host, long term) implements Message {}
 
-  /** The highest term of a duty that the sender knows, told to whoever acted in a lower one. */
+  /**
+   * The highest term of a duty that the sender knows; sent to a controller that acted in a lower
+   * one.
+   */
   record DutyTerm(String duty, long term) implements Message {}
 
-  /** What has changed in the task counts of the sender's jobs, for users who ask elsewhere. */
+  /** Changed task counts of the sender's jobs, for users who query other controllers. */
   record JobProgress(List<JobCounts> counts) implements Message {}
 
-  /** {@code placed} counts tasks that run or are about to; {@code running} those that run. */
+  /** {@code placed} counts tasks that run or are about to start; {@code running} those that run. */
   record JobCounts(String job, int done, int running, int placed) {}
 
-  /** Asks to stop young tasks of lower priority, so that so many tasks of this size find room. */
+  /**
+   * Asks the holder to preempt tasks of lower priority, to make room for {@code count} tasks of
+   * this size.
+   */
   record Preempt(String host, int priority, Resources size, int count) implements Message {}
 
-  /** The sender lacks changes of the state service's rate for what waits there. */
+  /** Requests write tokens of the state service's rate limit, which the sender lacks. */
   record LoanRequest(long requestNumber, int writes) implements Message {}
 
-  /** The sender gives so many of its own, to be used at once. */
+  /** Lends write tokens, which must be used at once. */
   record Loan(long requestNumber, int writes) implements Message {}
 
   /**
-   * Whether the state service serves the sender, how much of it the sender asks a second, and how
-   * many machines the sender holds, and by how much its timers are late.
+   * Whether the state service serves the sender, the requests and writes per second that the sender
+   * sends to it, the number of machines that the sender holds, and the delay of its timers in
+   * seconds.
    */
   record ControllerStatus(
       boolean stateAvailable,
--- a/src/main/java/dev/dunefront/peer/MessageCodec.java
+++ b/src/main/java/dev/dunefront/peer/MessageCodec.java
@@ -43,9 +43,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Messages as bytes: one byte of kind, then the fields in order. */
+/** Encodes messages as one type byte followed by the fields in order. */
 public final class MessageCodec {
-  /** The largest record that is taken, in bytes. */
+  /** Maximum size of an accepted record, in bytes. */
   static final int MAX_RECORD_BYTES = 4 << 20;
 
   private MessageCodec() {}
@@ -159,7 +159,7 @@
     }
   }
 
-  /** What concerns neither a task nor an offer. */
+  /** Writes messages that concern neither a task nor an offer. */
   private static void writeOther(DataOutputStream out, Message m) throws IOException {
     if (m instanceof FailureReport b) {
       out.writeByte(13);
@@ -272,12 +272,12 @@
     out.writeLong(attempt);
   }
 
-  /** Throws on anything garbled, which closes the link and nothing else. */
+  /** Decodes a record; throws on malformed input, which closes only the link that it came from. */
   public static Message decode(byte[] record) throws IOException {
     DataInputStream in = new DataInputStream(new ByteArrayInputStream(record));
-    int kind = in.readByte();
+    int type = in.readByte();
     Message m =
-        switch (kind) {
+        switch (type) {
           case 1 -> new Hello(in.readUTF());
           case 2 -> new Ping();
           case 3 -> readView(in);
@@ -347,11 +347,11 @@
             for (int i = 0; i < n; i++) {
               all.add(new PendingTasks(in.readUTF(), in.readInt(), readRoomByZone(in)));
             }
-            List<String> unheard = new ArrayList<>();
+            List<String> unreportedHosts = new ArrayList<>();
             for (int i = in.readInt(); i > 0; i--) {
-              unheard.add(in.readUTF());
+              unreportedHosts.add(in.readUTF());
             }
-            yield new Demand(all, unheard);
+            yield new Demand(all, unreportedHosts);
           }
           case 19 -> new Preempt(in.readUTF(), in.readByte(), readSize(in), in.readInt());
           case 18 ->
@@ -369,10 +369,10 @@
             }
             yield new JobProgress(all);
           }
-          default -> throw new IOException("unknown record " + kind);
+          default -> throw new IOException("unknown record type " + type);
         };
     if (in.read() >= 0) {
-      throw new IOException("bytes after the record");
+      throw new IOException("unexpected bytes after the end of the record");
     }
     return m;
   }
@@ -383,22 +383,22 @@
     String zone = in.readUTF();
     boolean spot = in.readBoolean();
     long token = in.readLong();
-    long stamp = in.readLong();
+    long holdRevision = in.readLong();
     long session = in.readLong();
-    boolean settled = in.readBoolean();
-    boolean lost = in.readBoolean();
-    boolean open = in.readBoolean();
+    boolean tokenAcknowledged = in.readBoolean();
+    boolean leaseExpired = in.readBoolean();
+    boolean schedulable = in.readBoolean();
     boolean quarantined = in.readBoolean();
     boolean retiring = in.readBoolean();
-    boolean deaf = in.readBoolean();
+    boolean unresponsive = in.readBoolean();
     long idleSinceMs = in.readLong();
     Resources free = readSize(in);
     List<String> images = new ArrayList<>();
     for (int n = in.readShort(); n > 0; n--) {
       images.add(in.readUTF());
     }
-    List<Integer> unfinished = readCounts(in);
-    List<Integer> young = readCounts(in);
+    List<Integer> unfinishedByPriority = readCounts(in);
+    List<Integer> preemptibleByPriority = readCounts(in);
     List<TaskStatus> tasks = new ArrayList<>();
     for (int n = in.readInt(); n > 0; n--) {
       tasks.add(
@@ -415,19 +415,19 @@
         zone,
         spot,
         token,
-        stamp,
+        holdRevision,
         session,
-        settled,
-        lost,
-        open,
+        tokenAcknowledged,
+        leaseExpired,
+        schedulable,
         quarantined,
         retiring,
-        deaf,
+        unresponsive,
         idleSinceMs,
         free,
         images,
-        unfinished,
-        young,
+        unfinishedByPriority,
+        preemptibleByPriority,
         tasks);
   }
 
@@ -439,11 +439,11 @@
     return zones;
   }
 
-  private static <T> T enumConstant(T[] all, int index) throws IOException {
-    if (index < 0 || index >= all.length) {
-      throw new IOException("unknown code " + index);
+  private static <T> T enumConstant(T[] constants, int index) throws IOException {
+    if (index < 0 || index >= constants.length) {
+      throw new IOException("unknown enum code " + index);
     }
-    return all[index];
+    return constants[index];
   }
 
   private static Resources readSize(DataInputStream in) throws IOException {
--- a/src/main/java/dev/dunefront/peer/XnioPeers.java
+++ b/src/main/java/dev/dunefront/peer/XnioPeers.java
@@ -19,8 +19,9 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * Every controller dials every other one. A link carries records one way, from the dialler; only
- * pings come back, so that a link which hangs without an error is noticed.
+ * Connects each controller to every other one. A link carries messages in one direction, from the
+ * connecting side; only echoed pings come back, so that a link that hangs without an error is
+ * detected.
  */
 public final class XnioPeers implements Peers {
   private static final System.Logger LOG = System.getLogger(XnioPeers.class.getName());
@@ -29,7 +30,7 @@
   private static final double RECONNECT_DELAY_S = 0.5;
   private static final int MAX_QUEUED_BYTES = 8 << 20;
 
-  /** A queue that has grown beyond this gives its memory back when it is empty. */
+  /** A larger send buffer, in bytes, is replaced by a small one when it becomes empty. */
   private static final int MAX_IDLE_BUFFER_BYTES = 64 << 10;
 
   private final Settings settings;
@@ -40,7 +41,7 @@
   private final Map<String, OutboundLink> outboundLinks = new HashMap<>();
   private final Map<String, InboundLink> inboundLinks = new HashMap<>();
 
-  /** What has been queued for other controllers; written on the I/O thread alone. */
+  /** Traffic queued for other controllers; written on the I/O thread only. */
   private volatile Traffic sent = Traffic.NONE;
 
   public XnioPeers(
@@ -70,7 +71,7 @@
                   new InboundLink(c).open();
                 }
               } catch (IOException e) {
-                LOG.log(Level.DEBUG, "accepting a peer failed: {0}", e.getMessage());
+                LOG.log(Level.DEBUG, "accepting a peer connection failed: {0}", e.getMessage());
               }
             },
             OptionMap.EMPTY);
@@ -112,7 +113,7 @@
     sendAll(outboundLinks.values(), message);
   }
 
-  /** Encodes once for all links. */
+  /** Encodes the message once for all links. */
   private void sendAll(Collection<OutboundLink> links, Message message) {
     decisionLock.defer(
         () -> {
@@ -126,7 +127,10 @@
     return sent;
   }
 
-  /** Bytes waiting to go out on one connection, side by side, so that one write takes them all. */
+  /**
+   * Contiguous buffer of the bytes to be sent on one connection, so that one write covers all of
+   * them.
+   */
   private static final class SendBuffer {
     private static final int INITIAL_BYTES = 4096;
 
@@ -137,15 +141,15 @@
     }
 
     void add(byte[] record) {
-      int wanted = buffer.position() + Integer.BYTES + record.length;
-      if (wanted > buffer.capacity()) {
-        ByteBuffer larger = ByteBuffer.allocate(Math.max(wanted, 2 * buffer.capacity()));
+      int required = buffer.position() + Integer.BYTES + record.length;
+      if (required > buffer.capacity()) {
+        ByteBuffer larger = ByteBuffer.allocate(Math.max(required, 2 * buffer.capacity()));
         buffer = larger.put(buffer.flip());
       }
       buffer.putInt(record.length).put(record);
     }
 
-    /** Writes what the socket takes; true when nothing is left. */
+    /** Writes as much as the socket accepts; returns true if nothing is left. */
     boolean writeTo(StreamConnection c) throws IOException {
       buffer.flip();
       try {
@@ -165,7 +169,7 @@
     }
   }
 
-  /** Cuts incoming bytes into records. */
+  /** Splits incoming bytes into records. */
   private static final class RecordReader {
     private ByteBuffer buffer = ByteBuffer.allocate(8192);
 
@@ -173,8 +177,8 @@
       void accept(byte[] record) throws IOException;
     }
 
-    /** False at the end of the stream. */
-    boolean read(StreamConnection c, RecordConsumer sink) throws IOException {
+    /** Reads the available bytes; returns false at the end of the stream. */
+    boolean read(StreamConnection c, RecordConsumer consumer) throws IOException {
       while (true) {
         int n = c.getSourceChannel().read(buffer);
         if (n < 0) {
@@ -187,7 +191,7 @@
         while (buffer.remaining() >= 4) {
           int length = buffer.getInt(buffer.position());
           if (length < 1 || length > MessageCodec.MAX_RECORD_BYTES) {
-            throw new IOException("a record of " + length + " bytes");
+            throw new IOException("invalid record length: " + length + " bytes");
           }
           if (buffer.remaining() < 4 + length) {
             break;
@@ -195,12 +199,12 @@
           buffer.getInt();
           byte[] record = new byte[length];
           buffer.get(record);
-          sink.accept(record);
+          consumer.accept(record);
         }
-        int wanted =
+        int required =
             buffer.remaining() >= 4 ? 4 + buffer.getInt(buffer.position()) : buffer.capacity();
-        if (wanted > buffer.capacity()) {
-          buffer = ByteBuffer.allocate(wanted).put(buffer);
+        if (required > buffer.capacity()) {
+          buffer = ByteBuffer.allocate(required).put(buffer);
         } else {
           buffer.compact();
         }
@@ -208,7 +212,7 @@
     }
   }
 
-  /** The link to one peer, dialled again whenever it breaks. */
+  /** Outgoing link to one peer, reconnected whenever it breaks. */
   private final class OutboundLink {
     private final Settings.Peer peer;
     private StreamConnection connection;
@@ -245,7 +249,11 @@
                             opened(future.get());
                             return;
                           } catch (IOException e) {
-                            LOG.log(Level.DEBUG, "dialling {0}: {1}", peer.node(), e.getMessage());
+                            LOG.log(
+                                Level.DEBUG,
+                                "connecting to {0} failed: {1}",
+                                peer.node(),
+                                e.getMessage());
                           }
                         }
                         timers.after(RECONNECT_DELAY_S, this::connect);
@@ -272,7 +280,7 @@
         return;
       }
       if (timers.now() - lastReceivedAt > IDLE_TIMEOUT_S) {
-        close(c, "silent");
+        close(c, "no ping reply");
         return;
       }
       send(MessageCodec.encode(new Message.Ping()));
@@ -282,7 +290,7 @@
     private void readPongs(StreamConnection c) {
       try {
         if (!reader.read(c, record -> lastReceivedAt = timers.now())) {
-          close(c, "closed");
+          close(c, "closed by the peer");
         }
       } catch (IOException e) {
         close(c, e.getMessage());
@@ -296,11 +304,11 @@
       sendBuffer.add(record);
       sent = new Traffic(sent.records() + 1, sent.bytes() + Integer.BYTES + record.length);
       if (sendBuffer.bytes() > MAX_QUEUED_BYTES) {
-        close(connection, "too much is queued");
+        close(connection, "send buffer limit exceeded");
         return;
       }
       if (!flushScheduled) {
-        // One write for all that this turn of the loop queues.
+        // One write for all records queued in this iteration of the event loop.
         flushScheduled = true;
         worker
             .getIoThread()
@@ -329,19 +337,19 @@
       }
     }
 
-    private void close(StreamConnection c, String why) {
+    private void close(StreamConnection c, String reason) {
       IoUtils.safeClose(c);
       if (connection != c) {
         return;
       }
-      LOG.log(Level.INFO, "link to {0} lost: {1}", peer.node(), why);
+      LOG.log(Level.INFO, "link to {0} lost: {1}", peer.node(), reason);
       connection = null;
       connected = false;
       timers.after(RECONNECT_DELAY_S, this::connect);
     }
   }
 
-  /** A link from a peer. A newer one from the same peer replaces it. */
+  /** Incoming link from a peer; replaced by a newer link from the same peer. */
   private final class InboundLink {
     private final StreamConnection connection;
     private final RecordReader reader = new RecordReader();
@@ -391,10 +399,10 @@
       Message m = MessageCodec.decode(record);
       if (node == null) {
         if (!(m instanceof Message.Hello hello) || !outboundLinks.containsKey(hello.node())) {
-          throw new IOException("not a known controller");
+          throw new IOException("first record is not a Hello from a known controller");
         }
         node = hello.node();
-        // Records of an older link may still trickle in late; from here on they are not heard.
+        // Records that still arrive on an older link are ignored from now on.
         InboundLink older = inboundLinks.put(node, this);
         if (older != null) {
           older.closed = true;
--- a/src/main/java/dev/dunefront/store/HttpStateStore.java
+++ b/src/main/java/dev/dunefront/store/HttpStateStore.java
@@ -17,7 +17,10 @@
 import java.util.function.Consumer;
 import java.util.function.IntConsumer;
 
-/** The state service over HTTP, within this controller's part of the common budget. */
+/**
+ * Client of the state service over HTTP, within this controller's share of the service's rate
+ * limit.
+ */
 public final class HttpStateStore implements StateStore {
   private static final System.Logger LOG = System.getLogger(HttpStateStore.class.getName());
   private static final double CALL_TIMEOUT_S = 1.2;
@@ -26,10 +29,16 @@
   private static final double PROBE_INTERVAL_S = 0.3;
   private static final double PROBE_TIMEOUT_S = 0.8;
 
-  /** A request with a later deadline waits for changes, and may rightly have no answer for long. */
+  /**
+   * A request with a longer timeout is a blocking watch, for which a missing response is no sign of
+   * an outage.
+   */
   private static final double MAX_NON_BLOCKING_TIMEOUT_S = CALL_TIMEOUT_S * 2;
 
-  /** A shorter wait for changes is not worth asking others for some, in seconds. */
+  /**
+   * A shortage that this controller's own rate covers within this time, in seconds, is not worth
+   * borrowing for.
+   */
   private static final double MIN_BORROW_WAIT_S = 0.03;
 
   private record QueuedRequest(double expiresAt, int writes, Runnable send, Runnable reject) {}
@@ -47,12 +56,14 @@
   private double writesSent;
   private double usageSince;
   private boolean dispatchScheduled;
-  private boolean down;
 
-  /** When anything was last answered. */
+  /** Whether the last response other than 429 was 503 (Service Unavailable). */
+  private boolean refusing;
+
+  /** When the last response arrived. */
   private double lastResponseAt = Double.NEGATIVE_INFINITY;
 
-  /** A request has had no answer, nor has any that was sent after it. */
+  /** Whether a probe has had no response and no other response has arrived since it was sent. */
   private boolean unresponsive;
 
   private boolean probePending;
@@ -63,22 +74,22 @@
       HttpCaller caller,
       Timers timers,
       DecisionLock decisionLock,
-      String markPrefix) {
+      String writeIdPrefix) {
     this.address = settings.state();
     this.caller = caller;
     this.timers = timers;
     this.decisionLock = decisionLock;
     this.rateLimiter = new RateLimiter(settings, timers.now());
-    this.writeIdPrefix = markPrefix;
+    this.writeIdPrefix = writeIdPrefix;
     this.usageSince = timers.now();
-    for (RequestPriority u : RequestPriority.values()) {
-      queues.put(u, new ArrayDeque<>());
+    for (RequestPriority priority : RequestPriority.values()) {
+      queues.put(priority, new ArrayDeque<>());
     }
   }
 
   @Override
   public boolean unavailable() {
-    return down || unresponsive;
+    return refusing || unresponsive;
   }
 
   @Override
@@ -87,13 +98,13 @@
     return rateLimiter.writeDelayS(queuedWrites(RequestPriority.CORE));
   }
 
-  /** Changes that wait, of this and all greater urgencies. */
-  private int queuedWrites(RequestPriority least) {
+  /** Queued writes of this and all higher priorities. */
+  private int queuedWrites(RequestPriority lowest) {
     int queued = 0;
     for (var e : queues.entrySet()) {
-      if (e.getKey().compareTo(least) <= 0) {
-        for (QueuedRequest w : e.getValue()) {
-          queued += w.writes;
+      if (e.getKey().compareTo(lowest) <= 0) {
+        for (QueuedRequest request : e.getValue()) {
+          queued += request.writes;
         }
       }
     }
@@ -107,14 +118,14 @@
       queued += queue.size();
     }
     double spanS = Math.max(0.1, timers.now() - usageSince);
-    Usage use =
+    Usage usage =
         new Usage(
             requestsSent / spanS + queued,
             writesSent / spanS + queuedWrites(RequestPriority.BACKGROUND));
     requestsSent = 0;
     writesSent = 0;
     usageSince = timers.now();
-    return use;
+    return usage;
   }
 
   @Override
@@ -124,9 +135,9 @@
   }
 
   @Override
-  public void anticipateWrites(int changes) {
+  public void anticipateWrites(int writes) {
     rateLimiter.refill(timers.now());
-    reportWriteShortage(rateLimiter.missingWrites(RequestPriority.CORE, changes));
+    reportWriteShortage(rateLimiter.missingWrites(RequestPriority.CORE, writes));
   }
 
   private void reportWriteShortage(int missing) {
@@ -141,16 +152,16 @@
   }
 
   @Override
-  public int lendWrites(int changes) {
+  public int lendWrites(int writes) {
     rateLimiter.refill(timers.now());
     return unavailable() || queuedWrites(RequestPriority.BACKGROUND) > 0
         ? 0
-        : rateLimiter.lend(changes);
+        : rateLimiter.lend(writes);
   }
 
   @Override
-  public void addBorrowedWrites(int changes) {
-    rateLimiter.borrow(changes, timers.now());
+  public void addBorrowedWrites(int writes) {
+    rateLimiter.borrow(writes, timers.now());
     dispatchQueued();
   }
 
@@ -160,162 +171,177 @@
   }
 
   @Override
-  public void get(String key, RequestPriority urgency, Consumer<GetResult> then) {
+  public void get(String key, RequestPriority priority, Consumer<GetResult> callback) {
     enqueue(
-        urgency,
+        priority,
         0,
         "GET",
         "/keys/" + key,
         null,
         CALL_TIMEOUT_S,
-        reply -> {
+        response -> {
           try {
-            if (reply.ok()) {
-              Document d = Document.decode(reply.body());
-              then.accept(new GetResult(Outcome.OK, d.document("data"), d.count("stamp")));
+            if (response.ok()) {
+              Document d = Document.decode(response.body());
+              callback.accept(new GetResult(Outcome.OK, d.document("data"), d.count("stamp")));
             } else {
-              then.accept(new GetResult(outcome(reply), null, 0));
+              callback.accept(new GetResult(outcome(response), null, 0));
             }
           } catch (MalformedMessageException e) {
-            then.accept(new GetResult(Outcome.UNKNOWN, null, 0));
+            callback.accept(new GetResult(Outcome.UNKNOWN, null, 0));
           }
         });
   }
 
   @Override
-  public void range(String prefix, RequestPriority urgency, Consumer<RangeResult> then) {
-    readPage(prefix, "", urgency, new ArrayList<>(), 0, then);
+  public void range(String prefix, RequestPriority priority, Consumer<RangeResult> callback) {
+    readPage(prefix, "", priority, new ArrayList<>(), 0, callback);
   }
 
   private void readPage(
       String prefix,
       String from,
-      RequestPriority urgency,
+      RequestPriority priority,
       List<KeyValue> all,
       long revision,
-      Consumer<RangeResult> then) {
+      Consumer<RangeResult> callback) {
     String path = "/keys?prefix=" + prefix + (from.isEmpty() ? "" : "&from=" + from) + "&page=500";
     enqueue(
-        urgency,
+        priority,
         0,
         "GET",
         path,
         null,
         CALL_TIMEOUT_S * 2,
-        reply -> {
-          if (!reply.ok()) {
-            then.accept(new RangeResult(outcome(reply), List.of(), 0));
+        response -> {
+          if (!response.ok()) {
+            callback.accept(new RangeResult(outcome(response), List.of(), 0));
             return;
           }
           try {
-            Document d = Document.decode(reply.body());
-            // The first page's revision is the safe point to watch from: later pages may be newer.
-            long first = revision == 0 ? d.count("ledger_rev") : revision;
+            Document d = Document.decode(response.body());
+            // A watch must start at the revision of the first page, as later pages may be newer.
+            long firstRevision = revision == 0 ? d.count("ledger_rev") : revision;
             for (Document p : d.documents("pairs")) {
               all.add(new KeyValue(p.text("k"), p.document("data"), p.count("stamp")));
             }
             if (d.flagOr("more", false) && !all.isEmpty()) {
-              readPage(prefix, all.get(all.size() - 1).key(), urgency, all, first, then);
+              readPage(
+                  prefix, all.get(all.size() - 1).key(), priority, all, firstRevision, callback);
             } else {
-              then.accept(new RangeResult(Outcome.OK, all, first));
+              callback.accept(new RangeResult(Outcome.OK, all, firstRevision));
             }
           } catch (MalformedMessageException e) {
-            then.accept(new RangeResult(Outcome.UNKNOWN, List.of(), 0));
+            callback.accept(new RangeResult(Outcome.UNKNOWN, List.of(), 0));
           }
         });
   }
 
   @Override
-  public void tryTxn(Txn txn, RequestPriority urgency, Consumer<WriteResult> then) {
+  public void tryTxn(Txn txn, RequestPriority priority, Consumer<WriteResult> callback) {
     enqueue(
-        urgency,
+        priority,
         txn.writeCount(),
         "POST",
         "/txn",
         txn.encode(),
         CALL_TIMEOUT_S,
-        reply -> then.accept(toWriteResult(reply, "ledger_rev")));
+        response -> callback.accept(toWriteResult(response, "ledger_rev")));
   }
 
   @Override
-  public void commit(Txn txn, String mark, RequestPriority urgency, Consumer<WriteResult> then) {
-    tryCommit(txn, mark, urgency, false, 0.1, then);
+  public void commit(
+      Txn txn, String writeId, RequestPriority priority, Consumer<WriteResult> callback) {
+    tryCommit(txn, writeId, priority, false, 0.1, callback);
   }
 
   private void tryCommit(
       Txn txn,
-      String mark,
-      RequestPriority urgency,
-      boolean unclear,
-      double pauseS,
-      Consumer<WriteResult> then) {
+      String writeId,
+      RequestPriority priority,
+      boolean outcomeUnknown,
+      double retryDelayS,
+      Consumer<WriteResult> callback) {
     tryTxn(
         txn,
-        urgency,
-        done -> {
-          switch (done.outcome()) {
-            case OK -> then.accept(done);
+        priority,
+        result -> {
+          switch (result.outcome()) {
+            case OK -> callback.accept(result);
             case REFUSED, UNKNOWN, NOT_FOUND -> {
-              if (done.outcome() == Outcome.NOT_FOUND) {
-                LOG.log(Level.ERROR, "the state service calls a transaction malformed: {0}", mark);
+              if (result.outcome() == Outcome.NOT_FOUND) {
+                LOG.log(
+                    Level.ERROR,
+                    "state service rejected transaction {0} as malformed; retrying",
+                    writeId);
               }
-              boolean nowUnclear = unclear || done.outcome() == Outcome.UNKNOWN;
+              boolean unknownSoFar = outcomeUnknown || result.outcome() == Outcome.UNKNOWN;
               timers.after(
-                  pauseS,
-                  () -> tryCommit(txn, mark, urgency, nowUnclear, Math.min(1.0, pauseS * 2), then));
+                  retryDelayS,
+                  () ->
+                      tryCommit(
+                          txn,
+                          writeId,
+                          priority,
+                          unknownSoFar,
+                          Math.min(1.0, retryDelayS * 2),
+                          callback));
             }
             case CONFLICT -> {
-              if (unclear) {
-                // An earlier attempt may be what made the condition fail.
-                readBack(txn, mark, done, then);
+              if (outcomeUnknown) {
+                // An earlier attempt may have been applied and have caused the conflict.
+                readBack(txn, writeId, result, callback);
               } else {
-                then.accept(done);
+                callback.accept(result);
               }
             }
           }
         });
   }
 
-  private void readBack(Txn txn, String mark, WriteResult conflict, Consumer<WriteResult> then) {
+  private void readBack(
+      Txn txn, String writeId, WriteResult conflict, Consumer<WriteResult> callback) {
     get(
         txn.readBackKey(),
         RequestPriority.CORE,
-        got -> {
-          switch (got.outcome()) {
+        current -> {
+          switch (current.outcome()) {
             case OK -> {
-              boolean ours;
+              boolean ownWrite;
               try {
-                ours = mark.equals(got.value().textOr(WRITE_ID_FIELD, ""));
+                ownWrite = writeId.equals(current.value().textOr(WRITE_ID_FIELD, ""));
               } catch (MalformedMessageException e) {
-                ours = false;
+                ownWrite = false;
               }
-              then.accept(ours ? new WriteResult(Outcome.OK, got.revision(), List.of()) : conflict);
+              callback.accept(
+                  ownWrite ? new WriteResult(Outcome.OK, current.revision(), List.of()) : conflict);
             }
-            case NOT_FOUND -> then.accept(conflict);
-            default -> timers.after(0.3, () -> readBack(txn, mark, conflict, then));
+            case NOT_FOUND -> callback.accept(conflict);
+            default -> timers.after(0.3, () -> readBack(txn, writeId, conflict, callback));
           }
         });
   }
 
   @Override
-  public void watch(String prefix, long from, double blockS, Consumer<WatchResult> then) {
+  public void watch(String prefix, long from, double blockS, Consumer<WatchResult> callback) {
     String path =
         "/watch?prefix=" + prefix + "&from=" + from + "&block_ms=" + Math.round(blockS * 1000);
     enqueue(
-        // Somebody waits for one that does not wait itself.
+        // A non-blocking watch has a caller that waits for its result.
         blockS > 0 ? RequestPriority.CORE : RequestPriority.USER,
         0,
         "GET",
         path,
         null,
         blockS + 2,
-        reply -> {
-          if (!reply.ok()) {
-            then.accept(new WatchResult(outcome(reply), List.of(), from, reply.status() == 410));
+        response -> {
+          if (!response.ok()) {
+            callback.accept(
+                new WatchResult(outcome(response), List.of(), from, response.status() == 410));
             return;
           }
           try {
-            Document d = Document.decode(reply.body());
+            Document d = Document.decode(response.body());
             List<WatchEvent> events = new ArrayList<>();
             for (Document e : d.documents("events")) {
               boolean put = e.has("put");
@@ -325,16 +351,16 @@
                       put ? e.document("data") : null,
                       e.count("stamp")));
             }
-            then.accept(new WatchResult(Outcome.OK, events, d.count("ledger_rev"), false));
+            callback.accept(new WatchResult(Outcome.OK, events, d.count("ledger_rev"), false));
           } catch (MalformedMessageException e) {
-            then.accept(new WatchResult(Outcome.UNKNOWN, List.of(), from, true));
+            callback.accept(new WatchResult(Outcome.UNKNOWN, List.of(), from, true));
           }
         });
   }
 
   @Override
-  public void grantLease(double lifeS, Consumer<WriteResult> then) {
-    byte[] body = Document.create().put("life_ms", Math.round(lifeS * 1000)).encode();
+  public void grantLease(double ttlS, Consumer<WriteResult> callback) {
+    byte[] body = Document.create().put("life_ms", Math.round(ttlS * 1000)).encode();
     enqueue(
         RequestPriority.USER,
         0,
@@ -342,40 +368,41 @@
         "/leases",
         body,
         CALL_TIMEOUT_S,
-        r -> then.accept(toWriteResult(r, "tenancy")));
+        r -> callback.accept(toWriteResult(r, "tenancy")));
   }
 
   @Override
-  public void renewLease(long tenancy, Consumer<WriteResult> then) {
+  public void renewLease(long leaseId, Consumer<WriteResult> callback) {
     enqueue(
         RequestPriority.USER,
         0,
         "POST",
-        "/leases/" + tenancy + "/touch",
+        "/leases/" + leaseId + "/touch",
         Document.create().encode(),
         CALL_TIMEOUT_S,
-        r -> then.accept(new WriteResult(outcome(r), tenancy, List.of())));
+        r -> callback.accept(new WriteResult(outcome(r), leaseId, List.of())));
   }
 
-  private static WriteResult toWriteResult(Response reply, String field) {
+  private static WriteResult toWriteResult(Response response, String field) {
     try {
-      if (reply.ok()) {
-        return new WriteResult(Outcome.OK, Document.decode(reply.body()).count(field), List.of());
+      if (response.ok()) {
+        return new WriteResult(
+            Outcome.OK, Document.decode(response.body()).count(field), List.of());
       }
-      if (reply.status() == 409) {
-        Document d = Document.decode(reply.body());
+      if (response.status() == 409) {
+        Document d = Document.decode(response.body());
         return new WriteResult(Outcome.CONFLICT, d.countOr("ledger_rev", 0), d.texts("failed"));
       }
     } catch (MalformedMessageException e) {
       return new WriteResult(Outcome.UNKNOWN, 0, List.of());
     }
-    return new WriteResult(outcome(reply), 0, List.of());
+    return new WriteResult(outcome(response), 0, List.of());
   }
 
-  private static Outcome outcome(Response reply) {
-    return switch (reply.status()) {
+  private static Outcome outcome(Response response) {
+    return switch (response.status()) {
       case 200 -> Outcome.OK;
-      // A 400 here can only be a lease that has ended: everything else is made by this program.
+      // A 400 can only mean an expired lease: this client builds the rest of each request.
       case 400, 404 -> Outcome.NOT_FOUND;
       case 409 -> Outcome.CONFLICT;
       case 429, 503 -> Outcome.REFUSED;
@@ -384,25 +411,27 @@
   }
 
   private void enqueue(
-      RequestPriority urgency,
-      int changes,
+      RequestPriority priority,
+      int writes,
       String method,
       String path,
       byte[] body,
       double deadlineS,
-      Consumer<Response> then) {
-    Consumer<Response> guarded = reply -> decisionLock.run(() -> then.accept(reply));
+      Consumer<Response> callback) {
+    Consumer<Response> lockedCallback =
+        response -> decisionLock.run(() -> callback.accept(response));
     decisionLock.run(
         () -> {
-          double wait = urgency == RequestPriority.USER ? USER_QUEUE_TIMEOUT_S : QUEUE_TIMEOUT_S;
+          double queueTimeoutS =
+              priority == RequestPriority.USER ? USER_QUEUE_TIMEOUT_S : QUEUE_TIMEOUT_S;
           queues
-              .get(urgency)
+              .get(priority)
               .add(
                   new QueuedRequest(
-                      timers.now() + wait,
-                      changes,
+                      timers.now() + queueTimeoutS,
+                      writes,
                       () -> {
-                        double sent = timers.now();
+                        double sentAt = timers.now();
                         caller.call(
                             address,
                             method,
@@ -413,46 +442,50 @@
                               decisionLock.run(
                                   () ->
                                       recordResponse(
-                                          r, sent, deadlineS > MAX_NON_BLOCKING_TIMEOUT_S));
-                              guarded.accept(r);
+                                          r, sentAt, deadlineS > MAX_NON_BLOCKING_TIMEOUT_S));
+                              lockedCallback.accept(r);
                             });
                       },
-                      () -> guarded.accept(new Response(429, new byte[0], 0))));
+                      () -> lockedCallback.accept(new Response(429, new byte[0], 0))));
           dispatchQueued();
         });
   }
 
-  /** Hears of an answer, or that there was none to a request that may not wait for changes. */
-  private void recordResponse(Response reply, double sent, boolean waits) {
-    if (reply.status() > 0) {
+  /**
+   * Records a response, or the lack of one. {@code blocking} is true for a request that waits for
+   * changes, whose missing response is no sign of an outage.
+   */
+  private void recordResponse(Response response, double sentAt, boolean blocking) {
+    if (response.status() > 0) {
       lastResponseAt = timers.now();
       unresponsive = false;
-      if (reply.status() == 503) {
-        down = true;
+      if (response.status() == 503) {
+        refusing = true;
         probe(PROBE_INTERVAL_S);
-      } else if (reply.status() != 429) {
-        down = false;
+      } else if (response.status() != 429) {
+        refusing = false;
       }
-    } else if (!waits && lastResponseAt < sent) {
+    } else if (!blocking && lastResponseAt < sentAt) {
       probe(0);
     }
   }
 
   /**
-   * In an outage a single small read goes out now and then, so that its end is noticed at once. One
-   * goes out as well when a request has no answer: a controller that has lost the state service
-   * alone is told nothing by it, and were that not noticed each user would wait in vain. One lost
-   * answer says little, for this controller itself may be slow; two in a row are believed.
+   * Sends one small read after {@code delayS} seconds. In an outage it is repeated, so that
+   * recovery is noticed at once. It also follows a request without a response: a controller that
+   * alone has lost the connection to the state service receives no error, and each user request
+   * would wait in vain if that were not detected. One missing response may only mean that this
+   * controller is slow; the service counts as unresponsive after two in a row.
    */
-  private void probe(double pauseS) {
+  private void probe(double delayS) {
     if (probePending) {
       return;
     }
     probePending = true;
     timers.after(
-        pauseS,
+        delayS,
         () -> {
-          double sent = timers.now();
+          double sentAt = timers.now();
           caller.call(
               address,
               "GET",
@@ -464,11 +497,11 @@
                       () -> {
                         probePending = false;
                         if (r.status() > 0) {
-                          recordResponse(r, sent, false);
-                        } else if (lastResponseAt < sent) {
+                          recordResponse(r, sentAt, false);
+                        } else if (lastResponseAt < sentAt) {
                           unresponsive = true;
                           probe(PROBE_INTERVAL_S);
-                        } else if (down) {
+                        } else if (refusing) {
                           probe(PROBE_INTERVAL_S);
                         }
                       }));
@@ -478,39 +511,41 @@
   private void dispatchQueued() {
     double now = timers.now();
     rateLimiter.refill(now);
-    boolean left = false;
-    boolean held = false;
+    boolean requestsRemain = false;
+    boolean writesBlocked = false;
     int missing = 0;
     for (var e : queues.entrySet()) {
       ArrayDeque<QueuedRequest> queue = e.getValue();
       while (!queue.isEmpty()) {
-        QueuedRequest w = queue.peek();
-        boolean writable = w.writes == 0 || !held && rateLimiter.allowsWrites(e.getKey(), w.writes);
-        if (w.expiresAt < now) {
+        QueuedRequest request = queue.peek();
+        boolean writable =
+            request.writes == 0
+                || !writesBlocked && rateLimiter.allowsWrites(e.getKey(), request.writes);
+        if (request.expiresAt < now) {
           queue.poll();
-          decisionLock.defer(w.reject);
+          decisionLock.defer(request.reject);
         } else if (rateLimiter.allowsRequest() && writable) {
           queue.poll();
-          rateLimiter.consume(w.writes);
+          rateLimiter.consume(request.writes);
           requestsSent++;
-          writesSent += w.writes;
-          decisionLock.defer(w.send);
+          writesSent += request.writes;
+          decisionLock.defer(request.send);
         } else {
-          // What is less urgent must not take what this saves up for.
-          if (!writable && !held) {
-            held = true;
+          // Lower priorities must not take the tokens for which this request waits.
+          if (!writable && !writesBlocked) {
+            writesBlocked = true;
             missing =
                 e.getKey() == RequestPriority.BACKGROUND
                     ? 0
-                    : rateLimiter.missingWrites(e.getKey(), w.writes);
+                    : rateLimiter.missingWrites(e.getKey(), request.writes);
           }
-          left = true;
+          requestsRemain = true;
           break;
         }
       }
     }
     reportWriteShortage(missing);
-    if (left && !dispatchScheduled) {
+    if (requestsRemain && !dispatchScheduled) {
       dispatchScheduled = true;
       timers.after(
           0.02,
--- a/src/main/java/dev/dunefront/store/Membership.java
+++ b/src/main/java/dev/dunefront/store/Membership.java
@@ -11,13 +11,14 @@
 import java.util.function.Consumer;
 
 /**
- * Which controllers live. Each holds a key under a lease of its own; the lease's id makes the
- * incarnation's name, so a controller that restarts, or loses its lease, is a new one to all.
+ * Tracks which controllers are live. Each stores a key under a lease of its own; the lease ID is
+ * part of the incarnation's name, so a controller that restarts or loses its lease is a new
+ * incarnation to the others.
  */
 public final class Membership {
   public static final String PREFIX = Replica.PREFIX + "n/";
 
-  /** Even in an outage the lease is asked for more often than this. */
+  /** Even in an outage the lease is requested or renewed more often than this. */
   private static final double STALL_TIMEOUT_S = 30;
 
   private static final System.Logger LOG = System.getLogger(Membership.class.getName());
@@ -31,12 +32,12 @@
   private final LoopWatchdog loopWatchdog;
   private final Map<String, String> liveIncarnations = new TreeMap<>();
 
-  /** The zones of living controllers, as they tell. */
+  /** Zones of the live controllers, as they report them. */
   private final Map<String, String> zones = new TreeMap<>();
 
   private Runnable newIncarnationListener = () -> {};
 
-  /** The stamp of this controller's key as last seen; 0 if it is not there. */
+  /** Revision of this controller's key as last seen; 0 if the key does not exist. */
   private long ownKeyRevision;
 
   private long leaseId;
@@ -48,24 +49,28 @@
       StateStore store,
       Replica replica,
       Timers timers,
-      double lifeS,
-      LoopWatchdog loops) {
+      double leaseTtlS,
+      LoopWatchdog loopWatchdog) {
     this.node = node;
     this.zone = zone;
     this.store = store;
     this.replica = replica;
     this.timers = timers;
-    this.leaseTtlS = lifeS;
-    this.loopWatchdog = loops;
+    this.leaseTtlS = leaseTtlS;
+    this.loopWatchdog = loopWatchdog;
     replica.addListener(
         PREFIX,
-        (name, value, stamp) -> {
+        (name, value, revision) -> {
           String incarnation = null;
           try {
             incarnation = value == null ? null : value.text("inc");
             zones.put(name, value == null ? "" : value.textOr("zone", ""));
           } catch (MalformedMessageException e) {
-            LOG.log(Level.ERROR, "the record of {0} cannot be read: {1}", name, e.getMessage());
+            LOG.log(
+                Level.ERROR,
+                "cannot decode the membership record of {0}: {1}",
+                name,
+                e.getMessage());
           }
           if (incarnation == null) {
             liveIncarnations.remove(name);
@@ -74,7 +79,7 @@
             liveIncarnations.put(name, incarnation);
           }
           if (name.equals(node)) {
-            ownKeyRevision = value == null ? 0 : stamp;
+            ownKeyRevision = value == null ? 0 : revision;
             if (ownIncarnation != null && !ownIncarnation.equals(incarnation)) {
               rewriteOwnKey(ownIncarnation);
             }
@@ -83,9 +88,9 @@
   }
 
   /**
-   * This controller's key shows another name or is gone, while it serves. Either its lease has just
-   * run out, or somebody has written over it: then the others would take it for dead for ever while
-   * it goes on.
+   * Rewrites this controller's key, which has been removed or names another incarnation although
+   * this one is live. Either the lease has just expired, or another writer has overwritten the key;
+   * the others would then treat this controller as dead for as long as it runs.
    */
   private void rewriteOwnKey(String name) {
     if (!name.equals(ownIncarnation) || name.equals(liveIncarnations.get(node))) {
@@ -95,13 +100,13 @@
     store.tryTxn(
         new Txn().requireRevision(PREFIX + node, ownKeyRevision).put(PREFIX + node, value, leaseId),
         StateStore.RequestPriority.USER,
-        done -> {
+        result -> {
           if (!name.equals(ownIncarnation)) {
             return;
           }
-          if (done.ok()) {
-            replica.apply(PREFIX + node, value, done.revision());
-          } else if (done.outcome() == StateStore.Outcome.NOT_FOUND) {
+          if (result.ok()) {
+            replica.apply(PREFIX + node, value, result.revision());
+          } else if (result.outcome() == StateStore.Outcome.NOT_FOUND) {
             leaseExpired();
           } else {
             timers.after(0.3, () -> rewriteOwnKey(name));
@@ -110,7 +115,7 @@
   }
 
   private void leaseExpired() {
-    LOG.log(Level.INFO, "lease of {0} has ended", ownIncarnation);
+    LOG.log(Level.INFO, "lease of {0} has expired", ownIncarnation);
     ownIncarnation = null;
     leaseId = 0;
     start();
@@ -123,12 +128,12 @@
         .put(StateStore.WRITE_ID_FIELD, store.newWriteId());
   }
 
-  /** What to do whenever this controller has become a new incarnation. */
+  /** Sets the action to run whenever this controller has registered as a new incarnation. */
   public void onNewIncarnation(Runnable action) {
     newIncarnationListener = action;
   }
 
-  /** This incarnation's name, or null while there is none. */
+  /** Name of the current incarnation, or null while this controller is not registered. */
   public String ownIncarnation() {
     return ownIncarnation;
   }
@@ -141,7 +146,7 @@
     return incarnation.equals(liveIncarnations.get(nodeOf(incarnation)));
   }
 
-  /** The living incarnation of a node, or null. */
+  /** Live incarnation of a node, or null. */
   public String liveIncarnation(String name) {
     return liveIncarnations.get(name);
   }
@@ -150,17 +155,20 @@
     return liveIncarnations.keySet();
   }
 
-  /** The zone of a living controller; empty while it has not told. */
+  /** Zone of a live controller; empty if it is unknown. */
   public String zone(String name) {
     return zones.getOrDefault(name, "");
   }
 
-  /** The controller of an incarnation; empty for what is none, which no controller is called. */
+  /**
+   * Node of an incarnation; empty if the argument is not the name of one. No node has an empty
+   * name.
+   */
   public static String nodeOf(String incarnation) {
     return incarnation.substring(0, Math.max(0, incarnation.lastIndexOf('#')));
   }
 
-  /** The lease under which an incarnation lives; 0 for what is none. */
+  /** Lease ID of an incarnation; 0 if the argument is not the name of one. */
   public static long leaseIdOf(String incarnation) {
     try {
       return Long.parseLong(incarnation.substring(incarnation.lastIndexOf('#') + 1));
@@ -172,57 +180,58 @@
   public void start() {
     store.grantLease(
         leaseTtlS,
-        granted -> {
-          if (!granted.ok()) {
-            LOG.log(Level.INFO, "no lease is granted yet: {0}", granted.outcome());
+        result -> {
+          if (!result.ok()) {
+            LOG.log(Level.INFO, "lease request failed: {0}; retrying", result.outcome());
             timers.after(0.3, this::start);
             return;
           }
-          loopWatchdog.recordIteration("renewing the lease", timers.now(), STALL_TIMEOUT_S);
-          register(granted.revision());
+          loopWatchdog.recordIteration("lease renewal", timers.now(), STALL_TIMEOUT_S);
+          register(result.revision());
         });
   }
 
   /**
-   * Writes this controller's key under a new lease, on the condition of what it shows now: the
-   * write of an earlier try, or of an earlier life, may come late, and would show a name that is
-   * dead and take the key along when that one's lease ends.
+   * Writes this controller's key under a new lease, on the condition that the key is unchanged.
+   * Without it, a delayed write of an earlier attempt or incarnation could replace the key by one
+   * that names a dead incarnation and is removed when that one's lease ends.
    */
-  private void register(long id) {
-    String name = node + "#" + id;
+  private void register(long newLeaseId) {
+    String name = node + "#" + newLeaseId;
     store.get(
         PREFIX + node,
-        // Without a lease nothing else can be done: it waits behind nothing.
+        // Highest priority: without a lease this controller cannot do anything else.
         StateStore.RequestPriority.USER,
-        got -> {
-          if (got.outcome() != StateStore.Outcome.OK
-              && got.outcome() != StateStore.Outcome.NOT_FOUND) {
-            retryRegistration(name, got.outcome());
+        current -> {
+          if (current.outcome() != StateStore.Outcome.OK
+              && current.outcome() != StateStore.Outcome.NOT_FOUND) {
+            retryRegistration(name, current.outcome());
             return;
           }
           Document value = memberRecord(name);
           store.tryTxn(
               new Txn()
-                  .requireRevision(PREFIX + node, got.revision())
-                  .put(PREFIX + node, value, id),
+                  .requireRevision(PREFIX + node, current.revision())
+                  .put(PREFIX + node, value, newLeaseId),
               StateStore.RequestPriority.USER,
-              done -> {
-                if (!done.ok()) {
-                  retryRegistration(name, done.outcome());
+              result -> {
+                if (!result.ok()) {
+                  retryRegistration(name, result.outcome());
                   return;
                 }
-                leaseId = id;
+                leaseId = newLeaseId;
                 ownIncarnation = name;
-                timers.after(leaseTtlS / 4, () -> renewPeriodically(id));
-                replica.apply(PREFIX + node, value, done.revision());
+                timers.after(leaseTtlS / 4, () -> renewPeriodically(newLeaseId));
+                replica.apply(PREFIX + node, value, result.revision());
                 LOG.log(Level.INFO, "serving as {0}", name);
                 newIncarnationListener.run();
               });
         });
   }
 
-  private void retryRegistration(String name, StateStore.Outcome why) {
-    LOG.log(Level.INFO, "not enrolled as {0} yet: {1}", name, why);
+  private void retryRegistration(String name, StateStore.Outcome outcome) {
+    LOG.log(
+        Level.INFO, "registration as {0} failed: {1}; retrying with a new lease", name, outcome);
     timers.after(0.3, this::start);
   }
 
@@ -232,24 +241,27 @@
     }
   }
 
-  /** Asks whether this incarnation still lives; by the time the action runs that is known. */
-  void verifyLease(Runnable then) {
+  /**
+   * Checks whether this incarnation's lease is still valid. The action runs after the response has
+   * been processed.
+   */
+  void verifyLease(Runnable callback) {
     if (ownIncarnation == null) {
-      then.run();
+      callback.run();
     } else {
-      renewOnce(leaseId, ok -> then.run());
+      renewOnce(leaseId, ok -> callback.run());
     }
   }
 
-  private void renewOnce(long id, Consumer<Boolean> then) {
+  private void renewOnce(long id, Consumer<Boolean> callback) {
     store.renewLease(
         id,
-        done -> {
-          loopWatchdog.recordIteration("renewing the lease", timers.now(), STALL_TIMEOUT_S);
-          if (done.outcome() == StateStore.Outcome.NOT_FOUND && id == leaseId) {
+        result -> {
+          loopWatchdog.recordIteration("lease renewal", timers.now(), STALL_TIMEOUT_S);
+          if (result.outcome() == StateStore.Outcome.NOT_FOUND && id == leaseId) {
             leaseExpired();
           }
-          then.accept(done.ok());
+          callback.accept(result.ok());
         });
   }
 }
--- a/src/main/java/dev/dunefront/store/PauseDetector.java
+++ b/src/main/java/dev/dunefront/store/PauseDetector.java
@@ -8,21 +8,21 @@
 import java.util.List;
 
 /**
- * Notices that this controller has stood still while its clock ran on: by the steady clock between
- * two decisions, for its timers come several times a second. Meanwhile others may have taken its
- * claims and machines, and what is due or has arrived since comes all at once. So it first asks
- * whether its lease still lives and what has changed, and until it knows it deals no room, sends no
- * orders, calls nothing gone, rents and returns nothing and lets workers wait a moment for their
- * answers.
+ * Detects that this process was paused while its clock continued, from the monotonic time between
+ * two decisions: its timers fire several times a second. During a pause other controllers may have
+ * taken over its claims and machines, and afterwards overdue timers and messages arrive all at
+ * once. The controller therefore first checks whether its lease is still valid and which changes it
+ * has missed. Until this is known it makes no offers, sends no commands, declares nothing as lost,
+ * rents and returns no machines, and briefly delays its responses to workers.
  *
- * <p>Where the state service does not answer it goes on after a while as before: every placement
- * and every proof is conditional on the record of the hold, so nothing untrue can be written; in an
- * outage nobody can have taken anything, and workers need answers.
+ * <p>If the state service does not respond, the controller resumes after a timeout. Every placement
+ * and every proof is conditional on the record of the hold, so no false state can be written; in an
+ * outage no other controller can have taken anything over, and workers need responses.
  */
 public final class PauseDetector {
   private static final System.Logger LOG = System.getLogger(PauseDetector.class.getName());
 
-  /** How long is waited for the state service's word. */
+  /** Timeout of the state service's responses after a pause. */
   private static final double REFRESH_TIMEOUT_S = 1.5;
 
   private final Replica replica;
@@ -31,85 +31,91 @@
   private final DecisionLock decisionLock;
   private final LoopWatchdog loopWatchdog;
   private final double pauseThresholdS;
-  private final List<Runnable> waiting = new ArrayList<>();
+  private final List<Runnable> pendingActions = new ArrayList<>();
   private final List<Runnable> listeners = new ArrayList<>();
   private double lastDecisionAt;
   private long pauseCount;
   private int pendingRefreshes;
   private boolean current = true;
 
-  /** A gap of {@code gapS} is one in which this controller's lease may have run out. */
+  /**
+   * {@code pauseThresholdS} is the length of a pause during which this controller's lease may have
+   * expired.
+   */
   public PauseDetector(
       Replica replica,
       Membership membership,
       Timers timers,
       DecisionLock decisionLock,
-      LoopWatchdog loops,
-      double gapS) {
+      LoopWatchdog loopWatchdog,
+      double pauseThresholdS) {
     this.replica = replica;
     this.membership = membership;
     this.timers = timers;
     this.decisionLock = decisionLock;
-    this.loopWatchdog = loops;
-    this.pauseThresholdS = gapS;
+    this.loopWatchdog = loopWatchdog;
+    this.pauseThresholdS = pauseThresholdS;
     this.lastDecisionAt = timers.now();
     decisionLock.beforeEachDecision(this::detectPause);
   }
 
-  /** Hears whenever this controller knows again what holds. */
-  public void addResumeListener(Runnable woken) {
-    listeners.add(woken);
+  /** Adds a listener that runs whenever the local state is current again after a pause. */
+  public void addResumeListener(Runnable listener) {
+    listeners.add(listener);
   }
 
-  /** Whether what this controller believes was not overtaken while it stood still. */
+  /**
+   * Whether the local state is current; false after a pause until it has been refreshed or the
+   * refresh has timed out.
+   */
   public boolean current() {
     return current;
   }
 
-  /** Runs the action when this controller is current, which may be now. */
+  /** Runs the action once the local state is current, which may be at once. */
   public void whenCurrent(Runnable action) {
     if (current) {
       action.run();
     } else {
-      waiting.add(action);
+      pendingActions.add(action);
     }
   }
 
-  /** A decision is about to be made. */
+  /** Runs before each decision. */
   private void detectPause() {
     double now = timers.now();
-    double gap = now - lastDecisionAt;
+    double gapS = now - lastDecisionAt;
     lastDecisionAt = now;
-    if (gap < pauseThresholdS) {
+    if (gapS < pauseThresholdS) {
       return;
     }
     loopWatchdog.resetAfterPause(now);
     if (!replica.ready()) {
       return;
     }
-    LOG.log(Level.INFO, "stood still for {0} s; asks what has changed", gap);
-    long waking = ++pauseCount;
+    LOG.log(Level.INFO, "process was paused for {0} s; refreshing the lease and the state", gapS);
+    long pause = ++pauseCount;
     current = false;
     pendingRefreshes = 2;
-    replica.catchUp(() -> refreshCompleted(waking));
-    membership.verifyLease(() -> refreshCompleted(waking));
-    timers.after(REFRESH_TIMEOUT_S, () -> decisionLock.run(() -> resume(waking)));
+    replica.catchUp(() -> refreshCompleted(pause));
+    membership.verifyLease(() -> refreshCompleted(pause));
+    timers.after(REFRESH_TIMEOUT_S, () -> decisionLock.run(() -> resume(pause)));
   }
 
-  private void refreshCompleted(long waking) {
-    if (waking == pauseCount && --pendingRefreshes == 0) {
-      resume(waking);
+  private void refreshCompleted(long pause) {
+    if (pause == pauseCount && --pendingRefreshes == 0) {
+      resume(pause);
     }
   }
 
-  private void resume(long waking) {
-    if (waking != pauseCount || current) {
+  private void resume(long pause) {
+    if (pause != pauseCount || current) {
       return;
     }
     current = true;
     listeners.forEach(Runnable::run);
-    List<Runnable> all = List.copyOf(waiting);
-    waiting.clear();
-    all.forEach(Runnable::run);
+    List<Runnable> actions = List.copyOf(pendingActions);
+    pendingActions.clear();
+    actions.forEach(Runnable::run);
   }
 }
--- a/src/main/java/dev/dunefront/store/ReadBarrier.java
+++ b/src/main/java/dev/dunefront/store/ReadBarrier.java
@@ -7,16 +7,20 @@
 import java.util.function.Consumer;
 
 /**
- * Proofs that the replica shows at least what anybody has been told of a part of the state by the
- * time of a question. One cheap read, a watch that does not wait, is begun after the question came
- * and brings all changes since the last: it serves all questions that have come until it goes out,
- * so a storm of them costs the state service no more than a trickle.
+ * Read barrier for the replica, comparable to ReadIndex in Raft: confirms that the replica contains
+ * every change under a prefix that any client may have observed before the request. One cheap read,
+ * a non-blocking watch, starts after the request has arrived and returns all changes since the last
+ * read. It serves all requests that wait when it is sent, so the load on the state service does not
+ * grow with their number.
  */
 public final class ReadBarrier {
-  /** Between two proofs, in seconds; users wait for 2 s, and the state may lag by 3 s. */
+  /**
+   * Minimum time between two reads, in seconds; users wait for up to 2 s, and the state may lag by
+   * 3 s.
+   */
   private static final double MIN_READ_INTERVAL_S = 0.3;
 
-  /** So many questions wait at the most; the rest are refused at once. */
+  /** Maximum number of waiting requests; further ones are rejected at once. */
   private static final int MAX_WAITING = 4000;
 
   private final StateStore store;
@@ -32,7 +36,7 @@
   private long verifiedRevision;
   private int readCount;
 
-  /** Proofs for what is under a prefix that is itself under the replica's. */
+  /** Creates a barrier for the keys under a prefix, which lies within the replica's own prefix. */
   public ReadBarrier(
       StateStore store, Replica replica, Timers timers, DecisionLock decisionLock, String prefix) {
     this.store = store;
@@ -42,31 +46,34 @@
     this.prefix = prefix;
   }
 
-  /** How many questions wait. */
+  /** Number of waiting requests. */
   public int waiting() {
     return waiting.size();
   }
 
-  /** How long the oldest has waited, in seconds. */
+  /** Waiting time of the oldest request, in seconds. */
   public double oldestS() {
     return waiting.isEmpty() ? 0 : timers.now() - oldestWaitingSince;
   }
 
-  /** Reads made so far. */
+  /** Number of reads sent so far. */
   public int readCount() {
     return readCount;
   }
 
-  /** Runs the action once the replica is proven, or with false if it cannot be now. */
-  public void whenCurrent(Consumer<Boolean> then) {
+  /**
+   * Passes true to the callback once the replica is confirmed to be current, or false if it cannot
+   * be confirmed now.
+   */
+  public void whenCurrent(Consumer<Boolean> callback) {
     if (!replica.ready() || waiting.size() >= MAX_WAITING) {
-      then.accept(false);
+      callback.accept(false);
       return;
     }
     if (waiting.isEmpty()) {
       oldestWaitingSince = timers.now();
     }
-    waiting.add(then);
+    waiting.add(callback);
     scheduleRead();
   }
 
@@ -74,14 +81,14 @@
     if (readScheduled || readInFlight) {
       return;
     }
-    double wait = lastReadAt + MIN_READ_INTERVAL_S - timers.now();
-    if (wait <= 0) {
+    double delayS = lastReadAt + MIN_READ_INTERVAL_S - timers.now();
+    if (delayS <= 0) {
       startRead();
       return;
     }
     readScheduled = true;
     timers.after(
-        wait,
+        delayS,
         () ->
             decisionLock.run(
                 () -> {
@@ -104,15 +111,15 @@
         prefix,
         verifiedRevision,
         0,
-        watched -> {
+        result -> {
           readInFlight = false;
-          boolean ok = watched.outcome() == StateStore.Outcome.OK;
+          boolean ok = result.outcome() == StateStore.Outcome.OK;
           if (ok) {
-            watched.events().forEach(e -> replica.apply(e.key(), e.value(), e.revision()));
-            verifiedRevision = Math.max(verifiedRevision, watched.revision());
+            result.events().forEach(e -> replica.apply(e.key(), e.value(), e.revision()));
+            verifiedRevision = Math.max(verifiedRevision, result.revision());
           }
-          // One whose answer fails must not keep the others from theirs.
-          served.forEach(then -> decisionLock.run(() -> then.accept(ok)));
+          // A callback that throws must not prevent the others from running.
+          served.forEach(callback -> decisionLock.run(() -> callback.accept(ok)));
           if (!waiting.isEmpty()) {
             scheduleRead();
           }
--- a/src/main/java/dev/dunefront/store/Replica.java
+++ b/src/main/java/dev/dunefront/store/Replica.java
@@ -11,22 +11,25 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A copy of the watched part of the state service: jobs, holds, nodes, quotas. It may lag. */
+/**
+ * Local copy of the watched part of the state service: jobs, holds, nodes, quotas. It may lag
+ * behind.
+ */
 public final class Replica {
-  /** Everything under this prefix is copied. */
+  /** Prefix of all copied keys. */
   public static final String PREFIX = "w/";
 
   private static final double WATCH_BLOCK_S = 10;
   private static final double WATCH_PAUSE_S = 0.06;
 
-  /** A watch is answered, or given up, well within this time. */
+  /** A watch returns or times out well within this time. */
   private static final double STALL_TIMEOUT_S = 30;
 
   private static final int MAX_TOMBSTONES = 4096;
 
-  /** Hears of each change; a null value means removed. */
+  /** Receives each change; a null value means that the key was removed. */
   public interface Listener {
-    void changed(String key, Document value, long stamp);
+    void changed(String key, Document value, long revision);
   }
 
   private final StateStore store;
@@ -45,22 +48,23 @@
   private boolean ready;
   private Runnable initialReadListener = () -> {};
 
-  /** Everything up to here has been seen. */
+  /** The revision up to which all changes have been applied. */
   private long appliedRevision;
 
-  public Replica(StateStore store, Timers timers, DecisionLock decisionLock, LoopWatchdog loops) {
+  public Replica(
+      StateStore store, Timers timers, DecisionLock decisionLock, LoopWatchdog loopWatchdog) {
     this.store = store;
     this.timers = timers;
     this.decisionLock = decisionLock;
-    this.loopWatchdog = loops;
+    this.loopWatchdog = loopWatchdog;
   }
 
-  /** Whether the first full read is complete. */
+  /** Whether the initial read is complete. */
   public boolean ready() {
     return ready;
   }
 
-  /** Every change up to this revision has been applied. */
+  /** Revision up to which every change has been applied. */
   public long appliedRevision() {
     return appliedRevision;
   }
@@ -69,9 +73,9 @@
     listeners.put(prefix, listener);
   }
 
-  /** Reads everything, tells so, then follows the changes for ever. */
-  public void start(Runnable read) {
-    initialReadListener = read;
+  /** Reads all keys, runs the listener when that is complete, and follows all later changes. */
+  public void start(Runnable listener) {
+    initialReadListener = listener;
     start();
   }
 
@@ -84,13 +88,13 @@
             timers.after(0.3, this::start);
             return;
           }
-          Set<String> there = new HashSet<>();
+          Set<String> present = new HashSet<>();
           for (StateStore.KeyValue p : range.pairs()) {
-            there.add(p.key());
+            present.add(p.key());
             apply(p.key(), p.value(), p.revision());
           }
           for (String key : Set.copyOf(revisions.keySet())) {
-            if (!there.contains(key) && revisions.get(key) <= range.revision()) {
+            if (!present.contains(key) && revisions.get(key) <= range.revision()) {
               apply(key, null, range.revision());
             }
           }
@@ -103,15 +107,18 @@
         });
   }
 
-  /** Asks at once for what has changed, besides following; the action runs when it is here. */
-  void catchUp(Runnable then) {
+  /**
+   * Fetches the latest changes at once, in addition to the running watch. The action runs after the
+   * response, even if the request failed.
+   */
+  void catchUp(Runnable callback) {
     store.watch(
         PREFIX,
         appliedRevision,
         0,
         watched -> {
           applyWatchResult(watched);
-          then.run();
+          callback.run();
         });
   }
 
@@ -125,13 +132,13 @@
   }
 
   private void watchFrom(long from) {
-    loopWatchdog.recordIteration("following the state", timers.now(), STALL_TIMEOUT_S);
+    loopWatchdog.recordIteration("state watch", timers.now(), STALL_TIMEOUT_S);
     store.watch(
         PREFIX,
         from,
         WATCH_BLOCK_S,
         watched -> {
-          loopWatchdog.recordIteration("following the state", timers.now(), STALL_TIMEOUT_S);
+          loopWatchdog.recordIteration("state watch", timers.now(), STALL_TIMEOUT_S);
           applyWatchResult(watched);
           if (watched.compacted()) {
             start();
@@ -142,24 +149,29 @@
         });
   }
 
-  /** Takes a change that a watch, a read or our own write has shown; older ones are ignored. */
-  public void apply(String key, Document value, long stamp) {
-    if (stamp <= revisions.getOrDefault(key, 0L) || stamp <= tombstones.getOrDefault(key, 0L)) {
+  /**
+   * Applies a change seen by a watch, a read or this controller's own write; older changes are
+   * ignored.
+   */
+  public void apply(String key, Document value, long revision) {
+    if (revision <= revisions.getOrDefault(key, 0L)
+        || revision <= tombstones.getOrDefault(key, 0L)) {
       return;
     }
     if (value == null) {
-      tombstones.put(key, stamp);
+      tombstones.put(key, revision);
       if (revisions.remove(key) == null) {
         return;
       }
     } else {
-      revisions.put(key, stamp);
+      revisions.put(key, revision);
     }
     listeners.forEach(
         (prefix, listener) -> {
           if (key.startsWith(prefix)) {
-            // A record that cannot be understood concerns whoever reads it, and not what follows.
-            decisionLock.run(() -> listener.changed(key.substring(prefix.length()), value, stamp));
+            // A malformed record must affect only the listener that reads it, not the watch.
+            decisionLock.run(
+                () -> listener.changed(key.substring(prefix.length()), value, revision));
           }
         });
   }
--- a/src/main/java/dev/dunefront/store/StateStore.java
+++ b/src/main/java/dev/dunefront/store/StateStore.java
@@ -6,44 +6,53 @@
 import java.util.function.Consumer;
 import java.util.function.IntConsumer;
 
-/** What the rest of the program may ask of the state service. Answers come outside any lock. */
+/**
+ * Client interface of the state service, a key-value store with transactions, watches and leases.
+ * The revision of a key, called its stamp on the wire, is that of its last change. Callbacks run
+ * asynchronously, after the caller has released its lock.
+ */
 public interface StateStore {
-  /** The mark in every value that tells who wrote it, by which unclear writes are read back. */
+  /**
+   * Field of every value that identifies the write, to resolve unknown outcomes by reading back.
+   */
   String WRITE_ID_FIELD = "w";
 
-  /** What became of a request. */
+  /** Outcome of a request. */
   enum Outcome {
     OK,
-    /** The key does not exist, or the lease has ended. */
+    /** The key does not exist, or the lease has expired. */
     NOT_FOUND,
     /** A condition failed; nothing was changed. */
     CONFLICT,
-    /** Not carried out: the service refused, or the budget is spent. */
+    /** Not executed: rejected by the service, or expired while queued for the rate limit. */
     REFUSED,
-    /** Nobody knows whether it was carried out. */
+    /** It is unknown whether the request was executed. */
     UNKNOWN
   }
 
-  /** Whose work a request is; in the order in which it goes. */
+  /** Priority of a request, in the order in which queued requests are sent. */
   enum RequestPriority {
+    /** Requests for which a user waits, and those for this controller's lease and duties. */
     USER,
-    /** What keeps a worker's lease alive. */
+    /** Requests that keep a worker's lease alive. */
     LEASE,
+    /** The controller's ordinary work. */
     CORE,
     BACKGROUND
   }
 
-  /** A value and its stamp, if it was found. */
+  /** Result of a read; the value is null unless the outcome is {@link Outcome#OK}. */
   record GetResult(Outcome outcome, Document value, long revision) {}
 
-  /** A key with its value and stamp. */
+  /** A key with its value and revision. */
   record KeyValue(String key, Document value, long revision) {}
 
-  /** All keys of a prefix, at or after a revision. */
+  /** All keys with a prefix, as of {@code revision} or later. */
   record RangeResult(Outcome outcome, List<KeyValue> pairs, long revision) {}
 
   /**
-   * What became of a transaction or lease: its revision or id; on conflict, the keys that failed.
+   * Result of a transaction or lease request: its revision or lease ID; after a conflict, the keys
+   * whose conditions failed.
    */
   record WriteResult(Outcome outcome, long revision, List<String> failed) {
     public boolean ok() {
@@ -51,68 +60,82 @@
     }
   }
 
-  /** A change seen by a watch; a null value means removed. */
+  /** A change reported by a watch; a null value means that the key was removed. */
   record WatchEvent(String key, Document value, long revision) {}
 
-  /** Changes up to a revision; or that the revision asked for is too old to tell. */
+  /**
+   * Changes up to {@code revision}; {@code compacted} means that the service cannot return all
+   * changes since the requested revision, and the keys must be read anew.
+   */
   record WatchResult(Outcome outcome, List<WatchEvent> events, long revision, boolean compacted) {}
 
-  void get(String key, RequestPriority urgency, Consumer<GetResult> then);
+  void get(String key, RequestPriority priority, Consumer<GetResult> callback);
 
-  /** Reads every key with the prefix, page after page. */
-  void range(String prefix, RequestPriority urgency, Consumer<RangeResult> then);
+  /** Reads all keys with the prefix, page by page. */
+  void range(String prefix, RequestPriority priority, Consumer<RangeResult> callback);
 
-  /** One attempt, for callers that would rather hear UNCLEAR than wait. */
-  void tryTxn(Txn txn, RequestPriority urgency, Consumer<WriteResult> then);
+  /** Sends the transaction once, for callers that prefer {@link Outcome#UNKNOWN} to waiting. */
+  void tryTxn(Txn txn, RequestPriority priority, Consumer<WriteResult> callback);
 
   /**
-   * Repeats the transaction until its outcome is certain, through outages too. The first value put
-   * must carry {@code mark} under {@link #WRITE_ID_FIELD}.
+   * Repeats the transaction until its outcome is certain, also through outages. The first value put
+   * must contain {@code writeId} in the field {@link #WRITE_ID_FIELD}.
    */
-  void commit(Txn txn, String mark, RequestPriority urgency, Consumer<WriteResult> then);
+  void commit(Txn txn, String writeId, RequestPriority priority, Consumer<WriteResult> callback);
 
-  /** The same, as part of the ordinary work. */
-  default void commit(Txn txn, String mark, Consumer<WriteResult> then) {
-    commit(txn, mark, RequestPriority.CORE, then);
+  /** Commits with {@link RequestPriority#CORE}. */
+  default void commit(Txn txn, String writeId, Consumer<WriteResult> callback) {
+    commit(txn, writeId, RequestPriority.CORE, callback);
   }
 
-  void watch(String prefix, long from, double blockS, Consumer<WatchResult> then);
+  void watch(String prefix, long from, double blockS, Consumer<WatchResult> callback);
 
-  /** Answers with the lease's id as revision. */
-  void grantLease(double lifeS, Consumer<WriteResult> then);
+  /** Requests a lease; the revision of the result is the lease ID. */
+  void grantLease(double ttlS, Consumer<WriteResult> callback);
 
-  void renewLease(long tenancy, Consumer<WriteResult> then);
+  void renewLease(long leaseId, Consumer<WriteResult> callback);
 
-  /** How long a change would wait now before it is sent. */
+  /** Seconds that a write queued now would wait until it is sent. */
   double writeDelayS();
 
-  /** So many changes are about to be asked for; what lacks is borrowed, if others have some. */
-  void anticipateWrites(int changes);
+  /**
+   * Announces writes that are about to be queued; missing write tokens are borrowed if other
+   * controllers have some.
+   */
+  void anticipateWrites(int writes);
 
-  /** Hears of how many changes are lacking for what waits or is about to come. */
+  /**
+   * Sets the listener that receives the number of write tokens missing for queued or announced
+   * writes.
+   */
   void onWriteShortage(IntConsumer listener);
 
-  /** Gives away up to so many changes that nothing here waits for; says how many. */
-  int lendWrites(int changes);
+  /**
+   * Gives up to {@code writes} write tokens to another controller if no write is queued here;
+   * returns the number given.
+   */
+  int lendWrites(int writes);
 
-  /** Another controller has given so many of its changes. */
-  void addBorrowedWrites(int changes);
+  /** Adds write tokens lent by another controller. */
+  void addBorrowedWrites(int writes);
 
-  /** What a controller asks of the service in a second. */
+  /** Requests and writes per second that a controller sends to the service. */
   record Usage(double requestsPerS, double writesPerS) {}
 
-  /** What was asked since this was last called, and is still waiting. */
+  /** Usage since the last call, plus the requests and writes that are queued now. */
   Usage takeUsage();
 
-  /** Shares the common budget with the other living controllers by what each asks for. */
+  /**
+   * Divides the rate limit of the service among this and the other live controllers by their usage.
+   */
   void updateShares(Usage own, Collection<Usage> others);
 
   /**
-   * Whether the service refused the last request that it answered, or answers nothing: whoever asks
-   * for something now need not wait for it.
+   * Whether the service is unavailable: its last response was a refusal, or it does not respond.
+   * Callers need not wait for it then.
    */
   boolean unavailable();
 
-  /** A mark that nobody has used before. */
+  /** A write ID that has not been used before. */
   String newWriteId();
 }
--- a/src/main/java/dev/dunefront/store/Txn.java
+++ b/src/main/java/dev/dunefront/store/Txn.java
@@ -6,18 +6,18 @@
 import java.util.List;
 import java.util.Map;
 
-/** An atomic change: conditions on stamps, then puts and removes. */
+/** An atomic transaction: conditions on the revisions of keys, then puts and removals. */
 public final class Txn {
-  private final List<Document> requireRevision = new ArrayList<>();
+  private final List<Document> conditions = new ArrayList<>();
   private final List<Document> operations = new ArrayList<>();
   private final Map<String, Long> requiredRevisions = new HashMap<>();
   private String firstPutKey;
 
-  /** Requires the key to have this stamp; 0 means that it does not exist. */
-  public Txn requireRevision(String key, long stamp) {
-    Long known = requiredRevisions.putIfAbsent(key, stamp);
-    if (known == null || known != stamp) {
-      requireRevision.add(Document.create().put("k", key).put("stamp", stamp));
+  /** Requires the key to have this revision; 0 requires that the key does not exist. */
+  public Txn requireRevision(String key, long revision) {
+    Long previous = requiredRevisions.putIfAbsent(key, revision);
+    if (previous == null || previous != revision) {
+      conditions.add(Document.create().put("k", key).put("stamp", revision));
     }
     return this;
   }
@@ -30,12 +30,12 @@
     return this;
   }
 
-  /** A put that disappears with the lease. */
-  public Txn put(String key, Document value, long tenancy) {
+  /** Puts a value that is removed when the lease ends. */
+  public Txn put(String key, Document value, long leaseId) {
     if (firstPutKey == null) {
       firstPutKey = key;
     }
-    operations.add(Document.create().put("put", key).put("data", value).put("tenancy", tenancy));
+    operations.add(Document.create().put("put", key).put("data", value).put("tenancy", leaseId));
     return this;
   }
 
@@ -48,12 +48,12 @@
     return operations.size();
   }
 
-  /** The key by which an unclear outcome is read back. */
+  /** The key that is read back when the outcome is unknown. */
   String readBackKey() {
     return firstPutKey;
   }
 
   byte[] encode() {
-    return Document.create().put("when", requireRevision).put("then", operations).encode();
+    return Document.create().put("when", conditions).put("then", operations).encode();
   }
 }
--- a/src/main/java/dev/dunefront/store/WriteLoans.java
+++ b/src/main/java/dev/dunefront/store/WriteLoans.java
@@ -7,18 +7,21 @@
 import java.util.List;
 
 /**
- * Borrows changes from controllers that have some to spare. Parts of the common rate follow demand,
- * but only over seconds: with many controllers each may send few changes at once, and a job that
- * has just come would wait for its share while the others' lie idle.
+ * Borrows write tokens from controllers that have some to spare. The shares of the common rate
+ * follow demand only over seconds: with many controllers each can send few writes at once, and a
+ * new job would wait for tokens while those of other controllers are unused.
  */
 public final class WriteLoans {
-  /** An answer that comes later than this, in seconds, is about changes saved up long ago. */
+  /**
+   * Loans that arrive later than this after the request, in seconds, are ignored: the lender has
+   * refilled its bucket since.
+   */
   static final double LOAN_TIMEOUT_S = 0.1;
 
-  /** Where nobody has any, the next question waits up to so long, in seconds. */
+  /** Maximum time between two requests, in seconds, while no controller has tokens to spare. */
   static final double MAX_REQUEST_INTERVAL_S = 1;
 
-  /** As much is asked of each of several, for none has much. */
+  /** Write tokens requested from each of several controllers, because none has many. */
   private static final int WRITES_PER_LENDER = 2;
 
   private final String ownNode;
@@ -32,8 +35,8 @@
   private int nextLender;
 
   public WriteLoans(
-      String self, StateStore store, Membership membership, Peers peers, Timers timers) {
-    this.ownNode = self;
+      String ownNode, StateStore store, Membership membership, Peers peers, Timers timers) {
+    this.ownNode = ownNode;
     this.store = store;
     this.membership = membership;
     this.peers = peers;
@@ -41,7 +44,7 @@
     store.onWriteShortage(this::requestLoans);
   }
 
-  /** So many changes are lacking for what waits here. */
+  /** Requests {@code missing} write tokens from other controllers. */
   private void requestLoans(int missing) {
     double now = timers.now();
     if (now - requestedAt < requestIntervalS) {
@@ -56,19 +59,20 @@
     requestedAt = now;
     requestIntervalS = Math.min(MAX_REQUEST_INTERVAL_S, 2 * requestIntervalS);
     requestNumber++;
-    int count = Math.min(others.size(), (missing + WRITES_PER_LENDER - 1) / WRITES_PER_LENDER);
-    int each = (missing + count - 1) / count;
-    for (int i = 0; i < count; i++) {
-      // Another one each time: who has given has less.
+    int lenders = Math.min(others.size(), (missing + WRITES_PER_LENDER - 1) / WRITES_PER_LENDER);
+    int writesPerLender = (missing + lenders - 1) / lenders;
+    for (int i = 0; i < lenders; i++) {
+      // Round robin: a controller that has just lent tokens has fewer left.
       peers.send(
-          others.get(nextLender++ % others.size()), new Message.LoanRequest(requestNumber, each));
+          others.get(nextLender++ % others.size()),
+          new Message.LoanRequest(requestNumber, writesPerLender));
     }
   }
 
-  public void received(String from, Message.LoanRequest ask) {
-    int given = store.lendWrites(ask.writes());
-    if (given > 0) {
-      peers.send(from, new Message.Loan(ask.requestNumber(), given));
+  public void received(String from, Message.LoanRequest request) {
+    int lent = store.lendWrites(request.writes());
+    if (lent > 0) {
+      peers.send(from, new Message.Loan(request.requestNumber(), lent));
     }
   }
 
--- a/src/test/java/dev/dunefront/net/FakeClock.java
+++ b/src/test/java/dev/dunefront/net/FakeClock.java
@@ -2,7 +2,7 @@
 
 import java.util.PriorityQueue;
 
-/** A clock that stands until it is told to go on, and the timers that are set by it. */
+/** A clock that only advances when a test calls {@link #advance}, and its timers. */
 public final class FakeClock implements Timers {
   private record ScheduledAction(double at, long order, Runnable action) {}
 
@@ -27,13 +27,13 @@
     scheduledActions.add(new ScheduledAction(now + Math.max(0, seconds), order++, action));
   }
 
-  /** Lets the time pass. */
+  /** Advances the clock and runs the actions that become due. */
   public void advance(double seconds) {
     double until = now + seconds;
     while (!scheduledActions.isEmpty() && scheduledActions.peek().at <= until) {
-      ScheduledAction d = scheduledActions.poll();
-      now = d.at;
-      d.action.run();
+      ScheduledAction next = scheduledActions.poll();
+      now = next.at;
+      next.action.run();
     }
     now = until;
   }
--- a/src/test/java/dev/dunefront/peer/MessageCodecTest.java
+++ b/src/test/java/dev/dunefront/peer/MessageCodecTest.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Records between controllers. */
+/** Encoding of messages between controllers. */
 class MessageCodecTest {
   private static final List<Message> ALL =
       List.of(
@@ -75,11 +75,11 @@
   @Test
   void malformedRecordsAreRejected() {
     for (Message m : ALL) {
-      byte[] good = MessageCodec.encode(m);
+      byte[] valid = MessageCodec.encode(m);
       assertThrows(
-          IOException.class, () -> MessageCodec.decode(Arrays.copyOf(good, good.length + 1)));
-      byte[] cut = Arrays.copyOf(good, good.length - 1);
-      assertThrows(IOException.class, () -> MessageCodec.decode(cut));
+          IOException.class, () -> MessageCodec.decode(Arrays.copyOf(valid, valid.length + 1)));
+      byte[] truncated = Arrays.copyOf(valid, valid.length - 1);
+      assertThrows(IOException.class, () -> MessageCodec.decode(truncated));
     }
     assertThrows(IOException.class, () -> MessageCodec.decode(new byte[] {99}));
   }
--- a/src/test/java/dev/dunefront/peer/ViewDetailTest.java
+++ b/src/test/java/dev/dunefront/peer/ViewDetailTest.java
@@ -8,18 +8,18 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which change of a machine is news to whom. */
+/** Levels of detail at which a change of a machine is sent. */
 class ViewDetailTest {
   private static final Resources FREE = new Resources(4, 0, 4);
 
   private static MachineView view(
-      boolean open,
+      boolean schedulable,
       long idleSinceMs,
       Resources free,
       String image,
       int urgent,
-      int young,
-      int yielding) {
+      int preemptibleNormal,
+      int preemptibleBestEffort) {
     return new MachineView(
         "h",
         "t",
@@ -30,19 +30,19 @@
         1,
         true,
         false,
-        open,
+        schedulable,
         false,
         false,
         false,
         idleSinceMs,
         free,
         List.of(image),
-        List.of(0, urgent, 0, yielding),
-        List.of(0, 0, young, yielding),
+        List.of(0, urgent, 0, preemptibleBestEffort),
+        List.of(0, 0, preemptibleNormal, preemptibleBestEffort),
         List.of());
   }
 
-  /** The levels to which the change from one view to the other is news. */
+  /** Levels at which the change from one view to the other is sent. */
   private static List<ViewDetail> levelsNotified(MachineView before, MachineView now) {
     List<ViewDetail> levels = new ArrayList<>();
     for (ViewDetail level : ViewDetail.values()) {
@@ -55,35 +55,37 @@
 
   @Test
   void statusChangesAreSentAtEveryLevel() {
-    MachineView open = view(true, 0, FREE, "i", 0, 0, 0);
-    MachineView closed = view(false, 0, FREE, "i", 0, 0, 0);
-    assertEquals(List.of(ViewDetail.values()), levelsNotified(open, closed));
-    assertEquals(List.of(), levelsNotified(open, view(true, 0, FREE, "i", 0, 0, 0)));
+    MachineView schedulable = view(true, 0, FREE, "i", 0, 0, 0);
+    MachineView unschedulable = view(false, 0, FREE, "i", 0, 0, 0);
+    assertEquals(List.of(ViewDetail.values()), levelsNotified(schedulable, unschedulable));
+    assertEquals(List.of(), levelsNotified(schedulable, view(true, 0, FREE, "i", 0, 0, 0)));
   }
 
   @Test
   void capacityChangesAreSentFromCapacityLevel() {
     MachineView free = view(true, 0, FREE, "i", 0, 0, 0);
     MachineView full = view(true, 0, Resources.NONE, "i", 0, 0, 0);
-    List<ViewDetail> seekers = List.of(ViewDetail.CAPACITY, ViewDetail.FULL);
-    assertEquals(seekers, levelsNotified(free, full));
-    assertEquals(seekers, levelsNotified(full, free));
+    List<ViewDetail> capacityLevels = List.of(ViewDetail.CAPACITY, ViewDetail.FULL);
+    assertEquals(capacityLevels, levelsNotified(free, full));
+    assertEquals(capacityLevels, levelsNotified(full, free));
     assertEquals(
-        seekers,
+        capacityLevels,
         levelsNotified(full, view(true, 0, Resources.NONE, "i", 0, 0, 1)),
-        "room can be made");
+        "room can be made by preemption");
     assertEquals(
-        seekers, levelsNotified(free, view(true, 0, FREE, "j", 0, 0, 0)), "starts are warm there");
+        capacityLevels,
+        levelsNotified(free, view(true, 0, FREE, "j", 0, 0, 0)),
+        "tasks with a cached image start faster");
   }
 
   @Test
   void otherChangesAreSentAtFullLevelOnly() {
     MachineView free = view(true, 0, FREE, "i", 0, 0, 0);
     MachineView full = view(true, 0, Resources.NONE, "i", 0, 0, 0);
-    List<ViewDetail> all = List.of(ViewDetail.FULL);
-    assertEquals(all, levelsNotified(full, view(true, 0, Resources.NONE, "j", 0, 0, 0)));
-    assertEquals(all, levelsNotified(full, view(true, 0, Resources.NONE, "i", 0, 1, 0)));
-    assertEquals(all, levelsNotified(full, view(true, 0, Resources.NONE, "i", 1, 0, 0)));
-    assertEquals(all, levelsNotified(free, view(true, 7, FREE, "i", 0, 0, 0)));
+    List<ViewDetail> fullLevel = List.of(ViewDetail.FULL);
+    assertEquals(fullLevel, levelsNotified(full, view(true, 0, Resources.NONE, "j", 0, 0, 0)));
+    assertEquals(fullLevel, levelsNotified(full, view(true, 0, Resources.NONE, "i", 0, 1, 0)));
+    assertEquals(fullLevel, levelsNotified(full, view(true, 0, Resources.NONE, "i", 1, 0, 0)));
+    assertEquals(fullLevel, levelsNotified(free, view(true, 7, FREE, "i", 0, 0, 0)));
   }
 }
--- a/src/test/java/dev/dunefront/store/HttpStateStoreTest.java
+++ b/src/test/java/dev/dunefront/store/HttpStateStoreTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What goes to the state service first when there is little to spend. */
+/** Order of requests to the state service under its rate limit. */
 class HttpStateStoreTest {
   private final FakeClock timers = new FakeClock();
   private final List<String> sentPaths = new ArrayList<>();
@@ -50,10 +50,10 @@
             fd_limit = 500
             """);
     HttpCaller caller =
-        (address, method, path, body, deadlineS, then) -> {
+        (address, method, path, body, deadlineS, callback) -> {
           sentPaths.add(path);
-          byte[] answer = Document.create().put("tenancy", 7).put("ledger_rev", 9).encode();
-          timers.after(0.01, () -> then.accept(new HttpCaller.Response(200, answer, 0)));
+          byte[] response = Document.create().put("tenancy", 7).put("ledger_rev", 9).encode();
+          timers.after(0.01, () -> callback.accept(new HttpCaller.Response(200, response, 0)));
         };
     return new HttpStateStore(
         settings,
@@ -67,9 +67,10 @@
   }
 
   /**
-   * A controller that had asked for nothing had the least part, one request a second, of which it
-   * could save up less than one, so that none ever went out. It lost its lease while it stood
-   * still, and without a lease it took no larger part: it was gone for the rest of the day.
+   * Guards against a controller that never regains its lease. An idle controller has the minimum
+   * share of one request per second; if its bucket cannot hold a whole token, no request is ever
+   * sent. Once its lease has expired during a pause it gets no larger share either, because that
+   * requires a lease.
    */
   @Test
   void leaseRequestsPassQueuedWrites() throws InvalidSettingException {
@@ -77,45 +78,49 @@
     store.updateShares(
         new StateStore.Usage(0, 0), Collections.nCopies(4, new StateStore.Usage(1e6, 1e6)));
     for (int i = 0; i < 60; i++) {
-      String mark = store.newWriteId();
-      Document value = Document.create().put(StateStore.WRITE_ID_FIELD, mark);
+      String writeId = store.newWriteId();
+      Document value = Document.create().put(StateStore.WRITE_ID_FIELD, writeId);
       store.commit(
-          new Txn().requireRevision("w/x/" + i, 0).put("w/x/" + i, value), mark, done -> {});
+          new Txn().requireRevision("w/x/" + i, 0).put("w/x/" + i, value), writeId, result -> {});
     }
     timers.advance(10);
     grantLease(store);
     timers.advance(4);
-    assertEquals(1, leasesGranted, "though there is no more than one request a second");
+    assertEquals(1, leasesGranted, "a lease is granted at a rate of one request per second");
     assertTrue(sentPaths.contains("/leases"));
   }
 
   /**
-   * A transaction of six changes left a debt of five, and each submission waited until that was
-   * paid. It is sent when there is enough for it, and leaves a change for users.
+   * Guards against submissions that wait until the debt of a large transaction is paid. A
+   * transaction of six writes must be sent only when the bucket holds enough tokens for it, and
+   * must leave one for users; sent early it leaves a debt of five.
    */
   @Test
   void submissionsAreNotDelayedByLargeTransactions() throws InvalidSettingException {
     HttpStateStore store = newStore();
     store.updateShares(new StateStore.Usage(10, 100), List.of());
     timers.advance(2);
-    List<Double> waits = new ArrayList<>();
+    List<Double> delaysS = new ArrayList<>();
     for (int round = 0; round < 30; round++) {
-      // More than there is for: it is always short.
-      Txn six = new Txn();
+      // More writes than the rate allows, so that tokens are always short.
+      Txn largeTxn = new Txn();
       for (int i = 0; i < 6; i++) {
-        six.put("t/x/" + round + "/" + i, Document.create().put(StateStore.WRITE_ID_FIELD, "m"));
+        largeTxn.put(
+            "t/x/" + round + "/" + i, Document.create().put(StateStore.WRITE_ID_FIELD, "m"));
       }
-      store.tryTxn(six, StateStore.RequestPriority.CORE, d -> {});
+      store.tryTxn(largeTxn, StateStore.RequestPriority.CORE, d -> {});
       timers.advance(0.23 + round % 4 * 0.08);
-      double asked = timers.now();
-      Txn user = new Txn().put("w/j/x", Document.create().put(StateStore.WRITE_ID_FIELD, "u"));
-      store.tryTxn(user, StateStore.RequestPriority.USER, d -> waits.add(timers.now() - asked));
+      double sentAt = timers.now();
+      Txn submission =
+          new Txn().put("w/j/x", Document.create().put(StateStore.WRITE_ID_FIELD, "u"));
+      store.tryTxn(
+          submission, StateStore.RequestPriority.USER, d -> delaysS.add(timers.now() - sentAt));
       timers.advance(0.2);
     }
     timers.advance(3);
-    assertEquals(30, waits.size());
-    double mean = waits.stream().mapToDouble(d -> d).average().orElseThrow();
-    assertTrue(mean < 0.1, "on average after " + mean + " s");
+    assertEquals(30, delaysS.size());
+    double meanS = delaysS.stream().mapToDouble(d -> d).average().orElseThrow();
+    assertTrue(meanS < 0.1, "mean delay of submissions: " + meanS + " s");
   }
 
   private int leasesGranted;
@@ -123,8 +128,8 @@
   private void grantLease(HttpStateStore store) {
     store.grantLease(
         4,
-        done -> {
-          if (done.ok()) {
+        result -> {
+          if (result.ok()) {
             leasesGranted++;
           } else {
             timers.after(0.3, () -> grantLease(store));
