--- a/src/main/java/dev/dunefront/cli/Daemon.java
+++ b/src/main/java/dev/dunefront/cli/Daemon.java
@@ -54,7 +54,7 @@
   /** Time without an iteration after which a periodic loop is considered stalled. */
   private static final double STALLED_S = 15;
 
-  /** Assumed demand of a live controller that has sent no health message: above an equal share. */
+  /** Assumed demand of a live controller whose demand is unknown: more than an equal share. */
   private static final Store.Use UNHEARD = new Store.Use(1e6, 1e6);
 
   /** How long a peer's health message counts as proof that the state service serves it. */
@@ -199,7 +199,7 @@
         });
   }
 
-  /** Age in seconds of the oldest job without a started task, by class and team. */
+  /** Age in seconds of the oldest open job without a placed task, by class and team. */
   private List<Meters.Labelled> unbegun() {
     List<Meters.Labelled> all = new ArrayList<>();
     claims
--- a/src/main/java/dev/dunefront/cli/Main.java
+++ b/src/main/java/dev/dunefront/cli/Main.java
@@ -53,8 +53,7 @@
     int code;
     if (args.length == 2 && args[0].equals("--config")) {
       // The usual command line bypasses picocli: its classes are too old for the class data
-      // archive,
-      // and loading them doubles the startup time on a small share of a core.
+      // archive, and loading them doubles the startup time on a small share of a core.
       Main main = new Main();
       main.config = Path.of(args[1]);
       code = main.call();
--- a/src/main/java/dev/dunefront/config/Settings.java
+++ b/src/main/java/dev/dunefront/config/Settings.java
@@ -120,7 +120,8 @@
     for (Section s : top.list("others")) {
       Peer p = new Peer(s.text("host_name"), s.text("site"), s.address("address"));
       if (!names.add(p.node())) {
-        throw new BadSetting(s.path("host_name") + " repeats the name " + p.node());
+        throw new BadSetting(
+            s.path("host_name") + " repeats the name " + p.node() + " of another controller");
       }
       peers.add(p);
     }
--- a/src/test/java/dev/dunefront/config/SettingsTest.java
+++ b/src/test/java/dev/dunefront/config/SettingsTest.java
@@ -71,7 +71,9 @@
     refused(GOOD.replace("txn_ops = 32", "txn_ops = 3.5"), "facts.state.txn_ops");
     refused(GOOD.replace("10.0.0.1:8080", "here:80"), "listen");
     refused(GOOD.replace("10.0.0.2:8081", "10.0.0.2"), "others[0].address");
-    refused(GOOD.replace("\"n1\"", "\"n0\""), "others[0].host_name repeats the name n0");
+    refused(
+        GOOD.replace("\"n1\"", "\"n0\""),
+        "others[0].host_name repeats the name n0 of another controller");
     refused(GOOD.replace("cpus_max = 4", "cpus_max = \"x\""), "facts.teams[0].cpus_max");
     refused("= nonsense", "not TOML");
     BadSetting e =
