--- a/src/main/java/dev/dunefront/job/JobApi.java
+++ b/src/main/java/dev/dunefront/job/JobApi.java
@@ -27,8 +27,9 @@
 /**
  * Serves the users' requests to submit, poll and cancel jobs. A change is confirmed only after it
  * is written to the state service. A status that can still change is checked against the state
- * service for every response: submit and cancel read the job's keys, polls share one read of all
- * changes ({@link Proofs}). A request that cannot be served is refused immediately with a 503.
+ * service for every response: submit and cancel read the job's keys or write them conditionally,
+ * polls share one read of all changes ({@link Proofs}). A request that cannot be served is refused
+ * immediately with a 503.
  */
 public final class JobApi {
   private static final System.Logger LOG = System.getLogger(JobApi.class.getName());
