--- a/src/main/java/dev/dunefront/cli/Log.java
+++ b/src/main/java/dev/dunefront/cli/LogSetup.java
@@ -9,8 +9,8 @@
 import java.util.logging.Logger;
 
 /** Configures logging to standard error, one line per record, at the level of LOG_LEVEL. */
-final class Log {
-  private Log() {}
+final class LogSetup {
+  private LogSetup() {}
 
   /**
    * Configures logging.
@@ -18,7 +18,7 @@
    * @param levelName error, info or debug, in any case; null means info, and so does any other name
    *     after a warning
    */
-  static void start(String levelName) {
+  static void configure(String levelName) {
     String wanted = levelName == null ? "info" : levelName.toLowerCase(Locale.ROOT);
     Level level =
         switch (wanted) {
@@ -30,9 +30,9 @@
     Logger root = Logger.getLogger("");
     root.setLevel(Level.WARNING.intValue() > level.intValue() ? Level.WARNING : level);
     Logger.getLogger("dev.dunefront").setLevel(level);
-    root.addHandler(new Lines());
+    root.addHandler(new StandardErrorHandler());
     if (level == Level.INFO && !wanted.equals("info")) {
-      System.getLogger(Log.class.getName())
+      System.getLogger(LogSetup.class.getName())
           .log(System.Logger.Level.WARNING, "unknown LOG_LEVEL {0}; using info", levelName);
     }
   }
@@ -42,7 +42,7 @@
    * fraction of a millisecond per line, which delays the restart of a controller on a small share
    * of a core.
    */
-  static String fill(String pattern, Object[] parameters) {
+  static String substitute(String pattern, Object[] parameters) {
     if (parameters == null || parameters.length == 0) {
       return pattern;
     }
@@ -63,7 +63,7 @@
   }
 
   /** Writes each record as a line to standard error. */
-  private static final class Lines extends Handler {
+  private static final class StandardErrorHandler extends Handler {
     private final Formatter formatter =
         new Formatter() {
           @Override
@@ -79,7 +79,7 @@
                 .append(' ')
                 .append(name == null ? "" : name.substring(name.lastIndexOf('.') + 1))
                 .append(": ")
-                .append(fill(r.getMessage(), r.getParameters()));
+                .append(substitute(r.getMessage(), r.getParameters()));
             if (r.getThrown() != null) {
               line.append(' ').append(r.getThrown());
               for (StackTraceElement e : r.getThrown().getStackTrace()) {
--- a/src/main/java/dev/dunefront/config/BadSetting.java
+++ b/src/main/java/dev/dunefront/config/InvalidSettingException.java
@@ -1,8 +1,8 @@
 package dev.dunefront.config;
 
 /** A setting is missing or invalid; the message names it. */
-public final class BadSetting extends Exception {
-  public BadSetting(String message) {
+public final class InvalidSettingException extends Exception {
+  public InvalidSettingException(String message) {
     super(message);
   }
 }
--- a/src/main/java/dev/dunefront/config/Tunables.java
+++ b/src/main/java/dev/dunefront/config/Tunables.java
@@ -45,12 +45,12 @@
     double beginS) {
 
   /** The default and the valid range of a setting. */
-  public record Setting(double standard, double least, double most, boolean whole) {}
+  public record Setting(double defaultValue, double min, double max, boolean wholeNumber) {}
 
   /** All settings by the names used in operators' scripts. */
   public static final Map<String, Setting> SETTINGS = settings();
 
-  public static final Tunables DEFAULTS = of(Map.of());
+  public static final Tunables DEFAULTS = withOverrides(Map.of());
 
   private static Map<String, Setting> settings() {
     Map<String, Setting> all = new LinkedHashMap<>();
@@ -73,7 +73,7 @@
   }
 
   /** The defaults with some settings overridden. */
-  public static Tunables of(Map<String, Double> overrides) {
+  public static Tunables withOverrides(Map<String, Double> overrides) {
     return new Tunables(
         (int) value(overrides, "reach"),
         (int) value(overrides, "reach_cap"),
@@ -93,28 +93,28 @@
   }
 
   private static double value(Map<String, Double> overrides, String name) {
-    return overrides.getOrDefault(name, SETTINGS.get(name).standard());
+    return overrides.getOrDefault(name, SETTINGS.get(name).defaultValue());
   }
 
   /** Validates the value of a setting; the exception's message gives the valid range. */
-  public static void check(String name, double value) throws BadSetting {
+  public static void validate(String name, double value) throws InvalidSettingException {
     Setting s = SETTINGS.get(name);
     if (s == null) {
-      throw new BadSetting(name + " is not a setting");
+      throw new InvalidSettingException(name + " is not a setting");
     }
-    if (!(value >= s.least() && value <= s.most()) || s.whole() && value != Math.rint(value)) {
-      throw new BadSetting(
+    if (!(value >= s.min() && value <= s.max()) || s.wholeNumber() && value != Math.rint(value)) {
+      throw new InvalidSettingException(
           name
               + " must be a "
-              + (s.whole() ? "whole " : "")
+              + (s.wholeNumber() ? "whole " : "")
               + "number from "
-              + plain(s.least())
+              + formatNumber(s.min())
               + " to "
-              + plain(s.most()));
+              + formatNumber(s.max()));
     }
   }
 
-  private static String plain(double d) {
+  private static String formatNumber(double d) {
     return d == Math.rint(d) ? Long.toString((long) d) : Double.toString(d);
   }
 }
--- a/src/main/java/dev/dunefront/job/JobRecord.java
+++ b/src/main/java/dev/dunefront/job/JobRecord.java
@@ -1,23 +1,23 @@
 package dev.dunefront.job;
 
 import dev.dunefront.store.Replica;
-import dev.dunefront.store.Store;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.store.StateStore;
+import dev.dunefront.wire.Document;
 import dev.dunefront.wire.JobSpec;
+import dev.dunefront.wire.MalformedMessageException;
 
 /**
  * A job's record in the state service while the job or any of its tasks is live. When all tasks
  * have ended, one transaction removes it and writes a small final record under another key.
  *
  * @param acceptedMs when the job was accepted, in milliseconds since the epoch
- * @param claim the incarnation of the controller that has claimed the job, or null
+ * @param claimant the incarnation of the controller that has claimed the job, or null
  * @param term number of the claim, increased with every claim; 0 if the job was never claimed
  * @param granted how many of its tasks may be placed at once within the team's limit; 0 if the team
  *     has no limit
  */
 public record JobRecord(
-    JobSpec spec, long acceptedMs, String claim, long term, Status status, int granted) {
+    JobSpec spec, long acceptedMs, String claimant, long term, Status status, int granted) {
   public static final String PREFIX = Replica.PREFIX + "j/";
 
   /** Status of a job in its record or final record. */
@@ -40,9 +40,9 @@
    *
    * @param known the job's spec if it was decoded before, which saves decoding it again, or null
    */
-  static JobRecord read(Doc d, JobSpec known) throws BadMessage {
+  static JobRecord fromDocument(Document d, JobSpec known) throws MalformedMessageException {
     return new JobRecord(
-        known != null ? known : JobSpec.read(d.doc("spec")),
+        known != null ? known : JobSpec.fromDocument(d.document("spec")),
         d.countOr("at", 0),
         d.textOr("claim", null),
         d.countOr("term", 0),
@@ -51,41 +51,41 @@
   }
 
   /** Encodes the record with the mark that identifies this write. */
-  public Doc write(String mark) {
-    return Doc.of()
-        .put("spec", spec.write())
+  public Document toDocument(String mark) {
+    return Document.create()
+        .put("spec", spec.toDocument())
         .put("at", acceptedMs)
-        .put("claim", claim)
+        .put("claim", claimant)
         .put("term", term)
         .put("status", status.name())
         .put("granted", granted)
-        .put(Store.MARK, mark);
+        .put(StateStore.WRITE_ID_FIELD, mark);
   }
 
-  public static Doc writeFinal(Status status, String mark) {
-    return Doc.of().put("status", status.name()).put(Store.MARK, mark);
+  public static Document finalToDocument(Status status, String mark) {
+    return Document.create().put("status", status.name()).put(StateStore.WRITE_ID_FIELD, mark);
   }
 
-  static Status readFinal(Doc d) throws BadMessage {
+  static Status finalStatusFromDocument(Document d) throws MalformedMessageException {
     return Status.valueOf(d.text("status"));
   }
 
   /** The record with a new claim by this incarnation, in the next term. */
-  public JobRecord claimedBy(String incarnation) {
+  public JobRecord withClaimant(String incarnation) {
     return new JobRecord(spec, acceptedMs, incarnation, term + 1, status, granted);
   }
 
   /** Whether this incarnation has the claim; false for null. */
-  public boolean heldBy(String incarnation) {
-    return incarnation != null && incarnation.equals(claim);
+  public boolean isClaimedBy(String incarnation) {
+    return incarnation != null && incarnation.equals(claimant);
   }
 
-  public JobRecord with(Status next) {
-    return new JobRecord(spec, acceptedMs, claim, term, next, granted);
+  public JobRecord withStatus(Status next) {
+    return new JobRecord(spec, acceptedMs, claimant, term, next, granted);
   }
 
   /** The record with this number of tasks granted within the team's limit. */
-  public JobRecord granting(int tasks) {
-    return new JobRecord(spec, acceptedMs, claim, term, status, tasks);
+  public JobRecord withGranted(int tasks) {
+    return new JobRecord(spec, acceptedMs, claimant, term, status, tasks);
   }
 }
--- a/src/main/java/dev/dunefront/job/Answers.java
+++ b/src/main/java/dev/dunefront/job/JobResponses.java
@@ -1,17 +1,17 @@
 package dev.dunefront.job;
 
-import dev.dunefront.claim.Account;
 import dev.dunefront.claim.Claims;
+import dev.dunefront.claim.JobStatistics;
 import dev.dunefront.job.JobRecord.Status;
-import dev.dunefront.net.HttpServer.Answer;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.net.HttpServer.Responder;
+import dev.dunefront.wire.Document;
 
 /** Response bodies of the job API. */
-final class Answers {
+final class JobResponses {
   /** Value of {@code Retry-After} in a 503 response, in seconds. */
-  private static final int AGAIN_S = 1;
+  private static final int RETRY_AFTER_S = 1;
 
-  private Answers() {}
+  private JobResponses() {}
 
   /**
    * The status of a job. The counts come from this controller's account of task progress; a job
@@ -19,8 +19,8 @@
    *
    * @param entry the live record, or null if there is none
    */
-  static byte[] status(Claims claims, String id, Status status, JobTable.Entry entry) {
-    Account.Counts counts = claims.account().counts(id);
+  static byte[] statusBody(Claims claims, String id, Status status, JobTable.Entry entry) {
+    JobStatistics.Counts counts = claims.statistics().counts(id);
     int done = counts.done();
     int running = counts.running();
     if (status == Status.DONE && entry != null) {
@@ -32,7 +32,7 @@
           case DONE -> "done";
           case CANCELLED -> "cancelled";
         };
-    return Doc.of()
+    return Document.create()
         .put("id", id)
         .put("status", statusName)
         .put("done", done)
@@ -40,12 +40,12 @@
         .encode();
   }
 
-  static byte[] error(String message) {
-    return Doc.of().put("error", message).encode();
+  static byte[] errorBody(String message) {
+    return Document.create().put("error", message).encode();
   }
 
   /** Responds that the request cannot be served now and may be retried. */
-  static void again(Answer answer) {
-    answer.send(503, error("not now"), AGAIN_S);
+  static void sendRetryLater(Responder answer) {
+    answer.send(503, errorBody("not now"), RETRY_AFTER_S);
   }
 }
--- a/src/main/java/dev/dunefront/job/JobTable.java
+++ b/src/main/java/dev/dunefront/job/JobTable.java
@@ -3,11 +3,11 @@
 import dev.dunefront.job.JobRecord.Status;
 import dev.dunefront.net.Timers;
 import dev.dunefront.store.Replica;
-import dev.dunefront.store.Store;
-import dev.dunefront.store.Store.Outcome;
-import dev.dunefront.store.Store.Urgency;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.store.StateStore;
+import dev.dunefront.store.StateStore.Outcome;
+import dev.dunefront.store.StateStore.RequestPriority;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -22,16 +22,16 @@
  */
 public final class JobTable {
   /** Final statuses kept; the least recently used is evicted. */
-  private static final int FINALS = 50_000;
+  private static final int MAX_FINAL_STATUSES = 50_000;
 
   /**
    * Age from which a cancellation that the replica does not show is checked against the state
    * service. The replica's updates and the peers' announcements normally arrive earlier.
    */
-  private static final int FORGOTTEN_S = 10;
+  private static final int UNCONFIRMED_AFTER_S = 10;
 
   /** A live record and the version of its key in the state service. */
-  public record Entry(JobRecord record, long stamp) {}
+  public record Entry(JobRecord record, long revision) {}
 
   /** Notified when a live record changes. */
   public interface Listener {
@@ -41,7 +41,7 @@
      * @param before the previous entry, or null if the record is new
      * @param entry the new entry, or null if the record was removed
      */
-    void changed(String id, Entry before, Entry entry);
+    void jobChanged(String id, Entry before, Entry entry);
   }
 
   /**
@@ -52,66 +52,68 @@
    *     found
    * @param status the status to report to users, or null if nothing was found
    */
-  public record Found(Outcome outcome, Entry entry, Status status) {}
+  public record LookupResult(Outcome outcome, Entry entry, Status status) {}
 
-  private final Store store;
+  private final StateStore store;
   private final Replica replica;
-  private final Cancellations cancellations;
-  private boolean tidying;
-  private final Map<String, Entry> live = new HashMap<>();
+  private final PendingCancellations cancellations;
+  private boolean verifying;
+  private final Map<String, Entry> liveEntries = new HashMap<>();
   private final List<Listener> listeners = new ArrayList<>();
-  private final Map<String, Status> finals =
+  private final Map<String, Status> finalStatuses =
       new LinkedHashMap<>(256, 0.75f, true) {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Status> eldest) {
-          return size() > FINALS;
+          return size() > MAX_FINAL_STATUSES;
         }
       };
 
-  public JobTable(Store store, Replica replica, Timers timers) {
+  public JobTable(StateStore store, Replica replica, Timers timers) {
     this.store = store;
-    this.cancellations = new Cancellations(timers);
+    this.cancellations = new PendingCancellations(timers);
     this.replica = replica;
-    replica.listen(JobRecord.PREFIX, this::changed);
+    replica.addListener(JobRecord.PREFIX, this::onReplicaChange);
   }
 
-  private void changed(String id, Doc value, long stamp) {
+  private void onReplicaChange(String id, Document value, long stamp) {
     Entry entry = null;
-    Entry known = live.get(id);
+    Entry known = liveEntries.get(id);
     if (value == null) {
-      live.remove(id);
+      liveEntries.remove(id);
       cancellations.remove(id);
       if (known != null && known.record.status() == Status.CANCELLED) {
-        finals.put(id, Status.CANCELLED);
+        finalStatuses.put(id, Status.CANCELLED);
       }
     } else {
       try {
-        entry = new Entry(JobRecord.read(value, known == null ? null : known.record.spec()), stamp);
-        live.put(id, entry);
+        entry =
+            new Entry(
+                JobRecord.fromDocument(value, known == null ? null : known.record.spec()), stamp);
+        liveEntries.put(id, entry);
         if (entry.record.status() == Status.DONE) {
-          finals.put(id, Status.DONE);
+          finalStatuses.put(id, Status.DONE);
         } else if (entry.record.status() == Status.CANCELLED) {
           cancellations.add(id);
         }
-      } catch (BadMessage | IllegalArgumentException e) {
+      } catch (MalformedMessageException | IllegalArgumentException e) {
         throw new IllegalStateException("job record " + id + " cannot be read", e);
       }
     }
     for (Listener l : listeners) {
-      l.changed(id, known, entry);
+      l.jobChanged(id, known, entry);
     }
   }
 
-  public void listen(Listener listener) {
+  public void addListener(Listener listener) {
     listeners.add(listener);
   }
 
   public Entry get(String id) {
-    return live.get(id);
+    return liveEntries.get(id);
   }
 
   public Collection<Entry> all() {
-    return live.values();
+    return liveEntries.values();
   }
 
   /**
@@ -119,19 +121,19 @@
    * record exists, because its tasks may not have ended yet.
    */
   public Status finalStatus(String id) {
-    return finals.get(id);
+    return finalStatuses.get(id);
   }
 
   /** Whether the job is known to be cancelled or done, so that none of its tasks may be started. */
-  public boolean over(String id) {
-    Entry e = live.get(id);
-    return finals.containsKey(id)
+  public boolean isEndingOrEnded(String id) {
+    Entry e = liveEntries.get(id);
+    return finalStatuses.containsKey(id)
         || cancellations.contains(id)
         || e != null && e.record.status() != Status.OPEN;
   }
 
   /** Cancelled jobs whose final status is not recorded yet. */
-  public Cancellations cancellations() {
+  public PendingCancellations cancellations() {
     return cancellations;
   }
 
@@ -142,47 +144,47 @@
    * whose live record exists are skipped: they may wait long for an unreachable machine and must
    * not block this check. Called periodically.
    */
-  public void tidy() {
-    if (tidying || store.down()) {
+  public void verifyOldestCancellation() {
+    if (verifying || store.unavailable()) {
       return;
     }
-    String id = cancellations.oldest(FORGOTTEN_S, job -> !live.containsKey(job));
+    String id = cancellations.oldest(UNCONFIRMED_AFTER_S, job -> !liveEntries.containsKey(job));
     if (id == null) {
       return;
     }
-    tidying = true;
-    readEnded(
+    verifying = true;
+    readFinalStatus(
         id,
-        Urgency.BACKGROUND,
+        RequestPriority.BACKGROUND,
         found -> {
-          tidying = false;
-          if (found.outcome() == Outcome.OK || found.outcome() == Outcome.MISSING) {
+          verifying = false;
+          if (found.outcome() == Outcome.OK || found.outcome() == Outcome.NOT_FOUND) {
             cancellations.remove(id);
           }
         });
   }
 
   /** Another controller has announced that it recorded the job's cancellation. */
-  public void cancelling(String id) {
-    if (!finals.containsKey(id)) {
+  public void cancellationRecorded(String id) {
+    if (!finalStatuses.containsKey(id)) {
       cancellations.add(id);
     }
   }
 
   /** Applies a live record that this controller has written, at the version of its key. */
-  public void wrote(String id, JobRecord record, String mark, long stamp) {
-    replica.apply(JobRecord.key(id), record.write(mark), stamp);
+  public void applyOwnWrite(String id, JobRecord record, String mark, long stamp) {
+    replica.apply(JobRecord.key(id), record.toDocument(mark), stamp);
   }
 
   /** Stores a final status that is recorded in the state service. */
-  public void ended(String id, Status status) {
-    finals.put(id, status);
+  public void finalStatusRecorded(String id, Status status) {
+    finalStatuses.put(id, status);
     cancellations.remove(id);
   }
 
   /** Applies a final status that this controller has written and removes the live record. */
-  public void finished(String id, Status status, long revision) {
-    ended(id, status);
+  public void applyOwnFinalWrite(String id, Status status, long revision) {
+    finalStatusRecorded(id, status);
     replica.apply(JobRecord.key(id), null, revision);
   }
 
@@ -190,10 +192,10 @@
    * Reads a job's current status from the state service. A job's record moves from the live to the
    * final key and never back, so reading the live key first and then the final key cannot miss it.
    */
-  public void read(String id, Urgency urgency, Consumer<Found> then) {
-    Status known = finals.get(id);
+  public void readCurrent(String id, RequestPriority urgency, Consumer<LookupResult> then) {
+    Status known = finalStatuses.get(id);
     if (known != null) {
-      then.accept(new Found(Outcome.OK, null, known));
+      then.accept(new LookupResult(Outcome.OK, null, known));
       return;
     }
     store.get(
@@ -201,24 +203,24 @@
         urgency,
         got -> {
           if (got.outcome() == Outcome.OK) {
-            replica.apply(JobRecord.key(id), got.value(), got.stamp());
-            Entry e = live.get(id);
+            replica.apply(JobRecord.key(id), got.value(), got.revision());
+            Entry e = liveEntries.get(id);
             if (e != null) {
-              then.accept(new Found(Outcome.OK, e, saidOf(e.record)));
+              then.accept(new LookupResult(Outcome.OK, e, reportedStatus(e.record)));
             } else {
               // The live record was removed while the read was in flight.
-              readEnded(id, urgency, then);
+              readFinalStatus(id, urgency, then);
             }
-          } else if (got.outcome() == Outcome.MISSING) {
-            readEnded(id, urgency, then);
+          } else if (got.outcome() == Outcome.NOT_FOUND) {
+            readFinalStatus(id, urgency, then);
           } else {
-            then.accept(new Found(got.outcome(), null, null));
+            then.accept(new LookupResult(got.outcome(), null, null));
           }
         });
   }
 
   /** The status to report: a job is not reported as cancelled until all its tasks have ended. */
-  private static Status saidOf(JobRecord record) {
+  private static Status reportedStatus(JobRecord record) {
     return record.status() == Status.CANCELLED ? Status.OPEN : record.status();
   }
 
@@ -226,32 +228,32 @@
    * Looks a job up in this table, without a read. Null if it is unknown here: then it has ended, or
    * was never accepted.
    */
-  Found shown(String id) {
-    Status known = finals.get(id);
+  LookupResult lookUpLocally(String id) {
+    Status known = finalStatuses.get(id);
     if (known != null) {
-      return new Found(Outcome.OK, live.get(id), known);
+      return new LookupResult(Outcome.OK, liveEntries.get(id), known);
     }
-    Entry e = live.get(id);
-    return e == null ? null : new Found(Outcome.OK, e, saidOf(e.record));
+    Entry e = liveEntries.get(id);
+    return e == null ? null : new LookupResult(Outcome.OK, e, reportedStatus(e.record));
   }
 
   /** Reads the final record of a job without a live record; the job may have become live since. */
-  void readEnded(String id, Urgency urgency, Consumer<Found> then) {
+  void readFinalStatus(String id, RequestPriority urgency, Consumer<LookupResult> then) {
     store.get(
         JobRecord.finalKey(id),
         urgency,
         got -> {
           if (got.outcome() != Outcome.OK) {
             // The job may have been accepted while the final record was being read.
-            Found accepted = got.outcome() == Outcome.MISSING ? shown(id) : null;
-            then.accept(accepted != null ? accepted : new Found(got.outcome(), null, null));
+            LookupResult accepted = got.outcome() == Outcome.NOT_FOUND ? lookUpLocally(id) : null;
+            then.accept(accepted != null ? accepted : new LookupResult(got.outcome(), null, null));
             return;
           }
           try {
-            Status status = JobRecord.readFinal(got.value());
-            finals.put(id, status);
-            then.accept(new Found(Outcome.OK, null, status));
-          } catch (BadMessage | IllegalArgumentException e) {
+            Status status = JobRecord.finalStatusFromDocument(got.value());
+            finalStatuses.put(id, status);
+            then.accept(new LookupResult(Outcome.OK, null, status));
+          } catch (MalformedMessageException | IllegalArgumentException e) {
             throw new IllegalStateException("final record " + id + " cannot be read", e);
           }
         });
--- a/src/main/java/dev/dunefront/job/Cancellations.java
+++ b/src/main/java/dev/dunefront/job/PendingCancellations.java
@@ -17,38 +17,39 @@
  * <p>The job record is authoritative: a controller announces a cancellation only after the record
  * has been written.
  */
-public final class Cancellations {
+public final class PendingCancellations {
   /**
-   * Far above the number of cancellations pending at any time. {@link JobTable#tidy} removes
-   * entries whose end was never announced to this controller.
+   * Far above the number of cancellations pending at any time. {@link
+   * JobTable#verifyOldestCancellation} removes entries whose end was never announced to this
+   * controller.
    */
-  private static final int MOST = 10_000;
+  private static final int MAX_ENTRIES = 10_000;
 
   private final Timers timers;
-  private final Map<String, Double> since =
+  private final Map<String, Double> addedAt =
       new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Double> eldest) {
-          return size() > MOST;
+          return size() > MAX_ENTRIES;
         }
       };
 
-  Cancellations(Timers timers) {
+  PendingCancellations(Timers timers) {
     this.timers = timers;
   }
 
   /** Adds a job whose record shows that it is cancelled. */
   void add(String id) {
-    since.putIfAbsent(id, timers.now());
+    addedAt.putIfAbsent(id, timers.now());
   }
 
   /** Removes a job whose final status is recorded. */
   void remove(String id) {
-    since.remove(id);
+    addedAt.remove(id);
   }
 
   boolean contains(String id) {
-    return since.containsKey(id);
+    return addedAt.containsKey(id);
   }
 
   /**
@@ -57,7 +58,7 @@
    */
   String oldest(double minAgeS, Predicate<String> condition) {
     double addedBefore = timers.now() - minAgeS;
-    for (var e : since.entrySet()) {
+    for (var e : addedAt.entrySet()) {
       if (e.getValue() > addedBefore) {
         return null;
       }
@@ -70,15 +71,15 @@
 
   /** All pending cancellations by job id, the oldest first. */
   public List<String> all() {
-    return List.copyOf(since.keySet());
+    return List.copyOf(addedAt.keySet());
   }
 
-  public int waiting() {
-    return since.size();
+  public int count() {
+    return addedAt.size();
   }
 
   /** Age of the oldest entry in this controller, in whole seconds; 0 if there is none. */
   public int oldestS() {
-    return since.isEmpty() ? 0 : (int) (timers.now() - since.values().iterator().next());
+    return addedAt.isEmpty() ? 0 : (int) (timers.now() - addedAt.values().iterator().next());
   }
 }
--- a/src/main/java/dev/dunefront/job/Submissions.java
+++ b/src/main/java/dev/dunefront/job/Submissions.java
@@ -2,20 +2,20 @@
 
 import dev.dunefront.claim.Claims;
 import dev.dunefront.config.Settings;
-import dev.dunefront.fleet.Catalog;
+import dev.dunefront.fleet.MachineCatalog;
 import dev.dunefront.job.JobRecord.Status;
-import dev.dunefront.net.HttpServer.Answer;
+import dev.dunefront.net.HttpServer.Responder;
 import dev.dunefront.net.Timers;
 import dev.dunefront.store.Membership;
-import dev.dunefront.store.Store;
-import dev.dunefront.store.Store.Outcome;
-import dev.dunefront.store.Store.Urgency;
+import dev.dunefront.store.StateStore;
+import dev.dunefront.store.StateStore.Outcome;
+import dev.dunefront.store.StateStore.RequestPriority;
 import dev.dunefront.store.Txn;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.wire.Document;
 import dev.dunefront.wire.JobSpec;
 import dev.dunefront.wire.MachineType;
-import dev.dunefront.wire.Size;
+import dev.dunefront.wire.MalformedMessageException;
+import dev.dunefront.wire.Resources;
 import java.lang.System.Logger.Level;
 import java.util.HashMap;
 import java.util.Map;
@@ -32,20 +32,20 @@
   private final Membership membership;
   private final JobTable jobs;
   private final Claims claims;
-  private final Catalog catalog;
-  private final Store store;
+  private final MachineCatalog catalog;
+  private final StateStore store;
   private final Timers timers;
 
   /** Submissions whose record is being written, by job id. */
-  private final Map<String, Acceptance> accepting = new HashMap<>();
+  private final Map<String, PendingSubmission> pendingSubmissions = new HashMap<>();
 
   Submissions(
       Settings settings,
       Membership membership,
       JobTable jobs,
       Claims claims,
-      Catalog catalog,
-      Store store,
+      MachineCatalog catalog,
+      StateStore store,
       Timers timers) {
     this.settings = settings;
     this.membership = membership;
@@ -56,47 +56,48 @@
     this.timers = timers;
   }
 
-  void submit(byte[] body, Answer answer) {
+  void submit(byte[] body, Responder answer) {
     JobSpec spec;
     try {
-      spec = JobSpec.submitted(Doc.decode(body));
-    } catch (BadMessage e) {
+      spec = JobSpec.fromSubmission(Document.decode(body));
+    } catch (MalformedMessageException e) {
       LOG.log(Level.INFO, "rejected a malformed submission: {0}", e.getMessage());
-      answer.send(400, Answers.error(e.getMessage()));
+      answer.send(400, JobResponses.errorBody(e.getMessage()));
       return;
     }
     if (jobs.finalStatus(spec.id()) != null) {
-      answer.send(200, Answers.status(claims, spec.id(), jobs.finalStatus(spec.id()), null));
+      answer.send(
+          200, JobResponses.statusBody(claims, spec.id(), jobs.finalStatus(spec.id()), null));
       return;
     }
-    if (store.down() || membership.self() == null) {
-      Answers.again(answer);
+    if (store.unavailable() || membership.ownIncarnation() == null) {
+      JobResponses.sendRetryLater(answer);
       return;
     }
-    String reason = neverRuns(spec);
+    String reason = rejectionReason(spec);
     if (jobs.get(spec.id()) != null || reason != null) {
       // A job that was accepted before is never rejected, even if it would be rejected now.
-      repeated(spec, reason, answer);
-    } else if (!catalog.known()) {
-      Answers.again(answer);
+      respondWithCurrentStatus(spec, reason, answer);
+    } else if (!catalog.isLoaded()) {
+      JobResponses.sendRetryLater(answer);
     } else {
       accept(spec, answer);
     }
   }
 
-  private void accept(JobSpec spec, Answer answer) {
-    String claim = claims.admitsAtOnce(spec) ? membership.self() : null;
+  private void accept(JobSpec spec, Responder answer) {
+    String claim = claims.admitsAtOnce(spec) ? membership.ownIncarnation() : null;
     JobRecord record =
-        new JobRecord(spec, timers.timeOfDayMs(), claim, claim == null ? 0 : 1, Status.OPEN, 0);
-    String mark = store.newMark();
-    Acceptance pending = new Acceptance(answer);
-    accepting.putIfAbsent(spec.id(), pending);
+        new JobRecord(spec, timers.wallClockMs(), claim, claim == null ? 0 : 1, Status.OPEN, 0);
+    String mark = store.newWriteId();
+    PendingSubmission pending = new PendingSubmission(answer);
+    pendingSubmissions.putIfAbsent(spec.id(), pending);
     store.tryTxn(
         new Txn()
-            .when(JobRecord.key(spec.id()), 0)
-            .when(JobRecord.finalKey(spec.id()), 0)
-            .put(JobRecord.key(spec.id()), record.write(mark)),
-        Urgency.USER,
+            .requireRevision(JobRecord.key(spec.id()), 0)
+            .requireRevision(JobRecord.finalKey(spec.id()), 0)
+            .put(JobRecord.key(spec.id()), record.toDocument(mark)),
+        RequestPriority.USER,
         done -> {
           if (done.ok()) {
             LOG.log(
@@ -106,27 +107,27 @@
                 spec.tasks(),
                 spec.jobClass(),
                 spec.team());
-            jobs.wrote(spec.id(), record, mark, done.revision());
+            jobs.applyOwnWrite(spec.id(), record, mark, done.revision());
           }
-          accepting.remove(spec.id(), pending);
+          pendingSubmissions.remove(spec.id(), pending);
           if (pending.answered) {
             return;
           }
           if (done.ok() || done.outcome() == Outcome.CONFLICT) {
             // Another write has recorded the job, or it ended before the replica showed it.
-            repeated(spec, null, answer);
+            respondWithCurrentStatus(spec, null, answer);
           } else {
-            Answers.again(answer);
+            JobResponses.sendRetryLater(answer);
           }
         });
   }
 
   /** A submission whose record is being written. */
-  private static final class Acceptance {
-    final Answer answer;
+  private static final class PendingSubmission {
+    final Responder answer;
     boolean answered;
 
-    Acceptance(Answer answer) {
+    PendingSubmission(Responder answer) {
       this.answer = answer;
     }
   }
@@ -137,17 +138,18 @@
    * be lost; without this the user would wait and get a 503, and the job would wait until its claim
    * is discovered.
    */
-  void shown(String id, JobTable.Entry entry) {
-    Acceptance pending = accepting.remove(id);
+  void onRecordReplicated(String id, JobTable.Entry entry) {
+    PendingSubmission pending = pendingSubmissions.remove(id);
     if (pending == null) {
       return;
     }
     pending.answered = true;
     JobRecord record = entry.record();
-    if (record.heldBy(membership.self()) && record.term() == 1) {
+    if (record.isClaimedBy(membership.ownIncarnation()) && record.term() == 1) {
       claims.adopt(id, true);
     }
-    pending.answer.send(201, Answers.status(claims, id, jobs.shown(id).status(), entry));
+    pending.answer.send(
+        201, JobResponses.statusBody(claims, id, jobs.lookUpLocally(id).status(), entry));
   }
 
   /**
@@ -156,37 +158,37 @@
    * @param reason why a job that is not recorded is rejected with a 422; if null, the user gets a
    *     503 instead
    */
-  private void repeated(JobSpec spec, String reason, Answer answer) {
-    jobs.read(
+  private void respondWithCurrentStatus(JobSpec spec, String reason, Responder answer) {
+    jobs.readCurrent(
         spec.id(),
-        Urgency.USER,
+        RequestPriority.USER,
         found -> {
           if (found.outcome() == Outcome.OK) {
-            answer.send(200, Answers.status(claims, spec.id(), found.status(), null));
-          } else if (found.outcome() == Outcome.MISSING && reason != null) {
-            answer.send(422, Answers.error(reason));
+            answer.send(200, JobResponses.statusBody(claims, spec.id(), found.status(), null));
+          } else if (found.outcome() == Outcome.NOT_FOUND && reason != null) {
+            answer.send(422, JobResponses.errorBody(reason));
           } else {
-            Answers.again(answer);
+            JobResponses.sendRetryLater(answer);
           }
         });
   }
 
   /** Why the job can never run, or null if it can or if the catalog is not known yet. */
-  private String neverRuns(JobSpec spec) {
+  private String rejectionReason(JobSpec spec) {
     Optional<Settings.Team> team = settings.team(spec.team());
     if (team.isEmpty()) {
       return "owner is not a known team";
     }
-    if (!catalog.known()) {
+    if (!catalog.isLoaded()) {
       return null;
     }
-    Size size = spec.size();
+    Resources size = spec.taskResources();
     boolean fits = false;
     for (MachineType t : catalog.types()) {
-      boolean allowed = spec.types() == null || spec.types().contains(t.name());
+      boolean allowed = spec.machineTypes() == null || spec.machineTypes().contains(t.name());
       boolean inZone =
           spec.zone() == null || t.zones().isEmpty() || t.zones().contains(spec.zone());
-      fits |= allowed && inZone && size.fits(t.size());
+      fits |= allowed && inZone && size.fitsIn(t.resources());
     }
     if (!fits) {
       return "a task fits no allowed machine type";
--- a/src/main/java/dev/dunefront/metrics/Meters.java
+++ b/src/main/java/dev/dunefront/metrics/Meters.java
@@ -28,27 +28,27 @@
     REPORT
   }
 
-  private static final long MOST_MICROS = 60_000_000;
+  private static final long MAX_LATENCY_MICROS = 60_000_000;
   private static final double[] QUANTILES = {0.5, 0.95, 0.99, 1.0};
 
   /** Latencies and refusals of one kind of requests. */
-  private static final class Served {
-    private final Histogram micros = new Histogram(MOST_MICROS, 2);
+  private static final class RequestStats {
+    private final Histogram latencyMicros = new Histogram(MAX_LATENCY_MICROS, 2);
     private long refused;
   }
 
-  private final Map<Request, Served> served = new EnumMap<>(Request.class);
+  private final Map<Request, RequestStats> requestStats = new EnumMap<>(Request.class);
   private final Map<String, IntSupplier> gauges = new LinkedHashMap<>();
-  private final Map<String, Supplier<List<Labelled>>> labelled = new LinkedHashMap<>();
-  private final Map<String, MultiGauge> rows = new LinkedHashMap<>();
+  private final Map<String, Supplier<List<LabelledValue>>> labelledGauges = new LinkedHashMap<>();
+  private final Map<String, MultiGauge> multiGauges = new LinkedHashMap<>();
   private PrometheusMeterRegistry registry;
 
   /** The value of a gauge for a set of labels. */
-  public record Labelled(Map<String, String> labels, double value) {}
+  public record LabelledValue(Map<String, String> labels, double value) {}
 
   /** Adds a gauge with labels. Its values are computed at each scrape and may have other labels. */
-  public void gauges(String name, Supplier<List<Labelled>> values) {
-    labelled.put(name, values);
+  public void gauges(String name, Supplier<List<LabelledValue>> values) {
+    labelledGauges.put(name, values);
   }
 
   /** Adds a gauge without labels, computed at each scrape. */
@@ -57,9 +57,10 @@
   }
 
   /** Records the response to a request; a status of 500 or more counts as refused. */
-  public void answered(Request request, int status, double seconds) {
-    Served stats = served.computeIfAbsent(request, r -> new Served());
-    stats.micros.recordValue(Math.max(0, Math.min(MOST_MICROS, Math.round(seconds * 1e6))));
+  public void recordRequest(Request request, int status, double seconds) {
+    RequestStats stats = requestStats.computeIfAbsent(request, r -> new RequestStats());
+    stats.latencyMicros.recordValue(
+        Math.max(0, Math.min(MAX_LATENCY_MICROS, Math.round(seconds * 1e6))));
     if (status >= 500) {
       stats.refused++;
     }
@@ -71,17 +72,20 @@
       registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
       gauges.forEach((name, value) -> Gauge.builder(name, value::getAsInt).register(registry));
       for (Request r : Request.values()) {
-        register(r, served.computeIfAbsent(r, k -> new Served()));
+        register(r, requestStats.computeIfAbsent(r, k -> new RequestStats()));
       }
-      labelled.keySet().forEach(n -> rows.put(n, MultiGauge.builder(n).register(registry)));
+      labelledGauges
+          .keySet()
+          .forEach(n -> multiGauges.put(n, MultiGauge.builder(n).register(registry)));
     }
-    rows.forEach((name, gauge) -> gauge.register(rowsOf(labelled.get(name).get()), true));
+    multiGauges.forEach(
+        (name, gauge) -> gauge.register(toRows(labelledGauges.get(name).get()), true));
     return registry.scrape();
   }
 
-  private static List<MultiGauge.Row<?>> rowsOf(List<Labelled> values) {
+  private static List<MultiGauge.Row<?>> toRows(List<LabelledValue> values) {
     List<MultiGauge.Row<?>> all = new ArrayList<>();
-    for (Labelled l : values) {
+    for (LabelledValue l : values) {
       Tags tags = Tags.empty();
       for (var e : l.labels.entrySet()) {
         tags = tags.and(e.getKey(), e.getValue());
@@ -91,9 +95,9 @@
     return all;
   }
 
-  private void register(Request r, Served s) {
+  private void register(Request r, RequestStats s) {
     String kind = r.name().toLowerCase(java.util.Locale.ROOT);
-    FunctionCounter.builder("dunefront.requests", s, x -> x.micros.getTotalCount())
+    FunctionCounter.builder("dunefront.requests", s, x -> x.latencyMicros.getTotalCount())
         .tag("kind", kind)
         .register(registry);
     FunctionCounter.builder("dunefront.requests.refused", s, x -> x.refused)
@@ -101,7 +105,9 @@
         .register(registry);
     for (double q : QUANTILES) {
       Gauge.builder(
-              "dunefront.request.seconds", s, x -> x.micros.getValueAtPercentile(q * 100) / 1e6)
+              "dunefront.request.seconds",
+              s,
+              x -> x.latencyMicros.getValueAtPercentile(q * 100) / 1e6)
           .tag("kind", kind)
           .tag("quantile", Double.toString(q))
           .register(registry);
--- a/src/main/java/dev/dunefront/standin/WorkerStandIn.java
+++ b/src/main/java/dev/dunefront/standin/FakeWorker.java
@@ -1,8 +1,8 @@
 package dev.dunefront.standin;
 
-import dev.dunefront.net.Caller.Reply;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.net.HttpCaller.Response;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -12,9 +12,9 @@
  * A fake worker: executes commands, rejects outdated fencing tokens and creates reports. A task
  * runs until {@link #exit} or a command ends it.
  */
-public final class WorkerStandIn {
+public final class FakeWorker {
   /** A task on the worker; {@code why} is null until it has exited. */
-  private record Task(long attempt, String state, String why) {}
+  private record Task(long attempt, String state, String exitReason) {}
 
   private final String host;
   private final String endpoint;
@@ -26,9 +26,9 @@
   private long session = 1;
   private long serial;
   private long token;
-  private Double noticeS;
+  private Double reclaimNoticeS;
 
-  public WorkerStandIn(String host, String endpoint, String type, String zone) {
+  public FakeWorker(String host, String endpoint, String type, String zone) {
     this.host = host;
     this.endpoint = endpoint;
     this.type = type;
@@ -57,13 +57,14 @@
 
   public byte[] report() {
     serial++;
-    List<Doc> pieces = new ArrayList<>();
+    List<Document> pieces = new ArrayList<>();
     tasks.forEach(
         (id, t) -> {
-          Doc d = Doc.of().put("piece", id).put("try_no", t.attempt).put("status", t.state);
-          pieces.add(t.why == null ? d : d.put("exit_reason", t.why));
+          Document d =
+              Document.create().put("piece", id).put("try_no", t.attempt).put("status", t.state);
+          pieces.add(t.exitReason == null ? d : d.put("exit_reason", t.exitReason));
         });
-    return Doc.of()
+    return Document.create()
         .put("host", host)
         .put("endpoint", endpoint)
         .put("flavor", type)
@@ -73,13 +74,13 @@
         .put("serial", serial)
         .put("baton", token)
         .put("pieces", pieces)
-        .put("recall_s", noticeS)
+        .put("recall_s", reclaimNoticeS)
         .encode();
   }
 
   /** Sets the notice that the cloud reclaims the machine in this many seconds. */
-  public void notice(double seconds) {
-    noticeS = seconds;
+  public void setReclaimNotice(double seconds) {
+    reclaimNoticeS = seconds;
   }
 
   /**
@@ -87,13 +88,13 @@
    *
    * @return false if its token is lower than the highest one seen, in which case it is ignored
    */
-  public boolean answered(byte[] body) throws BadMessage {
-    Doc d = Doc.decode(body);
+  public boolean handleReportResponse(byte[] body) throws MalformedMessageException {
+    Document d = Document.decode(body);
     if (d.countOr("baton", 0) < token) {
       return false;
     }
     token = d.count("baton");
-    carryOut(d.docs("orders"));
+    execute(d.documents("orders"));
     return true;
   }
 
@@ -101,21 +102,21 @@
    * Processes a request with commands when it arrives, which may be long after it was sent.
    * Responds with a 409 if its token is outdated or it is meant for another session.
    */
-  public Reply orders(byte[] body) throws BadMessage {
-    Doc d = Doc.decode(body);
+  public Response handleCommands(byte[] body) throws MalformedMessageException {
+    Document d = Document.decode(body);
     if (!d.has("baton") || !d.has("tenure")) {
-      return new Reply(400, new byte[0], 0);
+      return new Response(400, new byte[0], 0);
     }
     if (d.count("baton") < token || d.count("tenure") != session) {
-      return new Reply(409, report(), 0);
+      return new Response(409, report(), 0);
     }
     token = d.count("baton");
-    carryOut(d.docs("orders"));
-    return new Reply(200, report(), 0);
+    execute(d.documents("orders"));
+    return new Response(200, report(), 0);
   }
 
-  private void carryOut(List<Doc> commands) throws BadMessage {
-    for (Doc command : commands) {
+  private void execute(List<Document> commands) throws MalformedMessageException {
+    for (Document command : commands) {
       String id = command.text("piece");
       long attempt = command.count("try_no");
       Task t = tasks.get(id);
@@ -136,7 +137,7 @@
             tasks.remove(id);
           }
         }
-        default -> throw new BadMessage("verb is none of run, stop, clear");
+        default -> throw new MalformedMessageException("verb is none of run, stop, clear");
       }
     }
   }
@@ -157,7 +158,7 @@
   }
 
   /** The worker restarts with its machine and loses its session, token and tasks. */
-  public void beginAnew() {
+  public void restart() {
     session = 1;
     serial = 0;
     token = 0;
@@ -172,7 +173,7 @@
   }
 
   /** Number of tasks that the worker reports, including exited ones. */
-  public int known() {
+  public int taskCount() {
     return tasks.size();
   }
 
--- a/src/main/java/dev/dunefront/wire/BadMessage.java
+++ b/src/main/java/dev/dunefront/wire/MalformedMessageException.java
@@ -1,8 +1,8 @@
 package dev.dunefront.wire;
 
 /** A request body or field violates the published format; the message names the violation. */
-public final class BadMessage extends Exception {
-  public BadMessage(String message) {
+public final class MalformedMessageException extends Exception {
+  public MalformedMessageException(String message) {
     super(message);
   }
 }
--- a/src/main/java/dev/dunefront/wire/Priority.java
+++ b/src/main/java/dev/dunefront/wire/Priority.java
@@ -7,15 +7,15 @@
   NORMAL("normal"),
   BEST_EFFORT("best_effort");
 
-  private final String word;
+  private final String wireName;
 
   Priority(String word) {
-    this.word = word;
+    this.wireName = word;
   }
 
   /** The value on the wire. */
-  public String word() {
-    return word;
+  public String wireName() {
+    return wireName;
   }
 
   /** Whether a delay of a few seconds at the start matters to the user. */
@@ -23,12 +23,12 @@
     return compareTo(HIGH) <= 0;
   }
 
-  static Priority parse(String text) throws BadMessage {
+  static Priority parse(String text) throws MalformedMessageException {
     for (Priority p : values()) {
-      if (p.word.equals(text)) {
+      if (p.wireName.equals(text)) {
         return p;
       }
     }
-    throw new BadMessage("urgency is none of critical, high, normal, best_effort");
+    throw new MalformedMessageException("urgency is none of critical, high, normal, best_effort");
   }
 }
--- a/src/main/java/dev/dunefront/wire/Report.java
+++ b/src/main/java/dev/dunefront/wire/Report.java
@@ -11,7 +11,8 @@
  *     killed
  * @param serial number of the report within the session
  * @param token the highest fencing token that the worker has seen
- * @param noticeS seconds until the cloud reclaims the machine, or null without a reclaim notice
+ * @param reclaimNoticeS seconds until the cloud reclaims the machine, or null without a reclaim
+ *     notice
  */
 public record Report(
     String host,
@@ -22,11 +23,11 @@
     long session,
     long serial,
     long token,
-    Double noticeS,
+    Double reclaimNoticeS,
     List<Task> tasks) {
 
   /** A task on the machine; {@code why} is empty until it has exited. */
-  public record Task(TaskId id, long attempt, String state, String why) {
+  public record Task(TaskId id, long attempt, String state, String exitReason) {
     public boolean exited() {
       return state.equals("exited");
     }
@@ -37,7 +38,7 @@
           && attempt == t.attempt
           && id.equals(t.id)
           && state.equals(t.state)
-          && why.equals(t.why);
+          && exitReason.equals(t.exitReason);
     }
 
     @Override
@@ -46,9 +47,9 @@
     }
   }
 
-  public static Report read(Doc d) throws BadMessage {
+  public static Report fromDocument(Document d) throws MalformedMessageException {
     List<Task> tasks = new ArrayList<>();
-    for (Doc t : d.docs("pieces")) {
+    for (Document t : d.documents("pieces")) {
       tasks.add(
           new Task(
               TaskId.parse(t.text("piece")),
--- a/src/test/java/dev/dunefront/metrics/MetersTest.java
+++ b/src/test/java/dev/dunefront/metrics/MetersTest.java
@@ -12,32 +12,32 @@
 class MetersTest {
 
   @Test
-  void whatWasCountedBeforeTheFirstLookIsShown() {
+  void countsFromBeforeTheFirstScrapeAreExported() {
     Meters meters = new Meters();
     int[] heldMachines = {3};
     meters.gauge("dunefront.machines.held", () -> heldMachines[0]);
-    meters.answered(Meters.Request.POLL, 200, 0.010);
-    meters.answered(Meters.Request.POLL, 503, 0.020);
+    meters.recordRequest(Meters.Request.POLL, 200, 0.010);
+    meters.recordRequest(Meters.Request.POLL, 503, 0.020);
     String text = meters.scrape();
     assertTrue(text.contains("dunefront_machines_held 3.0"), text);
     assertTrue(text.contains("dunefront_requests_total{kind=\"poll\"} 2.0"), text);
     assertTrue(text.contains("dunefront_requests_refused_total{kind=\"poll\"} 1.0"), text);
     heldMachines[0] = 4;
-    meters.answered(Meters.Request.POLL, 200, 0.010);
+    meters.recordRequest(Meters.Request.POLL, 200, 0.010);
     text = meters.scrape();
     assertTrue(text.contains("dunefront_machines_held 4.0"), text);
     assertTrue(text.contains("dunefront_requests_total{kind=\"poll\"} 3.0"), text);
   }
 
   @Test
-  void whatIsLabelledComesAndGoes() {
+  void labelledValuesAppearAndDisappear() {
     Meters meters = new Meters();
-    List<Meters.Labelled> values = new ArrayList<>();
+    List<Meters.LabelledValue> values = new ArrayList<>();
     meters.gauges("dunefront.jobs.unbegun.seconds", () -> List.copyOf(values));
-    values.add(new Meters.Labelled(Map.of("class", "train", "team", "vision"), 7));
+    values.add(new Meters.LabelledValue(Map.of("class", "train", "team", "vision"), 7));
     String line = "dunefront_jobs_unbegun_seconds{class=\"train\",team=\"vision\"} ";
     assertTrue(meters.scrape().contains(line + "7.0"), meters.scrape());
-    values.set(0, new Meters.Labelled(Map.of("class", "train", "team", "vision"), 9));
+    values.set(0, new Meters.LabelledValue(Map.of("class", "train", "team", "vision"), 9));
     assertTrue(meters.scrape().contains(line + "9.0"), meters.scrape());
     values.clear();
     assertFalse(meters.scrape().contains(line), meters.scrape());
