--- a/src/main/java/dev/dunefront/cli/Controller.java
+++ b/src/main/java/dev/dunefront/cli/Controller.java
@@ -55,34 +55,34 @@
   private static final double LOOP_STALL_TIMEOUT_S = 15;
 
   /** Assumed demand of a live controller whose demand is unknown: more than an equal share. */
-  private static final StateStore.Usage ASSUMED_USE = new StateStore.Usage(1e6, 1e6);
+  private static final StateStore.Usage ASSUMED_USAGE = new StateStore.Usage(1e6, 1e6);
 
-  /** How long a peer's health message counts as proof that the state service serves it. */
-  private static final double HEALTH_VALIDITY_S = 2;
+  /** How long a peer's status message counts as proof that the state service serves it. */
+  private static final double STATUS_VALIDITY_S = 2;
 
   private final Settings settings;
   private final StateStore store;
   private final Timers timers;
   private final DecisionLock decisionLock;
-  private final LoopWatchdog loops;
+  private final LoopWatchdog loopWatchdog;
   private final Replica replica;
   private final Membership membership;
-  private final WriteLoans lending;
+  private final WriteLoans writeLoans;
   private final Duties duties;
   private final MachineCatalog catalog;
   private final JobTable jobs;
   private final HoldTable holds;
-  private final HeldMachines books;
+  private final HeldMachines heldMachines;
   private final Claims claims;
-  private final Autoscaler fleet;
-  private final MachineRecordCleanup cleanup;
-  private final RosterUpdater joining;
+  private final Autoscaler autoscaler;
+  private final MachineRecordCleanup recordCleanup;
+  private final RosterUpdater rosterUpdater;
   private final JobApi api;
   private final Peers peers;
   private final Meters meters = new Meters();
   private final SafetyMonitor safety = new SafetyMonitor();
-  private final Map<String, StateStore.Usage> storeUseByNode = new HashMap<>();
-  private final TimerLag lag = new TimerLag();
+  private final Map<String, StateStore.Usage> storeUsageByNode = new HashMap<>();
+  private final TimerLag timerLag = new TimerLag();
   private String lastLoggedStall;
   private double lastServedElsewhereAt = Double.NEGATIVE_INFINITY;
 
@@ -93,26 +93,39 @@
       HttpCaller caller,
       Timers timers,
       DecisionLock decisionLock,
-      LoopWatchdog loops,
+      LoopWatchdog loopWatchdog,
       BiFunction<DecisionLock, Peers.Listener, Peers> peersFactory) {
     this.settings = settings;
     this.store = store;
     this.timers = timers;
     this.decisionLock = decisionLock;
-    this.loops = loops;
+    this.loopWatchdog = loopWatchdog;
     peers = peersFactory.apply(decisionLock, this);
-    replica = new Replica(store, timers, decisionLock, loops);
+    replica = new Replica(store, timers, decisionLock, loopWatchdog);
     membership =
         new Membership(
-            settings.node(), settings.zone(), store, replica, timers, tunables.nodeLeaseS(), loops);
-    lending = new WriteLoans(settings.node(), store, membership, peers, timers);
+            settings.node(),
+            settings.zone(),
+            store,
+            replica,
+            timers,
+            tunables.nodeLeaseS(),
+            loopWatchdog);
+    writeLoans = new WriteLoans(settings.node(), store, membership, peers, timers);
     // The lease is renewed every quarter of its duration, so it cannot expire in a shorter pause.
-    PauseDetector standstill =
+    PauseDetector pauseDetector =
         new PauseDetector(
-            replica, membership, timers, decisionLock, loops, tunables.nodeLeaseS() / 2);
+            replica, membership, timers, decisionLock, loopWatchdog, tunables.nodeLeaseS() / 2);
     duties =
         new Duties(
-            settings.node(), store, replica, membership, peers, timers, decisionLock, standstill);
+            settings.node(),
+            store,
+            replica,
+            membership,
+            peers,
+            timers,
+            decisionLock,
+            pauseDetector);
     catalog = new MachineCatalog(settings.cloud(), caller, store, timers, decisionLock);
     holds = new HoldTable(replica);
     jobs = new JobTable(store, replica, timers);
@@ -130,21 +143,22 @@
             peers,
             timers,
             decisionLock,
-            standstill,
+            pauseDetector,
             duties,
             safety);
-    books = new HeldMachines(context, caller);
+    heldMachines = new HeldMachines(context, caller);
     claims = new Claims(context);
-    fleet =
+    autoscaler =
         new Autoscaler(
             context,
             claims.machineTable(),
             claims.capacitySubscription(),
             claims.ranking(),
             caller);
-    cleanup = new MachineRecordCleanup(context);
-    joining = new RosterUpdater(context);
-    ReadBarrier proofs = new ReadBarrier(store, replica, timers, decisionLock, JobRecord.PREFIX);
+    recordCleanup = new MachineRecordCleanup(context);
+    rosterUpdater = new RosterUpdater(context);
+    ReadBarrier readBarrier =
+        new ReadBarrier(store, replica, timers, decisionLock, JobRecord.PREFIX);
     api =
         new JobApi(
             settings,
@@ -153,31 +167,31 @@
             claims,
             catalog,
             store,
-            proofs,
+            readBarrier,
             peers,
             timers,
             decisionLock);
-    meters.gauge("dunefront.polls.waiting", proofs::waiting);
-    meters.gauge("dunefront.polls.oldest.ms", () -> (int) Math.round(proofs.oldestS() * 1000));
-    meters.gauge("dunefront.polls.proofs", proofs::readCount);
-    meters.gauge("dunefront.reports.copies", books::staleReportCount);
-    meters.gauge("dunefront.machines.deafened", books::unresponsiveCount);
-    meters.gauge("dunefront.machines.sent.away", books::sentAwayCount);
-    meters.gauge("dunefront.alone", () -> books.isolated() ? 1 : 0);
+    meters.gauge("dunefront.polls.waiting", readBarrier::waiting);
+    meters.gauge("dunefront.polls.oldest.ms", () -> (int) Math.round(readBarrier.oldestS() * 1000));
+    meters.gauge("dunefront.polls.proofs", readBarrier::readCount);
+    meters.gauge("dunefront.reports.copies", heldMachines::staleReportCount);
+    meters.gauge("dunefront.machines.deafened", heldMachines::unresponsiveCount);
+    meters.gauge("dunefront.machines.sent.away", heldMachines::sentAwayCount);
+    meters.gauge("dunefront.alone", () -> heldMachines.isolated() ? 1 : 0);
     holds.listen(
         host -> {
-          books.holdChanged(host);
+          heldMachines.holdChanged(host);
           claims.holdChanged(host);
         });
-    meters.gauge("dunefront.machines.held", books::machineCount);
+    meters.gauge("dunefront.machines.held", heldMachines::machineCount);
     meters.gauge("dunefront.jobs.claimed", claims.statistics()::claimedJobs);
     meters.gauge("dunefront.tasks.unstarted", claims.statistics()::unstarted);
     meters.gauge("dunefront.jobs.unbegun.oldest.seconds", claims.statistics()::oldestUnstartedAgeS);
-    meters.gauges("dunefront.jobs.unbegun.seconds", this::unstartedJobAges);
+    meters.labelledGauge("dunefront.jobs.unbegun.seconds", this::unstartedJobAges);
     meters.gauge("dunefront.cancellations.waiting", jobs.cancellations()::count);
     meters.gauge("dunefront.cancellations.oldest.seconds", jobs.cancellations()::oldestS);
     meters.gauge("dunefront.state.down", () -> store.unavailable() ? 1 : 0);
-    meters.gauge("dunefront.decisions.failed", loops::failures);
+    meters.gauge("dunefront.decisions.failed", loopWatchdog::failures);
     meters.gauge("dunefront.peer.sent.records", () -> (int) peers.sentTraffic().records());
     meters.gauge("dunefront.peer.sent.kilobytes", () -> (int) (peers.sentTraffic().bytes() / 1024));
     for (Duty d : Duty.values()) {
@@ -188,9 +202,9 @@
       meters.gauge(name + ".refused", () -> duties.refusals(d));
       meters.gauge(name + ".longest.gap.ms", () -> duties.longestVacancyMs(d));
     }
-    meters.gauge("dunefront.cleanup.removed", cleanup::removedCount);
-    meters.gauge("dunefront.rent.repeated", fleet::repeatedOperations);
-    meters.gauge("dunefront.rent.dropped", fleet::droppedOperations);
+    meters.gauge("dunefront.cleanup.removed", recordCleanup::removedCount);
+    meters.gauge("dunefront.rent.repeated", autoscaler::repeatedOperations);
+    meters.gauge("dunefront.rent.dropped", autoscaler::droppedOperations);
     jobs.addListener(
         (id, before, entry) -> {
           if (entry != null) {
@@ -198,11 +212,11 @@
           }
         });
     jobs.addListener(claims::jobChanged);
-    jobs.addListener(books::jobChanged);
+    jobs.addListener(heldMachines::jobChanged);
     membership.onNewIncarnation(
         () -> {
           claims.incarnationChanged();
-          books.incarnationChanged();
+          heldMachines.incarnationChanged();
         });
   }
 
@@ -252,17 +266,17 @@
   }
 
   private void tick() {
-    lag.fired(timers.now(), TICK_S);
+    timerLag.fired(timers.now(), TICK_S);
     decisionLock.run(
         () -> {
           // Each call is a decision of its own: an exception in one must not prevent the others.
-          decisionLock.run(() -> books.tick(lag.seconds()));
+          decisionLock.run(() -> heldMachines.tick(timerLag.seconds()));
           decisionLock.run(claims::tick);
-          decisionLock.run(() -> duties.tick(lag.seconds()));
-          decisionLock.run(fleet::tick);
-          decisionLock.run(cleanup::tick);
-          decisionLock.run(joining::tick);
-          loops.recordIteration("tick", timers.now(), LOOP_STALL_TIMEOUT_S);
+          decisionLock.run(() -> duties.tick(timerLag.seconds()));
+          decisionLock.run(autoscaler::tick);
+          decisionLock.run(recordCleanup::tick);
+          decisionLock.run(rosterUpdater::tick);
+          loopWatchdog.recordIteration("tick", timers.now(), LOOP_STALL_TIMEOUT_S);
         });
     timers.after(TICK_S, this::tick);
   }
@@ -270,7 +284,7 @@
   private void slowTick() {
     decisionLock.run(
         () -> {
-          loops.recordIteration("slow tick", timers.now(), LOOP_STALL_TIMEOUT_S);
+          loopWatchdog.recordIteration("slow tick", timers.now(), LOOP_STALL_TIMEOUT_S);
           decisionLock.run(this::updateStoreBudget);
           holds.createRoster(settings, store);
           jobs.verifyOldestCancellation();
@@ -278,7 +292,7 @@
           if (!progress.counts().isEmpty()) {
             peers.broadcast(progress);
           }
-          String leader = fleet.rentingNode();
+          String leader = autoscaler.rentingNode();
           if (leader != null && membership.ownIncarnation() != null) {
             peers.send(leader, claims.statistics().demand());
           }
@@ -293,18 +307,19 @@
    */
   private void updateStoreBudget() {
     StateStore.Usage own = store.takeUsage();
-    storeUseByNode.keySet().retainAll(membership.liveNodes());
+    storeUsageByNode.keySet().retainAll(membership.liveNodes());
     List<StateStore.Usage> others = new ArrayList<>();
     for (String node : membership.liveNodes()) {
       if (!node.equals(settings.node())) {
-        others.add(storeUseByNode.getOrDefault(node, ASSUMED_USE));
+        others.add(storeUsageByNode.getOrDefault(node, ASSUMED_USAGE));
       }
     }
     if (membership.ownIncarnation() == null) {
       // Without a lease the others do not count this controller, and it does not know their demand.
       // It takes an equal share to register again: the share that it had while idle can be too
       // small for that.
-      store.updateShares(ASSUMED_USE, Collections.nCopies(settings.peers().size(), ASSUMED_USE));
+      store.updateShares(
+          ASSUMED_USAGE, Collections.nCopies(settings.peers().size(), ASSUMED_USAGE));
     } else if (replica.ready()) {
       store.updateShares(own, others);
     }
@@ -315,8 +330,8 @@
               !store.unavailable(),
               own.requestsPerS(),
               own.writesPerS(),
-              books.machineCount(),
-              lag.seconds()));
+              heldMachines.machineCount(),
+              timerLag.seconds()));
     }
   }
 
@@ -326,7 +341,7 @@
    * in an outage that affects all, every controller stays ready.
    */
   private boolean isReady() {
-    String stalled = loops.stalledLoop(timers.now());
+    String stalled = loopWatchdog.stalledLoop(timers.now());
     if (stalled != null && !stalled.equals(lastLoggedStall)) {
       LOG.log(Level.ERROR, "loop stalled; this controller is not ready: {0}", stalled);
     }
@@ -338,9 +353,10 @@
     // them; it then counts as refused too.
     boolean refusedAlone =
         store.unavailable()
-            && (timers.now() - lastServedElsewhereAt < HEALTH_VALIDITY_S || books.isolated());
+            && (timers.now() - lastServedElsewhereAt < STATUS_VALIDITY_S
+                || heldMachines.isolated());
     return !refusedAlone
-        && !books.overloaded()
+        && !heldMachines.overloaded()
         && replica.ready()
         && membership.ownIncarnation() != null
         && catalog.isLoaded();
@@ -348,10 +364,10 @@
 
   // ---- requests ----
 
-  public void handle(Request request, Responder answer) {
+  public void handle(Request request, Responder responder) {
     decisionLock.run(
         () -> {
-          Responder deferred = sendOutsideLock(answer);
+          Responder deferred = sendOutsideLock(responder);
           try {
             route(request, deferred);
           } catch (RuntimeException e) {
@@ -363,78 +379,79 @@
   }
 
   /** A response that is sent after the decision lock is released. */
-  private Responder sendOutsideLock(Responder answer) {
+  private Responder sendOutsideLock(Responder responder) {
     return (status, body, retryAfterS) ->
-        decisionLock.defer(() -> answer.send(status, body, retryAfterS));
+        decisionLock.defer(() -> responder.send(status, body, retryAfterS));
   }
 
   /** A response that is counted, with its latency, when it is sent. */
-  private Responder countResponse(Meters.Request kind, Responder answer) {
+  private Responder countResponse(Meters.Request kind, Responder responder) {
     double receivedAt = timers.now();
     return (status, body, retryAfterS) -> {
       meters.recordRequest(kind, status, timers.now() - receivedAt);
-      answer.send(status, body, retryAfterS);
+      responder.send(status, body, retryAfterS);
     };
   }
 
-  private void route(Request r, Responder answer) {
+  private void route(Request r, Responder responder) {
     String path = r.path();
     if (path.equals("/up")) {
-      if (requireMethod(r, "GET", answer)) {
-        answer.send(isReady() ? 200 : 503, null);
+      if (requireMethod(r, "GET", responder)) {
+        responder.send(isReady() ? 200 : 503, null);
       }
     } else if (path.equals(HttpServer.METRICS_PATH)) {
-      if (requireMethod(r, "GET", answer)) {
-        answer.send(200, meters.scrape().getBytes(StandardCharsets.UTF_8));
+      if (requireMethod(r, "GET", responder)) {
+        responder.send(200, meters.scrape().getBytes(StandardCharsets.UTF_8));
       }
     } else if (path.equals("/hello")) {
-      if (requireMethod(r, "POST", answer)) {
-        handleReport(r, countResponse(Meters.Request.REPORT, answer));
+      if (requireMethod(r, "POST", responder)) {
+        handleReport(r, countResponse(Meters.Request.REPORT, responder));
       }
     } else if (path.equals("/v1/jobs")) {
-      if (requireMethod(r, "POST", answer)) {
+      if (requireMethod(r, "POST", responder)) {
         if (replica.ready()) {
-          api.submit(r.body(), countResponse(Meters.Request.SUBMIT, answer));
+          api.submit(r.body(), countResponse(Meters.Request.SUBMIT, responder));
         } else {
-          answer.send(503, null, 1);
+          responder.send(503, null, 1);
         }
       }
     } else if (path.startsWith("/v1/jobs/") && path.endsWith("/abort")) {
-      if (requireMethod(r, "POST", answer)) {
+      if (requireMethod(r, "POST", responder)) {
         api.cancel(
             path.substring("/v1/jobs/".length(), path.length() - "/abort".length()),
-            countResponse(Meters.Request.CANCEL, answer));
+            countResponse(Meters.Request.CANCEL, responder));
       }
     } else if (path.startsWith("/v1/jobs/")) {
-      if (requireMethod(r, "GET", answer)) {
-        api.poll(path.substring("/v1/jobs/".length()), countResponse(Meters.Request.POLL, answer));
+      if (requireMethod(r, "GET", responder)) {
+        api.poll(
+            path.substring("/v1/jobs/".length()), countResponse(Meters.Request.POLL, responder));
       }
     } else {
-      answer.send(404, null);
+      responder.send(404, null);
     }
   }
 
   /** Whether the request has this method; if not, responds with a 405. */
-  private static boolean requireMethod(Request r, String method, Responder answer) {
+  private static boolean requireMethod(Request r, String method, Responder responder) {
     if (r.method().equals(method)) {
       return true;
     }
-    answer.send(405, null);
+    responder.send(405, null);
     return false;
   }
 
-  private void handleReport(Request r, Responder answer) {
+  private void handleReport(Request r, Responder responder) {
     Report report;
     try {
       report = Report.fromDocument(Document.decode(r.body()));
     } catch (MalformedMessageException e) {
-      answer.send(400, Document.create().put("error", e.getMessage()).encode());
+      responder.send(400, Document.create().put("error", e.getMessage()).encode());
       return;
     }
     if (replica.ready()) {
-      books.report(report, answer);
+      heldMachines.report(report, responder);
     } else {
-      answer.send(503, null, 1);
+      responder.send(503, null, 1);
     }
   }
 
@@ -443,30 +460,30 @@
   @Override
   public void received(String from, Message m) {
     if (m instanceof Message.Demand d) {
-      fleet.received(from, d);
+      autoscaler.received(from, d);
     } else if (m instanceof Message.JobEnded e) {
       jobs.finalStatusRecorded(
           e.job(), e.done() ? JobRecord.Status.DONE : JobRecord.Status.CANCELLED);
     } else if (m instanceof Message.JobCancelled c) {
       jobs.cancellationRecorded(c.job());
       claims.jobCancelled(c.job());
-      books.jobCancelled(c.job());
+      heldMachines.jobCancelled(c.job());
     } else if (m instanceof Message.DutyTerm t) {
       duties.receive(t);
     } else if (m instanceof Message.LoanRequest a) {
-      lending.received(from, a);
+      writeLoans.received(from, a);
     } else if (m instanceof Message.Loan l) {
-      lending.received(l);
+      writeLoans.received(l);
     } else if (m instanceof Message.ControllerStatus h) {
-      books.controllerLoadReceived(from, h.heldMachines(), h.timerLagS());
+      heldMachines.controllerLoadReceived(from, h.heldMachines(), h.timerLagS());
       duties.recordTimerLag(from, h.timerLagS());
-      storeUseByNode.put(from, new StateStore.Usage(h.requestsPerS(), h.writesPerS()));
+      storeUsageByNode.put(from, new StateStore.Usage(h.requestsPerS(), h.writesPerS()));
       if (h.stateAvailable()) {
         lastServedElsewhereAt = timers.now();
       }
     } else {
       claims.received(from, m);
-      books.messageReceived(from, m);
+      heldMachines.messageReceived(from, m);
     }
   }
 
@@ -474,16 +491,16 @@
   public void connected(String node) {
     // The peer may have missed the announcements, and the state service may refuse it.
     jobs.cancellations().all().forEach(id -> peers.send(node, new Message.JobCancelled(id)));
-    books.peerConnected(node);
+    heldMachines.peerConnected(node);
     claims.peerConnected(node);
   }
 
   @Override
   public void disconnected(String node) {
-    storeUseByNode.remove(node);
+    storeUsageByNode.remove(node);
     duties.peerDisconnected(node);
-    books.peerDisconnected(node);
+    heldMachines.peerDisconnected(node);
     claims.peerDisconnected(node);
-    fleet.peerDisconnected(node);
+    autoscaler.peerDisconnected(node);
   }
 }
--- a/src/main/java/dev/dunefront/cli/Main.java
+++ b/src/main/java/dev/dunefront/cli/Main.java
@@ -109,11 +109,12 @@
     XnioTimers timers = new XnioTimers(thread);
     DefaultByteBufferPool buffers = new DefaultByteBufferPool(false, 8192, 64, 4);
     UndertowHttpCaller caller = new UndertowHttpCaller(thread, buffers, timers);
-    LoopWatchdog loops = new LoopWatchdog();
-    DecisionLock decisionLock = new DecisionLock(loops::recordFailure);
-    // Prefix of the marks that identify this process's writes.
-    String markPrefix = settings.node() + "-" + UUID.randomUUID().toString().substring(0, 13);
-    HttpStateStore store = new HttpStateStore(settings, caller, timers, decisionLock, markPrefix);
+    LoopWatchdog loopWatchdog = new LoopWatchdog();
+    DecisionLock decisionLock = new DecisionLock(loopWatchdog::recordFailure);
+    // Distinguishes the writes of this process from those of its predecessors.
+    String writeIdPrefix = settings.node() + "-" + UUID.randomUUID().toString().substring(0, 13);
+    HttpStateStore store =
+        new HttpStateStore(settings, caller, timers, decisionLock, writeIdPrefix);
     XnioPeers[] peers = new XnioPeers[1];
     Controller controller =
         new Controller(
@@ -123,7 +124,7 @@
             caller,
             timers,
             decisionLock,
-            loops,
+            loopWatchdog,
             (lock, listener) -> peers[0] = new XnioPeers(settings, worker, timers, lock, listener));
     peers[0].start();
     thread.execute(controller::start);
--- a/src/main/java/dev/dunefront/cli/RehearseCommand.java
+++ b/src/main/java/dev/dunefront/cli/RehearseCommand.java
@@ -36,7 +36,7 @@
 @Command(
     name = "rehearse",
     hidden = true,
-    description = "Run two controllers against stand-ins for a few seconds.")
+    description = "Run two controllers against in-memory fakes for a few seconds.")
 final class RehearseCommand implements Callable<Integer> {
   private static final double TIMEOUT_S = 20;
 
@@ -57,24 +57,28 @@
         worker,
         buffers,
         ports[0],
-        (r, a) ->
+        (request, responder) ->
             state.handle(
-                r.method(),
-                r.path() + (r.query().isEmpty() ? "" : "?" + r.query()),
-                r.body(),
-                reply -> a.send(reply.status(), reply.body())));
-    serve(worker, buffers, ports[1], (r, a) -> a.send(200, cloudResponse(r.path())));
+                request.method(),
+                request.path() + (request.query().isEmpty() ? "" : "?" + request.query()),
+                request.body(),
+                response -> responder.send(response.status(), response.body())));
+    serve(
+        worker,
+        buffers,
+        ports[1],
+        (request, responder) -> responder.send(200, cloudResponse(request.path())));
     FakeWorker machine = new FakeWorker("host-1", "127.0.0.1:" + ports[2], "small", "a");
     serve(
         worker,
         buffers,
         ports[2],
-        (r, a) -> {
+        (request, responder) -> {
           try {
-            HttpCaller.Response reply = machine.handleCommands(r.body());
-            a.send(reply.status(), reply.body());
+            HttpCaller.Response response = machine.handleCommands(request.body());
+            responder.send(response.status(), response.body());
           } catch (MalformedMessageException e) {
-            a.send(400, null);
+            responder.send(400, null);
           }
         });
     for (int i = 0; i < 2; i++) {
@@ -173,10 +177,10 @@
         "/hello",
         machine.report(),
         4,
-        reply -> {
+        response -> {
           try {
-            if (reply.ok()) {
-              machine.handleReportResponse(reply.body());
+            if (response.ok()) {
+              machine.handleReportResponse(response.body());
             }
           } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
@@ -214,8 +218,8 @@
         "/v1/jobs",
         job,
         4,
-        reply -> {
-          if (reply.status() == 201) {
+        response -> {
+          if (response.status() == 201) {
             poll(caller, timers, node, n);
           } else {
             timers.after(0.2, () -> submit(caller, timers, node, n));
@@ -230,10 +234,11 @@
         "/v1/jobs/wk-" + n,
         null,
         2,
-        reply -> {
+        response -> {
           boolean jobDone = false;
           try {
-            jobDone = reply.ok() && Document.decode(reply.body()).text("status").equals("done");
+            jobDone =
+                response.ok() && Document.decode(response.body()).text("status").equals("done");
           } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
           }
--- a/src/main/java/dev/dunefront/config/Settings.java
+++ b/src/main/java/dev/dunefront/config/Settings.java
@@ -138,7 +138,7 @@
               s.amountOr("gpus_max", 0)));
     }
     List<CompletionObjective> objectives = new ArrayList<>();
-    List<StartObjective> startAims = new ArrayList<>();
+    List<StartObjective> startObjectives = new ArrayList<>();
     for (Section s : facts.list("objectives")) {
       String kind = s.text("kind");
       if (kind.equals("deadline")) {
@@ -146,9 +146,9 @@
       } else if (kind.equals("finished")) {
         objectives.add(new CompletionObjective(s.text("class"), null, s.positive("within_s")));
       } else if (kind.equals("wait")) {
-        startAims.add(new StartObjective(s.text("class"), s.positive("within_s")));
+        startObjectives.add(new StartObjective(s.text("class"), s.positive("within_s")));
       } else if (kind.equals("guarantee")) {
-        startAims.add(new StartObjective(null, s.positive("within_s")));
+        startObjectives.add(new StartObjective(null, s.positive("within_s")));
       }
     }
     Section w = facts.section("workers");
@@ -165,7 +165,7 @@
         outside.hostPort("state"),
         List.copyOf(teams),
         List.copyOf(objectives),
-        List.copyOf(startAims),
+        List.copyOf(startObjectives),
         new WorkerTimings(w.positive("report_s"), w.positive("lease_s"), w.positive("cancel_s")),
         new StateLimits(
             st.positive("rps"),
--- a/src/main/java/dev/dunefront/job/JobApi.java
+++ b/src/main/java/dev/dunefront/job/JobApi.java
@@ -53,7 +53,7 @@
   /** Concurrent reads for polls of jobs that the replica does not show; each poll costs a read. */
   private static final int MAX_CONCURRENT_READS = 32;
 
-  private final ReadBarrier proofs;
+  private final ReadBarrier readBarrier;
   private final Submissions submissions;
   private int readsInFlight;
 
@@ -74,7 +74,7 @@
       Claims claims,
       MachineCatalog catalog,
       StateStore store,
-      ReadBarrier proofs,
+      ReadBarrier readBarrier,
       Peers peers,
       Timers timers,
       DecisionLock decisionLock) {
@@ -84,42 +84,42 @@
     this.peers = peers;
     this.timers = timers;
     this.decisionLock = decisionLock;
-    this.proofs = proofs;
+    this.readBarrier = readBarrier;
     this.submissions = new Submissions(settings, membership, jobs, claims, catalog, store, timers);
     jobs.addListener((id, before, entry) -> onJobChanged(id, entry));
   }
 
-  public void submit(byte[] body, Responder answer) {
-    submissions.submit(body, answer);
+  public void submit(byte[] body, Responder responder) {
+    submissions.submit(body, responder);
   }
 
   // ---- poll ----
 
-  public void poll(String id, Responder answer) {
+  public void poll(String id, Responder responder) {
     if (!JobSpec.isValidId(id)) {
-      answer.send(404, JobResponses.errorBody("no such job"));
+      responder.send(404, JobResponses.errorBody("no such job"));
       return;
     }
     Status known = jobs.finalStatus(id);
     if (known != null) {
-      answer.send(200, JobResponses.statusBody(claims, id, known, jobs.get(id)));
+      responder.send(200, JobResponses.statusBody(claims, id, known, jobs.get(id)));
       return;
     }
     if (store.unavailable()) {
-      JobResponses.sendRetryLater(answer);
+      JobResponses.sendRetryLater(responder);
       return;
     }
-    proofs.whenCurrent(
-        proven -> {
-          if (!proven) {
-            JobResponses.sendRetryLater(answer);
+    readBarrier.whenCurrent(
+        current -> {
+          if (!current) {
+            JobResponses.sendRetryLater(responder);
             return;
           }
           JobTable.LookupResult live = jobs.lookUpLocally(id);
           if (live != null) {
-            respondToPoll(id, live, answer);
+            respondToPoll(id, live, responder);
           } else if (readsInFlight >= MAX_CONCURRENT_READS) {
-            JobResponses.sendRetryLater(answer);
+            JobResponses.sendRetryLater(responder);
           } else {
             // The job has ended and its status was evicted here, or it was never submitted.
             readsInFlight++;
@@ -128,18 +128,18 @@
                 RequestPriority.USER,
                 found -> {
                   readsInFlight--;
-                  respondToPoll(id, found, answer);
+                  respondToPoll(id, found, responder);
                 });
           }
         });
   }
 
-  private void respondToPoll(String id, JobTable.LookupResult found, Responder answer) {
+  private void respondToPoll(String id, JobTable.LookupResult found, Responder responder) {
     switch (found.outcome()) {
       case OK ->
-          answer.send(200, JobResponses.statusBody(claims, id, found.status(), found.entry()));
-      case NOT_FOUND -> answer.send(404, JobResponses.errorBody("no such job"));
-      default -> JobResponses.sendRetryLater(answer);
+          responder.send(200, JobResponses.statusBody(claims, id, found.status(), found.entry()));
+      case NOT_FOUND -> responder.send(404, JobResponses.errorBody("no such job"));
+      default -> JobResponses.sendRetryLater(responder);
     }
   }
 
@@ -152,22 +152,22 @@
    * within which users are promised that nothing runs. The proof usually takes a fraction of a
    * second; if it takes longer, the user gets a 503 and retries.
    */
-  public void cancel(String id, Responder answer) {
+  public void cancel(String id, Responder responder) {
     if (!JobSpec.isValidId(id)) {
-      answer.send(404, JobResponses.errorBody("no such job"));
+      responder.send(404, JobResponses.errorBody("no such job"));
       return;
     }
-    cancel(id, answer, MAX_CANCEL_TRIES);
+    cancel(id, responder, MAX_CANCEL_TRIES);
   }
 
-  private void cancel(String id, Responder answer, int triesLeft) {
+  private void cancel(String id, Responder responder, int triesLeft) {
     Status known = jobs.finalStatus(id);
     if (known != null) {
-      answer.send(200, JobResponses.statusBody(claims, id, known, jobs.get(id)));
+      responder.send(200, JobResponses.statusBody(claims, id, known, jobs.get(id)));
       return;
     }
     if (store.unavailable() || triesLeft == 0) {
-      JobResponses.sendRetryLater(answer);
+      JobResponses.sendRetryLater(responder);
       return;
     }
     jobs.readCurrent(
@@ -175,18 +175,18 @@
         RequestPriority.USER,
         found -> {
           if (found.outcome() == Outcome.NOT_FOUND) {
-            answer.send(404, JobResponses.errorBody("no such job"));
+            responder.send(404, JobResponses.errorBody("no such job"));
           } else if (found.outcome() != Outcome.OK) {
-            JobResponses.sendRetryLater(answer);
+            JobResponses.sendRetryLater(responder);
           } else if (found.status() != Status.OPEN) {
             // A job that is done stays done while the last chunks of its task records are removed.
-            answer.send(200, JobResponses.statusBody(claims, id, found.status(), found.entry()));
+            responder.send(200, JobResponses.statusBody(claims, id, found.status(), found.entry()));
           } else if (found.entry().record().status() == Status.CANCELLED) {
             // The writer may not have received a response to its write and not have broadcast it.
             broadcastCancellation(id);
-            awaitFinalStatus(id, answer);
+            awaitFinalStatus(id, responder);
           } else {
-            recordCancellation(found.entry(), answer, triesLeft);
+            recordCancellation(found.entry(), responder, triesLeft);
           }
         });
   }
@@ -195,41 +195,41 @@
    * Records the cancellation. A job that was never claimed cannot have tasks on any machine, so its
    * final record is written immediately.
    */
-  private void recordCancellation(JobTable.Entry entry, Responder answer, int triesLeft) {
-    JobRecord old = entry.record();
-    String id = old.spec().id();
-    boolean neverClaimed = old.term() == 0;
-    JobRecord next = old.withStatus(Status.CANCELLED);
-    String mark = store.newWriteId();
+  private void recordCancellation(JobTable.Entry entry, Responder responder, int triesLeft) {
+    JobRecord oldRecord = entry.record();
+    String id = oldRecord.spec().id();
+    boolean neverClaimed = oldRecord.term() == 0;
+    JobRecord newRecord = oldRecord.withStatus(Status.CANCELLED);
+    String writeId = store.newWriteId();
     Txn txn = new Txn().requireRevision(JobRecord.key(id), entry.revision());
     if (neverClaimed) {
-      txn.put(JobRecord.finalKey(id), JobRecord.finalToDocument(Status.CANCELLED, mark))
+      txn.put(JobRecord.finalKey(id), JobRecord.finalToDocument(Status.CANCELLED, writeId))
           .remove(JobRecord.key(id));
     } else {
-      txn.put(JobRecord.key(id), next.toDocument(mark));
+      txn.put(JobRecord.key(id), newRecord.toDocument(writeId));
     }
     store.tryTxn(
         txn,
         RequestPriority.USER,
-        done -> {
-          if (done.ok()) {
+        result -> {
+          if (result.ok()) {
             LOG.log(Level.INFO, "cancelling job {0}", id);
             if (neverClaimed) {
-              jobs.applyOwnFinalWrite(id, Status.CANCELLED, done.revision());
+              jobs.applyOwnFinalWrite(id, Status.CANCELLED, result.revision());
             } else {
-              jobs.applyOwnWrite(id, next, mark, done.revision());
+              jobs.applyOwnWrite(id, newRecord, writeId, result.revision());
               broadcastCancellation(id);
             }
-            awaitFinalStatus(id, answer);
-          } else if (done.outcome() == Outcome.CONFLICT) {
-            cancel(id, answer, triesLeft - 1);
+            awaitFinalStatus(id, responder);
+          } else if (result.outcome() == Outcome.CONFLICT) {
+            cancel(id, responder, triesLeft - 1);
           } else {
-            if (done.outcome() == Outcome.UNKNOWN) {
+            if (result.outcome() == Outcome.UNKNOWN) {
               // The transaction may have been applied already, or may still be applied.
               unannouncedCancellations.add(id);
               onJobChanged(id, jobs.get(id));
             }
-            JobResponses.sendRetryLater(answer);
+            JobResponses.sendRetryLater(responder);
           }
         });
   }
@@ -264,21 +264,21 @@
   }
 
   /** Responds when the final status is known, or with a 503 after {@link #CANCEL_WAIT_S}. */
-  private void awaitFinalStatus(String id, Responder answer) {
+  private void awaitFinalStatus(String id, Responder responder) {
     Status known = jobs.finalStatus(id);
     if (known != null) {
-      answer.send(200, JobResponses.statusBody(claims, id, known, null));
+      responder.send(200, JobResponses.statusBody(claims, id, known, null));
       return;
     }
-    cancelWaiters.computeIfAbsent(id, k -> new ArrayList<>()).add(answer);
+    cancelWaiters.computeIfAbsent(id, k -> new ArrayList<>()).add(responder);
     timers.after(
         CANCEL_WAIT_S,
         () ->
             decisionLock.run(
                 () -> {
                   List<Responder> waiting = cancelWaiters.get(id);
-                  if (waiting != null && waiting.remove(answer)) {
-                    JobResponses.sendRetryLater(answer);
+                  if (waiting != null && waiting.remove(responder)) {
+                    JobResponses.sendRetryLater(responder);
                     cancelWaiters.remove(id, List.of());
                   }
                 }));
--- a/src/main/java/dev/dunefront/job/JobRecord.java
+++ b/src/main/java/dev/dunefront/job/JobRecord.java
@@ -50,8 +50,8 @@
         (int) d.countOr("granted", 0));
   }
 
-  /** Encodes the record with the mark that identifies this write. */
-  public Document toDocument(String mark) {
+  /** Encodes the record with the id of this write. */
+  public Document toDocument(String writeId) {
     return Document.create()
         .put("spec", spec.toDocument())
         .put("at", acceptedMs)
@@ -59,11 +59,11 @@
         .put("term", term)
         .put("status", status.name())
         .put("granted", granted)
-        .put(StateStore.WRITE_ID_FIELD, mark);
+        .put(StateStore.WRITE_ID_FIELD, writeId);
   }
 
-  public static Document finalToDocument(Status status, String mark) {
-    return Document.create().put("status", status.name()).put(StateStore.WRITE_ID_FIELD, mark);
+  public static Document finalToDocument(Status status, String writeId) {
+    return Document.create().put("status", status.name()).put(StateStore.WRITE_ID_FIELD, writeId);
   }
 
   static Status finalStatusFromDocument(Document d) throws MalformedMessageException {
--- a/src/main/java/dev/dunefront/job/JobResponses.java
+++ b/src/main/java/dev/dunefront/job/JobResponses.java
@@ -45,7 +45,7 @@
   }
 
   /** Responds that the request cannot be served now and may be retried. */
-  static void sendRetryLater(Responder answer) {
-    answer.send(503, errorBody("not now"), RETRY_AFTER_S);
+  static void sendRetryLater(Responder responder) {
+    responder.send(503, errorBody("not now"), RETRY_AFTER_S);
   }
 }
--- a/src/main/java/dev/dunefront/job/JobTable.java
+++ b/src/main/java/dev/dunefront/job/JobTable.java
@@ -47,7 +47,7 @@
   /**
    * Result of looking up a job.
    *
-   * @param outcome OK if the job was found; with REFUSED and UNCLEAR nothing is known
+   * @param outcome OK if the job was found; with REFUSED and UNKNOWN nothing is known
    * @param entry the live record, or null if the status comes from a final record or nothing was
    *     found
    * @param status the status to report to users, or null if nothing was found
@@ -75,7 +75,7 @@
     replica.addListener(JobRecord.PREFIX, this::onReplicaChange);
   }
 
-  private void onReplicaChange(String id, Document value, long stamp) {
+  private void onReplicaChange(String id, Document value, long revision) {
     Entry entry = null;
     Entry known = liveEntries.get(id);
     if (value == null) {
@@ -88,7 +88,8 @@
       try {
         entry =
             new Entry(
-                JobRecord.fromDocument(value, known == null ? null : known.record.spec()), stamp);
+                JobRecord.fromDocument(value, known == null ? null : known.record.spec()),
+                revision);
         liveEntries.put(id, entry);
         if (entry.record.status() == Status.DONE) {
           finalStatuses.put(id, Status.DONE);
@@ -172,8 +173,8 @@
   }
 
   /** Applies a live record that this controller has written, at the version of its key. */
-  public void applyOwnWrite(String id, JobRecord record, String mark, long stamp) {
-    replica.apply(JobRecord.key(id), record.toDocument(mark), stamp);
+  public void applyOwnWrite(String id, JobRecord record, String writeId, long revision) {
+    replica.apply(JobRecord.key(id), record.toDocument(writeId), revision);
   }
 
   /** Stores a final status that is recorded in the state service. */
@@ -192,7 +193,7 @@
    * Reads a job's current status from the state service. A job's record moves from the live to the
    * final key and never back, so reading the live key first and then the final key cannot miss it.
    */
-  public void readCurrent(String id, RequestPriority urgency, Consumer<LookupResult> then) {
+  public void readCurrent(String id, RequestPriority priority, Consumer<LookupResult> then) {
     Status known = finalStatuses.get(id);
     if (known != null) {
       then.accept(new LookupResult(Outcome.OK, null, known));
@@ -200,21 +201,21 @@
     }
     store.get(
         JobRecord.key(id),
-        urgency,
-        got -> {
-          if (got.outcome() == Outcome.OK) {
-            replica.apply(JobRecord.key(id), got.value(), got.revision());
+        priority,
+        result -> {
+          if (result.outcome() == Outcome.OK) {
+            replica.apply(JobRecord.key(id), result.value(), result.revision());
             Entry e = liveEntries.get(id);
             if (e != null) {
               then.accept(new LookupResult(Outcome.OK, e, reportedStatus(e.record)));
             } else {
               // The live record was removed while the read was in flight.
-              readFinalStatus(id, urgency, then);
+              readFinalStatus(id, priority, then);
             }
-          } else if (got.outcome() == Outcome.NOT_FOUND) {
-            readFinalStatus(id, urgency, then);
+          } else if (result.outcome() == Outcome.NOT_FOUND) {
+            readFinalStatus(id, priority, then);
           } else {
-            then.accept(new LookupResult(got.outcome(), null, null));
+            then.accept(new LookupResult(result.outcome(), null, null));
           }
         });
   }
@@ -238,19 +239,21 @@
   }
 
   /** Reads the final record of a job without a live record; the job may have become live since. */
-  void readFinalStatus(String id, RequestPriority urgency, Consumer<LookupResult> then) {
+  void readFinalStatus(String id, RequestPriority priority, Consumer<LookupResult> then) {
     store.get(
         JobRecord.finalKey(id),
-        urgency,
-        got -> {
-          if (got.outcome() != Outcome.OK) {
+        priority,
+        result -> {
+          if (result.outcome() != Outcome.OK) {
             // The job may have been accepted while the final record was being read.
-            LookupResult accepted = got.outcome() == Outcome.NOT_FOUND ? lookUpLocally(id) : null;
-            then.accept(accepted != null ? accepted : new LookupResult(got.outcome(), null, null));
+            LookupResult accepted =
+                result.outcome() == Outcome.NOT_FOUND ? lookUpLocally(id) : null;
+            then.accept(
+                accepted != null ? accepted : new LookupResult(result.outcome(), null, null));
             return;
           }
           try {
-            Status status = JobRecord.finalStatusFromDocument(got.value());
+            Status status = JobRecord.finalStatusFromDocument(result.value());
             finalStatuses.put(id, status);
             then.accept(new LookupResult(Outcome.OK, null, status));
           } catch (MalformedMessageException | IllegalArgumentException e) {
--- a/src/main/java/dev/dunefront/job/Submissions.java
+++ b/src/main/java/dev/dunefront/job/Submissions.java
@@ -56,50 +56,51 @@
     this.timers = timers;
   }
 
-  void submit(byte[] body, Responder answer) {
+  void submit(byte[] body, Responder responder) {
     JobSpec spec;
     try {
       spec = JobSpec.fromSubmission(Document.decode(body));
     } catch (MalformedMessageException e) {
       LOG.log(Level.INFO, "rejected a malformed submission: {0}", e.getMessage());
-      answer.send(400, JobResponses.errorBody(e.getMessage()));
+      responder.send(400, JobResponses.errorBody(e.getMessage()));
       return;
     }
     if (jobs.finalStatus(spec.id()) != null) {
-      answer.send(
+      responder.send(
           200, JobResponses.statusBody(claims, spec.id(), jobs.finalStatus(spec.id()), null));
       return;
     }
     if (store.unavailable() || membership.ownIncarnation() == null) {
-      JobResponses.sendRetryLater(answer);
+      JobResponses.sendRetryLater(responder);
       return;
     }
     String reason = rejectionReason(spec);
     if (jobs.get(spec.id()) != null || reason != null) {
       // A job that was accepted before is never rejected, even if it would be rejected now.
-      respondWithCurrentStatus(spec, reason, answer);
+      respondWithCurrentStatus(spec, reason, responder);
     } else if (!catalog.isLoaded()) {
-      JobResponses.sendRetryLater(answer);
+      JobResponses.sendRetryLater(responder);
     } else {
-      accept(spec, answer);
+      accept(spec, responder);
     }
   }
 
-  private void accept(JobSpec spec, Responder answer) {
-    String claim = claims.admitsAtOnce(spec) ? membership.ownIncarnation() : null;
+  private void accept(JobSpec spec, Responder responder) {
+    String claimant = claims.admitsAtOnce(spec) ? membership.ownIncarnation() : null;
     JobRecord record =
-        new JobRecord(spec, timers.wallClockMs(), claim, claim == null ? 0 : 1, Status.OPEN, 0);
-    String mark = store.newWriteId();
-    PendingSubmission pending = new PendingSubmission(answer);
+        new JobRecord(
+            spec, timers.wallClockMs(), claimant, claimant == null ? 0 : 1, Status.OPEN, 0);
+    String writeId = store.newWriteId();
+    PendingSubmission pending = new PendingSubmission(responder);
     pendingSubmissions.putIfAbsent(spec.id(), pending);
     store.tryTxn(
         new Txn()
             .requireRevision(JobRecord.key(spec.id()), 0)
             .requireRevision(JobRecord.finalKey(spec.id()), 0)
-            .put(JobRecord.key(spec.id()), record.toDocument(mark)),
+            .put(JobRecord.key(spec.id()), record.toDocument(writeId)),
         RequestPriority.USER,
-        done -> {
-          if (done.ok()) {
+        result -> {
+          if (result.ok()) {
             LOG.log(
                 Level.INFO,
                 "accepted job {0}: {1} tasks of class {2} for team {3}",
@@ -107,28 +108,28 @@
                 spec.tasks(),
                 spec.jobClass(),
                 spec.team());
-            jobs.applyOwnWrite(spec.id(), record, mark, done.revision());
+            jobs.applyOwnWrite(spec.id(), record, writeId, result.revision());
           }
           pendingSubmissions.remove(spec.id(), pending);
-          if (pending.answered) {
+          if (pending.responded) {
             return;
           }
-          if (done.ok() || done.outcome() == Outcome.CONFLICT) {
+          if (result.ok() || result.outcome() == Outcome.CONFLICT) {
             // Another write has recorded the job, or it ended before the replica showed it.
-            respondWithCurrentStatus(spec, null, answer);
+            respondWithCurrentStatus(spec, null, responder);
           } else {
-            JobResponses.sendRetryLater(answer);
+            JobResponses.sendRetryLater(responder);
           }
         });
   }
 
   /** A submission whose record is being written. */
   private static final class PendingSubmission {
-    final Responder answer;
-    boolean answered;
+    final Responder responder;
+    boolean responded;
 
-    PendingSubmission(Responder answer) {
-      this.answer = answer;
+    PendingSubmission(Responder responder) {
+      this.responder = responder;
     }
   }
 
@@ -143,12 +144,12 @@
     if (pending == null) {
       return;
     }
-    pending.answered = true;
+    pending.responded = true;
     JobRecord record = entry.record();
     if (record.isClaimedBy(membership.ownIncarnation()) && record.term() == 1) {
       claims.adopt(id, true);
     }
-    pending.answer.send(
+    pending.responder.send(
         201, JobResponses.statusBody(claims, id, jobs.lookUpLocally(id).status(), entry));
   }
 
@@ -158,17 +159,17 @@
    * @param reason why a job that is not recorded is rejected with a 422; if null, the user gets a
    *     503 instead
    */
-  private void respondWithCurrentStatus(JobSpec spec, String reason, Responder answer) {
+  private void respondWithCurrentStatus(JobSpec spec, String reason, Responder responder) {
     jobs.readCurrent(
         spec.id(),
         RequestPriority.USER,
         found -> {
           if (found.outcome() == Outcome.OK) {
-            answer.send(200, JobResponses.statusBody(claims, spec.id(), found.status(), null));
+            responder.send(200, JobResponses.statusBody(claims, spec.id(), found.status(), null));
           } else if (found.outcome() == Outcome.NOT_FOUND && reason != null) {
-            answer.send(422, JobResponses.errorBody(reason));
+            responder.send(422, JobResponses.errorBody(reason));
           } else {
-            JobResponses.sendRetryLater(answer);
+            JobResponses.sendRetryLater(responder);
           }
         });
   }
@@ -182,13 +183,13 @@
     if (!catalog.isLoaded()) {
       return null;
     }
-    Resources size = spec.taskResources();
+    Resources taskResources = spec.taskResources();
     boolean fits = false;
     for (MachineType t : catalog.types()) {
       boolean allowed = spec.machineTypes() == null || spec.machineTypes().contains(t.name());
       boolean inZone =
           spec.zone() == null || t.zones().isEmpty() || t.zones().contains(spec.zone());
-      fits |= allowed && inZone && size.fitsIn(t.resources());
+      fits |= allowed && inZone && taskResources.fitsIn(t.resources());
     }
     if (!fits) {
       return "a task fits no allowed machine type";
--- a/src/main/java/dev/dunefront/metrics/Meters.java
+++ b/src/main/java/dev/dunefront/metrics/Meters.java
@@ -38,7 +38,7 @@
   }
 
   private final Map<Request, RequestStats> requestStats = new EnumMap<>(Request.class);
-  private final Map<String, IntSupplier> gauges = new LinkedHashMap<>();
+  private final Map<String, IntSupplier> plainGauges = new LinkedHashMap<>();
   private final Map<String, Supplier<List<LabelledValue>>> labelledGauges = new LinkedHashMap<>();
   private final Map<String, MultiGauge> multiGauges = new LinkedHashMap<>();
   private PrometheusMeterRegistry registry;
@@ -47,13 +47,13 @@
   public record LabelledValue(Map<String, String> labels, double value) {}
 
   /** Adds a gauge with labels. Its values are computed at each scrape and may have other labels. */
-  public void gauges(String name, Supplier<List<LabelledValue>> values) {
+  public void labelledGauge(String name, Supplier<List<LabelledValue>> values) {
     labelledGauges.put(name, values);
   }
 
   /** Adds a gauge without labels, computed at each scrape. */
   public void gauge(String name, IntSupplier value) {
-    gauges.put(name, value);
+    plainGauges.put(name, value);
   }
 
   /** Records the response to a request; a status of 500 or more counts as refused. */
@@ -70,7 +70,7 @@
   public String scrape() {
     if (registry == null) {
       registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-      gauges.forEach((name, value) -> Gauge.builder(name, value::getAsInt).register(registry));
+      plainGauges.forEach((name, value) -> Gauge.builder(name, value::getAsInt).register(registry));
       for (Request r : Request.values()) {
         register(r, requestStats.computeIfAbsent(r, k -> new RequestStats()));
       }
--- a/src/main/java/dev/dunefront/metrics/SafetyMonitor.java
+++ b/src/main/java/dev/dunefront/metrics/SafetyMonitor.java
@@ -53,11 +53,11 @@
    * Counts and logs the violation of an invariant. The caller skips the step that would violate it
    * and continues with everything else.
    *
-   * @param facts details for the log
+   * @param details what is known about it, for the log
    */
-  public void invariantViolated(Invariant invariant, String facts) {
+  public void invariantViolated(Invariant invariant, String details) {
     violations.merge(invariant, 1, Integer::sum);
-    LOG.log(Level.ERROR, "invariant violated: {0}: {1}", invariant, facts);
+    LOG.log(Level.ERROR, "invariant violated: {0}: {1}", invariant, details);
   }
 
   /** Number of violations found of each invariant; one without violations is absent. */
@@ -67,9 +67,10 @@
 
   /** Registers all counts as gauges. */
   public void register(Meters meters) {
-    meters.gauges("dunefront.attempts.ended", () -> labelledValues("proof", endsByProof));
-    meters.gauges("dunefront.starts.refused", () -> labelledValues("reason", refusals));
-    meters.gauges("dunefront.invariants.violated", () -> labelledValues("invariant", violations));
+    meters.labelledGauge("dunefront.attempts.ended", () -> labelledValues("proof", endsByProof));
+    meters.labelledGauge("dunefront.starts.refused", () -> labelledValues("reason", refusals));
+    meters.labelledGauge(
+        "dunefront.invariants.violated", () -> labelledValues("invariant", violations));
     meters.gauge("dunefront.proofs.oldest.ms", () -> (int) Math.round(maxProofAgeS * 1000));
     meters.gauge("dunefront.strays.seen", () -> straysSeen);
     meters.gauge("dunefront.strays.outstanding", () -> straysSeen - straysResolved);
@@ -77,12 +78,12 @@
 
   private static <K extends Enum<K>> List<Meters.LabelledValue> labelledValues(
       String label, Map<K, Integer> counts) {
-    List<Meters.LabelledValue> rows = new ArrayList<>();
+    List<Meters.LabelledValue> values = new ArrayList<>();
     counts.forEach(
         (key, count) ->
-            rows.add(
+            values.add(
                 new Meters.LabelledValue(
                     Map.of(label, key.name().toLowerCase(Locale.ROOT)), count)));
-    return rows;
+    return values;
   }
 }
--- a/src/main/java/dev/dunefront/standin/FakeCloud.java
+++ b/src/main/java/dev/dunefront/standin/FakeCloud.java
@@ -50,8 +50,8 @@
   }
 
   /** Sets how many machines can be rented from now on. */
-  public void capacity(int machinesLeft) {
-    capacity = machinesLeft;
+  public void capacity(int machines) {
+    capacity = machines;
   }
 
   /**
--- a/src/main/java/dev/dunefront/standin/FakeStateService.java
+++ b/src/main/java/dev/dunefront/standin/FakeStateService.java
@@ -94,7 +94,7 @@
       }
     }
     if (inOutage) {
-      then.accept(reply(503, Document.create()));
+      then.accept(response(503, Document.create()));
       return;
     }
     try {
@@ -108,28 +108,28 @@
         long id = ++lastLease;
         leaseDurationsS.put(id, Document.decode(body).count("life_ms") / 1000.0);
         leaseExpiries.put(id, timers.now() + leaseDurationsS.get(id));
-        then.accept(reply(200, Document.create().put("tenancy", id)));
+        then.accept(response(200, Document.create().put("tenancy", id)));
       } else if (path.startsWith("/leases/")) {
         long id = Long.parseLong(path.split("/")[2]);
         if (!leaseExpiries.containsKey(id)) {
-          then.accept(reply(404, Document.create()));
+          then.accept(response(404, Document.create()));
           return;
         }
         leaseExpiries.put(id, timers.now() + leaseDurationsS.get(id));
-        then.accept(reply(200, Document.create().put("tenancy", id)));
+        then.accept(response(200, Document.create().put("tenancy", id)));
       } else if (path.equals("/watch")) {
         double until =
             timers.now() + Double.parseDouble(query.getOrDefault("block_ms", "0")) / 1000;
         watch(query.get("prefix"), Long.parseLong(query.get("from")), until, then);
       } else {
-        then.accept(reply(404, Document.create()));
+        then.accept(response(404, Document.create()));
       }
     } catch (MalformedMessageException e) {
-      then.accept(reply(400, Document.create()));
+      then.accept(response(400, Document.create()));
     }
   }
 
-  private static Response reply(int status, Document doc) {
+  private static Response response(int status, Document doc) {
     return new Response(status, doc.encode(), 0);
   }
 
@@ -137,8 +137,8 @@
     Value v = keys.get(key);
     then.accept(
         v == null
-            ? reply(404, Document.create().put("ledger_rev", revision))
-            : reply(200, pair(key, v)));
+            ? response(404, Document.create().put("ledger_rev", revision))
+            : response(200, pair(key, v)));
   }
 
   private static Document pair(String key, Value v) {
@@ -159,7 +159,7 @@
       }
     }
     then.accept(
-        reply(
+        response(
             200,
             Document.create().put("pairs", pairs).put("more", more).put("ledger_rev", revision)));
   }
@@ -167,7 +167,7 @@
   private void txn(Document txn, Consumer<Response> then) throws MalformedMessageException {
     if (txn.documents("then").size() > MAX_TXN_OPS
         || txn.documents("when").size() > 4 * MAX_TXN_OPS) {
-      then.accept(reply(400, Document.create().put("error", "too much")));
+      then.accept(response(400, Document.create().put("error", "too much")));
       return;
     }
     List<String> failed = new ArrayList<>();
@@ -179,13 +179,14 @@
     }
     for (Document t : txn.documents("then")) {
       if (t.has("tenancy") && !leaseExpiries.containsKey(t.count("tenancy"))) {
-        then.accept(reply(400, Document.create().put("error", "no such lease")));
+        then.accept(response(400, Document.create().put("error", "no such lease")));
         return;
       }
     }
     if (!failed.isEmpty()) {
       failedTxnOps += txn.documents("then").size();
-      then.accept(reply(409, Document.create().put("failed", failed).put("ledger_rev", revision)));
+      then.accept(
+          response(409, Document.create().put("failed", failed).put("ledger_rev", revision)));
       return;
     }
     revision++;
@@ -199,7 +200,7 @@
         changes.add(new Change(revision, t.text("remove"), null));
       }
     }
-    then.accept(reply(200, Document.create().put("ledger_rev", revision)));
+    then.accept(response(200, Document.create().put("ledger_rev", revision)));
     notifyWatches();
   }
 
@@ -228,7 +229,8 @@
                 .put("stamp", c.revision);
         events.add(c.data == null ? e : e.put("data", c.data));
       }
-      then.accept(reply(200, Document.create().put("ledger_rev", revision).put("events", events)));
+      then.accept(
+          response(200, Document.create().put("ledger_rev", revision).put("events", events)));
       return;
     }
     boolean[] retried = {false};
--- a/src/main/java/dev/dunefront/standin/FakeWorker.java
+++ b/src/main/java/dev/dunefront/standin/FakeWorker.java
@@ -13,7 +13,7 @@
  * runs until {@link #exit} or a command ends it.
  */
 public final class FakeWorker {
-  /** A task on the worker; {@code why} is null until it has exited. */
+  /** A task on the worker; {@code exitReason} is null until it has exited. */
   private record Task(long attempt, String state, String exitReason) {}
 
   private final String host;
@@ -57,12 +57,12 @@
 
   public byte[] report() {
     serial++;
-    List<Document> pieces = new ArrayList<>();
+    List<Document> taskDocuments = new ArrayList<>();
     tasks.forEach(
         (id, t) -> {
           Document d =
               Document.create().put("piece", id).put("try_no", t.attempt).put("status", t.state);
-          pieces.add(t.exitReason == null ? d : d.put("exit_reason", t.exitReason));
+          taskDocuments.add(t.exitReason == null ? d : d.put("exit_reason", t.exitReason));
         });
     return Document.create()
         .put("host", host)
@@ -73,7 +73,7 @@
         .put("tenure", session)
         .put("serial", serial)
         .put("baton", token)
-        .put("pieces", pieces)
+        .put("pieces", taskDocuments)
         .put("recall_s", reclaimNoticeS)
         .encode();
   }
--- a/src/main/java/dev/dunefront/wire/JobSpec.java
+++ b/src/main/java/dev/dunefront/wire/JobSpec.java
@@ -41,7 +41,7 @@
     Double deadlineS) {
 
   private static final int MAX_TASKS = 100_000;
-  private static final int MAX_NAME = 120;
+  private static final int MAX_NAME_LENGTH = 120;
 
   /**
    * Decodes a submission. By the protocol only {@code flavors}, {@code site} and {@code due_s} may
@@ -77,7 +77,7 @@
       throw new MalformedMessageException("vcpus, cards or ram_gb is beyond any machine");
     }
     return new JobSpec(
-        id(d.text("id")),
+        requireValidId(d.text("id")),
         requireName(d, "batchclass"),
         requireName(d, "owner"),
         shape.equals("daemon"),
@@ -100,7 +100,7 @@
   }
 
   /** Returns the text if it has the form of a job id; no job has an id of any other form. */
-  public static String id(String text) throws MalformedMessageException {
+  public static String requireValidId(String text) throws MalformedMessageException {
     if (!isValidId(text)) {
       throw new MalformedMessageException("id does not have the form of a job id");
     }
@@ -123,7 +123,7 @@
 
   private static String requireName(Document d, String field) throws MalformedMessageException {
     String s = d.text(field);
-    if (s.isEmpty() || s.length() > MAX_NAME) {
+    if (s.isEmpty() || s.length() > MAX_NAME_LENGTH) {
       throw new MalformedMessageException(field + " is empty or too long");
     }
     return s;
--- a/src/main/java/dev/dunefront/wire/Priority.java
+++ b/src/main/java/dev/dunefront/wire/Priority.java
@@ -9,8 +9,8 @@
 
   private final String wireName;
 
-  Priority(String word) {
-    this.wireName = word;
+  Priority(String wireName) {
+    this.wireName = wireName;
   }
 
   /** The value on the wire. */
--- a/src/main/java/dev/dunefront/wire/Report.java
+++ b/src/main/java/dev/dunefront/wire/Report.java
@@ -26,7 +26,7 @@
     Double reclaimNoticeS,
     List<Task> tasks) {
 
-  /** A task on the machine; {@code why} is empty until it has exited. */
+  /** A task on the machine; {@code exitReason} is empty until it has exited. */
   public record Task(TaskId id, long attempt, String state, String exitReason) {
     public boolean exited() {
       return state.equals("exited");
--- a/src/test/java/dev/dunefront/metrics/MetersTest.java
+++ b/src/test/java/dev/dunefront/metrics/MetersTest.java
@@ -33,7 +33,7 @@
   void labelledValuesAppearAndDisappear() {
     Meters meters = new Meters();
     List<Meters.LabelledValue> values = new ArrayList<>();
-    meters.gauges("dunefront.jobs.unbegun.seconds", () -> List.copyOf(values));
+    meters.labelledGauge("dunefront.jobs.unbegun.seconds", () -> List.copyOf(values));
     values.add(new Meters.LabelledValue(Map.of("class", "train", "team", "vision"), 7));
     String line = "dunefront_jobs_unbegun_seconds{class=\"train\",team=\"vision\"} ";
     assertTrue(meters.scrape().contains(line + "7.0"), meters.scrape());
