--- a/src/main/java/dev/dunefront/cli/RehearseCommand.java
+++ b/src/main/java/dev/dunefront/cli/RehearseCommand.java
@@ -29,13 +29,14 @@
 import picocli.CommandLine.Command;
 
 /**
- * Runs two controllers against stand-ins for a few seconds on loopback, so that the build can keep
- * an archive of the classes that a controller loads.
+ * Runs two controllers for a few seconds on the loopback interface against fakes of the state
+ * service, the cloud and a worker. The build records the loaded classes in a class data sharing
+ * archive.
  */
 @Command(
     name = "rehearse",
     hidden = true,
-    description = "Run two controllers against stand-ins for a few seconds.")
+    description = "Run two controllers against in-memory fakes for a few seconds.")
 final class RehearseCommand implements Callable<Integer> {
   private static final double TIMEOUT_S = 20;
 
@@ -56,24 +57,28 @@
         worker,
         buffers,
         ports[0],
-        (r, a) ->
+        (request, responder) ->
             state.handle(
-                r.method(),
-                r.path() + (r.query().isEmpty() ? "" : "?" + r.query()),
-                r.body(),
-                reply -> a.send(reply.status(), reply.body())));
-    serve(worker, buffers, ports[1], (r, a) -> a.send(200, cloudResponse(r.path())));
+                request.method(),
+                request.path() + (request.query().isEmpty() ? "" : "?" + request.query()),
+                request.body(),
+                response -> responder.send(response.status(), response.body())));
+    serve(
+        worker,
+        buffers,
+        ports[1],
+        (request, responder) -> responder.send(200, cloudResponse(request.path())));
     FakeWorker machine = new FakeWorker("host-1", "127.0.0.1:" + ports[2], "small", "a");
     serve(
         worker,
         buffers,
         ports[2],
-        (r, a) -> {
+        (request, responder) -> {
           try {
-            HttpCaller.Response reply = machine.handleCommands(r.body());
-            a.send(reply.status(), reply.body());
+            HttpCaller.Response response = machine.handleCommands(request.body());
+            responder.send(response.status(), response.body());
           } catch (MalformedMessageException e) {
-            a.send(400, null);
+            responder.send(400, null);
           }
         });
     for (int i = 0; i < 2; i++) {
@@ -82,8 +87,8 @@
     String node = "127.0.0.1:" + ports[3];
     sendReports(machine, caller, timers, node);
     submit(caller, timers, node, 1);
-    boolean in = done.await((long) TIMEOUT_S, TimeUnit.SECONDS);
-    return in ? 0 : 1;
+    boolean finished = done.await((long) TIMEOUT_S, TimeUnit.SECONDS);
+    return finished ? 0 : 1;
   }
 
   private static void serve(
@@ -95,6 +100,7 @@
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
   }
 
+  /** Returns ports that were free a moment ago. */
   private static int[] freePorts(int n) throws IOException {
     ServerSocket[] sockets = new ServerSocket[n];
     int[] ports = new int[n];
@@ -108,7 +114,7 @@
     return ports;
   }
 
-  /** Written out and read back, so that the reading is rehearsed as well. */
+  /** Parses the settings from TOML, so that the parser's classes are archived too. */
   private static Settings settings(int[] ports, int i) throws InvalidSettingException {
     int other = 1 - i;
     return Settings.parse(
@@ -163,6 +169,7 @@
     return Document.create().put("hosts", List.of()).put("more", false).encode();
   }
 
+  /** Reports every 0.2 s; tasks exit as done right after the response that starts them. */
   private void sendReports(FakeWorker machine, HttpCaller caller, Timers timers, String node) {
     caller.call(
         node,
@@ -170,10 +177,10 @@
         "/hello",
         machine.report(),
         4,
-        reply -> {
+        response -> {
           try {
-            if (reply.ok()) {
-              machine.handleReportResponse(reply.body());
+            if (response.ok()) {
+              machine.handleReportResponse(response.body());
             }
           } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
@@ -183,6 +190,7 @@
         });
   }
 
+  /** Submits job {@code n} until it is accepted, then polls it until it is done. */
   private void submit(HttpCaller caller, Timers timers, String node, int n) {
     byte[] job =
         Document.create()
@@ -210,8 +218,8 @@
         "/v1/jobs",
         job,
         4,
-        reply -> {
-          if (reply.status() == 201) {
+        response -> {
+          if (response.status() == 201) {
             poll(caller, timers, node, n);
           } else {
             timers.after(0.2, () -> submit(caller, timers, node, n));
@@ -226,16 +234,17 @@
         "/v1/jobs/wk-" + n,
         null,
         2,
-        reply -> {
-          boolean over = false;
+        response -> {
+          boolean jobDone = false;
           try {
-            over = reply.ok() && Document.decode(reply.body()).text("status").equals("done");
+            jobDone =
+                response.ok() && Document.decode(response.body()).text("status").equals("done");
           } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
           }
-          if (over && n == 2) {
+          if (jobDone && n == 2) {
             done.countDown();
-          } else if (over) {
+          } else if (jobDone) {
             submit(caller, timers, node, n + 1);
           } else {
             timers.after(0.2, () -> poll(caller, timers, node, n));
--- a/src/main/java/dev/dunefront/job/JobApi.java
+++ b/src/main/java/dev/dunefront/job/JobApi.java
@@ -25,15 +25,22 @@
 import java.util.Set;
 
 /**
- * The users' requests. Nothing is said before it is written, and what may still change is proven
- * anew for every answer: what changes it is based on a read, what only asks on a proof that is
- * shared ({@link ReadBarrier}). What cannot be served is refused at once.
+ * Serves the users' requests to submit, poll and cancel jobs. A change is confirmed only after it
+ * is written to the state service. A status that can still change is checked against the state
+ * service for every response: submit and cancel read the job's keys or write them conditionally,
+ * polls share one read of all changes ({@link ReadBarrier}). A request that cannot be served is
+ * refused immediately with a 503.
  */
 public final class JobApi {
   private static final System.Logger LOG = System.getLogger(JobApi.class.getName());
+
+  /** Attempts to write a cancellation when the record changes concurrently. */
   private static final int MAX_CANCEL_TRIES = 5;
 
-  /** How long the proof that a cancelled job's tasks are gone mostly takes at the most. */
+  /**
+   * How long a cancel request waits for the job's final status. Proving that all tasks have ended
+   * usually takes less.
+   */
   private static final double CANCEL_WAIT_S = 0.5;
 
   private final JobTable jobs;
@@ -43,20 +50,21 @@
   private final Timers timers;
   private final DecisionLock decisionLock;
 
-  /** Questions about jobs that are not in the replica cost a read each; so many at a time. */
+  /** Concurrent reads for polls of jobs that the replica does not show; each poll costs a read. */
   private static final int MAX_CONCURRENT_READS = 32;
 
-  private final ReadBarrier proofs;
+  private final ReadBarrier readBarrier;
   private final Submissions submissions;
   private int readsInFlight;
 
   /**
-   * Live jobs whose cancellation had no answer: if it shows in the record, the others are to be
-   * told. Whatever becomes of it, each is forgotten when its live record is gone.
+   * Live jobs whose cancellation was written with an unknown outcome. If the replica shows the
+   * record as cancelled, the cancellation is broadcast. An entry is removed when it is broadcast or
+   * when the live record is gone.
    */
   private final Set<String> unannouncedCancellations = new HashSet<>();
 
-  /** Who waits for the end of a cancelled job. */
+  /** Open cancel requests that wait for a job's final status, by job id. */
   private final Map<String, List<Responder>> cancelWaiters = new HashMap<>();
 
   public JobApi(
@@ -66,7 +74,7 @@
       Claims claims,
       MachineCatalog catalog,
       StateStore store,
-      ReadBarrier proofs,
+      ReadBarrier readBarrier,
       Peers peers,
       Timers timers,
       DecisionLock decisionLock) {
@@ -76,89 +84,90 @@
     this.peers = peers;
     this.timers = timers;
     this.decisionLock = decisionLock;
-    this.proofs = proofs;
+    this.readBarrier = readBarrier;
     this.submissions = new Submissions(settings, membership, jobs, claims, catalog, store, timers);
     jobs.addListener((id, before, entry) -> onJobChanged(id, entry));
   }
 
-  public void submit(byte[] body, Responder answer) {
-    submissions.submit(body, answer);
+  public void submit(byte[] body, Responder responder) {
+    submissions.submit(body, responder);
   }
 
   // ---- poll ----
 
-  public void poll(String id, Responder answer) {
+  public void poll(String id, Responder responder) {
     if (!JobSpec.isValidId(id)) {
-      answer.send(404, JobResponses.errorBody("no such job"));
+      responder.send(404, JobResponses.errorBody("no such job"));
       return;
     }
     Status known = jobs.finalStatus(id);
     if (known != null) {
-      answer.send(200, JobResponses.statusBody(claims, id, known, jobs.get(id)));
+      responder.send(200, JobResponses.statusBody(claims, id, known, jobs.get(id)));
       return;
     }
     if (store.unavailable()) {
-      JobResponses.sendRetryLater(answer);
+      JobResponses.sendRetryLater(responder);
       return;
     }
-    proofs.whenCurrent(
-        proven -> {
-          if (!proven) {
-            JobResponses.sendRetryLater(answer);
+    readBarrier.whenCurrent(
+        current -> {
+          if (!current) {
+            JobResponses.sendRetryLater(responder);
             return;
           }
           JobTable.LookupResult live = jobs.lookUpLocally(id);
           if (live != null) {
-            respondToPoll(id, live, answer);
+            respondToPoll(id, live, responder);
           } else if (readsInFlight >= MAX_CONCURRENT_READS) {
-            JobResponses.sendRetryLater(answer);
+            JobResponses.sendRetryLater(responder);
           } else {
-            // Over and forgotten here, or never submitted.
+            // The job has ended and its status was evicted here, or it was never submitted.
             readsInFlight++;
             jobs.readFinalStatus(
                 id,
                 RequestPriority.USER,
                 found -> {
                   readsInFlight--;
-                  respondToPoll(id, found, answer);
+                  respondToPoll(id, found, responder);
                 });
           }
         });
   }
 
-  private void respondToPoll(String id, JobTable.LookupResult found, Responder answer) {
+  private void respondToPoll(String id, JobTable.LookupResult found, Responder responder) {
     switch (found.outcome()) {
       case OK ->
-          answer.send(200, JobResponses.statusBody(claims, id, found.status(), found.entry()));
-      case NOT_FOUND -> answer.send(404, JobResponses.errorBody("no such job"));
-      default -> JobResponses.sendRetryLater(answer);
+          responder.send(200, JobResponses.statusBody(claims, id, found.status(), found.entry()));
+      case NOT_FOUND -> responder.send(404, JobResponses.errorBody("no such job"));
+      default -> JobResponses.sendRetryLater(responder);
     }
   }
 
   // ---- cancel ----
 
   /**
-   * A job is called cancelled once all its tasks are proven gone, not when that is recorded: a
-   * holder in a zone that is cut off hears of nothing and keeps its workers' leases alive, perhaps
-   * beyond the time within which users have been promised that nothing runs. Mostly the proof takes
-   * a fraction of a second; where it takes longer the user is told to come back.
+   * Cancels a job. The response is "cancelled" only once all tasks are proven to have ended, not
+   * when the request is recorded: the holder of a machine in a partitioned zone does not learn of
+   * the cancellation and keeps renewing its workers' leases, possibly for longer than the time
+   * within which users are promised that nothing runs. The proof usually takes a fraction of a
+   * second; if it takes longer, the user gets a 503 and retries.
    */
-  public void cancel(String id, Responder answer) {
+  public void cancel(String id, Responder responder) {
     if (!JobSpec.isValidId(id)) {
-      answer.send(404, JobResponses.errorBody("no such job"));
+      responder.send(404, JobResponses.errorBody("no such job"));
       return;
     }
-    cancel(id, answer, MAX_CANCEL_TRIES);
+    cancel(id, responder, MAX_CANCEL_TRIES);
   }
 
-  private void cancel(String id, Responder answer, int tries) {
+  private void cancel(String id, Responder responder, int triesLeft) {
     Status known = jobs.finalStatus(id);
     if (known != null) {
-      answer.send(200, JobResponses.statusBody(claims, id, known, jobs.get(id)));
+      responder.send(200, JobResponses.statusBody(claims, id, known, jobs.get(id)));
       return;
     }
-    if (store.unavailable() || tries == 0) {
-      JobResponses.sendRetryLater(answer);
+    if (store.unavailable() || triesLeft == 0) {
+      JobResponses.sendRetryLater(responder);
       return;
     }
     jobs.readCurrent(
@@ -166,69 +175,80 @@
         RequestPriority.USER,
         found -> {
           if (found.outcome() == Outcome.NOT_FOUND) {
-            answer.send(404, JobResponses.errorBody("no such job"));
+            responder.send(404, JobResponses.errorBody("no such job"));
           } else if (found.outcome() != Outcome.OK) {
-            JobResponses.sendRetryLater(answer);
+            JobResponses.sendRetryLater(responder);
           } else if (found.status() != Status.OPEN) {
-            // A job that is done stays done, also while its last chunks are still being removed.
-            answer.send(200, JobResponses.statusBody(claims, id, found.status(), found.entry()));
+            // A job that is done stays done while the last chunks of its task records are removed.
+            responder.send(200, JobResponses.statusBody(claims, id, found.status(), found.entry()));
           } else if (found.entry().record().status() == Status.CANCELLED) {
-            // Its writer may never have heard that it was written, and have told nobody.
+            // The writer may not have received a response to its write and not have broadcast it.
             broadcastCancellation(id);
-            awaitFinalStatus(id, answer);
+            awaitFinalStatus(id, responder);
           } else {
-            recordCancellation(found.entry(), answer, tries);
+            recordCancellation(found.entry(), responder, triesLeft);
           }
         });
   }
 
-  /** Records that the job is to end. Of one that was never claimed no task can be anywhere. */
-  private void recordCancellation(JobTable.Entry entry, Responder answer, int tries) {
-    JobRecord old = entry.record();
-    String id = old.spec().id();
-    boolean untouched = old.term() == 0;
-    JobRecord next = old.withStatus(Status.CANCELLED);
-    String mark = store.newWriteId();
+  /**
+   * Records the cancellation. A job that was never claimed cannot have tasks on any machine, so its
+   * final record is written immediately.
+   */
+  private void recordCancellation(JobTable.Entry entry, Responder responder, int triesLeft) {
+    JobRecord oldRecord = entry.record();
+    String id = oldRecord.spec().id();
+    boolean neverClaimed = oldRecord.term() == 0;
+    JobRecord newRecord = oldRecord.withStatus(Status.CANCELLED);
+    String writeId = store.newWriteId();
     Txn txn = new Txn().requireRevision(JobRecord.key(id), entry.revision());
-    if (untouched) {
-      txn.put(JobRecord.finalKey(id), JobRecord.finalToDocument(Status.CANCELLED, mark))
+    if (neverClaimed) {
+      txn.put(JobRecord.finalKey(id), JobRecord.finalToDocument(Status.CANCELLED, writeId))
           .remove(JobRecord.key(id));
     } else {
-      txn.put(JobRecord.key(id), next.toDocument(mark));
+      txn.put(JobRecord.key(id), newRecord.toDocument(writeId));
     }
     store.tryTxn(
         txn,
         RequestPriority.USER,
-        done -> {
-          if (done.ok()) {
-            LOG.log(Level.INFO, "cancelling {0}", id);
-            if (untouched) {
-              jobs.applyOwnFinalWrite(id, Status.CANCELLED, done.revision());
+        result -> {
+          if (result.ok()) {
+            LOG.log(Level.INFO, "cancelling job {0}", id);
+            if (neverClaimed) {
+              jobs.applyOwnFinalWrite(id, Status.CANCELLED, result.revision());
             } else {
-              jobs.applyOwnWrite(id, next, mark, done.revision());
+              jobs.applyOwnWrite(id, newRecord, writeId, result.revision());
               broadcastCancellation(id);
             }
-            awaitFinalStatus(id, answer);
-          } else if (done.outcome() == Outcome.CONFLICT) {
-            cancel(id, answer, tries - 1);
+            awaitFinalStatus(id, responder);
+          } else if (result.outcome() == Outcome.CONFLICT) {
+            cancel(id, responder, triesLeft - 1);
           } else {
-            if (done.outcome() == Outcome.UNKNOWN) {
-              // It may have been carried out, now or earlier, or yet be.
+            if (result.outcome() == Outcome.UNKNOWN) {
+              // The transaction may have been applied already, or may still be applied.
               unannouncedCancellations.add(id);
               onJobChanged(id, jobs.get(id));
             }
-            JobResponses.sendRetryLater(answer);
+            JobResponses.sendRetryLater(responder);
           }
         });
   }
 
-  /** Whoever the state service refuses hears of it in this way alone. */
+  /**
+   * Broadcasts a recorded cancellation to all peers. Controllers that the state service refuses
+   * learn of it only in this way.
+   */
   private void broadcastCancellation(String id) {
     unannouncedCancellations.remove(id);
     peers.broadcast(new Message.JobCancelled(id));
   }
 
-  /** A live record has changed; something of ours may show that has no answer. */
+  /**
+   * Called when a live record changes. The change may show a submission or a cancellation of this
+   * controller whose write has had no response.
+   *
+   * @param entry the new record, or null if the live record is gone
+   */
   private void onJobChanged(String id, JobTable.Entry entry) {
     if (entry != null) {
       submissions.onRecordReplicated(id, entry);
@@ -243,21 +263,22 @@
     completeCancelWaiters(id);
   }
 
-  private void awaitFinalStatus(String id, Responder answer) {
+  /** Responds when the final status is known, or with a 503 after {@link #CANCEL_WAIT_S}. */
+  private void awaitFinalStatus(String id, Responder responder) {
     Status known = jobs.finalStatus(id);
     if (known != null) {
-      answer.send(200, JobResponses.statusBody(claims, id, known, null));
+      responder.send(200, JobResponses.statusBody(claims, id, known, null));
       return;
     }
-    cancelWaiters.computeIfAbsent(id, k -> new ArrayList<>()).add(answer);
+    cancelWaiters.computeIfAbsent(id, k -> new ArrayList<>()).add(responder);
     timers.after(
         CANCEL_WAIT_S,
         () ->
             decisionLock.run(
                 () -> {
                   List<Responder> waiting = cancelWaiters.get(id);
-                  if (waiting != null && waiting.remove(answer)) {
-                    JobResponses.sendRetryLater(answer);
+                  if (waiting != null && waiting.remove(responder)) {
+                    JobResponses.sendRetryLater(responder);
                     cancelWaiters.remove(id, List.of());
                   }
                 }));
--- a/src/main/java/dev/dunefront/job/JobRecord.java
+++ b/src/main/java/dev/dunefront/job/JobRecord.java
@@ -7,19 +7,20 @@
 import dev.dunefront.wire.MalformedMessageException;
 
 /**
- * A job's record in the state service while the job, or any task of it, lives. When all is over a
- * small final record under another key takes its place in the same transaction.
+ * A job's record in the state service while the job or any of its tasks is live. When all tasks
+ * have ended, one transaction removes it and writes a small final record under another key.
  *
- * @param acceptedMs time of day when the job was accepted
- * @param claimant the incarnation that has claimed the job, or null
- * @param term rises with every claim
- * @param granted how many of its tasks may be placed at once within the team's limit; 0 without one
+ * @param acceptedMs when the job was accepted, in milliseconds since the epoch
+ * @param claimant the incarnation of the controller that has claimed the job, or null
+ * @param term number of the claim, increased with every claim; 0 if the job was never claimed
+ * @param granted how many of its tasks may be placed at once within the team's limit; 0 if the team
+ *     has no limit
  */
 public record JobRecord(
     JobSpec spec, long acceptedMs, String claimant, long term, Status status, int granted) {
   public static final String PREFIX = Replica.PREFIX + "j/";
 
-  /** What a job is, on record. */
+  /** Status of a job in its record or final record. */
   public enum Status {
     OPEN,
     CANCELLED,
@@ -34,7 +35,11 @@
     return "d/" + id;
   }
 
-  /** Reads a record; a spec that is known already is not read again. */
+  /**
+   * Decodes a record.
+   *
+   * @param known the job's spec if it was decoded before, which saves decoding it again, or null
+   */
   static JobRecord fromDocument(Document d, JobSpec known) throws MalformedMessageException {
     return new JobRecord(
         known != null ? known : JobSpec.fromDocument(d.document("spec")),
@@ -45,7 +50,8 @@
         (int) d.countOr("granted", 0));
   }
 
-  public Document toDocument(String mark) {
+  /** Encodes the record with the id of this write. */
+  public Document toDocument(String writeId) {
     return Document.create()
         .put("spec", spec.toDocument())
         .put("at", acceptedMs)
@@ -53,22 +59,23 @@
         .put("term", term)
         .put("status", status.name())
         .put("granted", granted)
-        .put(StateStore.WRITE_ID_FIELD, mark);
+        .put(StateStore.WRITE_ID_FIELD, writeId);
   }
 
-  public static Document finalToDocument(Status status, String mark) {
-    return Document.create().put("status", status.name()).put(StateStore.WRITE_ID_FIELD, mark);
+  public static Document finalToDocument(Status status, String writeId) {
+    return Document.create().put("status", status.name()).put(StateStore.WRITE_ID_FIELD, writeId);
   }
 
   static Status finalStatusFromDocument(Document d) throws MalformedMessageException {
     return Status.valueOf(d.text("status"));
   }
 
+  /** The record with a new claim by this incarnation, in the next term. */
   public JobRecord withClaimant(String incarnation) {
     return new JobRecord(spec, acceptedMs, incarnation, term + 1, status, granted);
   }
 
-  /** Whether this incarnation, if any, has the claim. */
+  /** Whether this incarnation has the claim; false for null. */
   public boolean isClaimedBy(String incarnation) {
     return incarnation != null && incarnation.equals(claimant);
   }
@@ -77,6 +84,7 @@
     return new JobRecord(spec, acceptedMs, claimant, term, next, granted);
   }
 
+  /** The record with this number of tasks granted within the team's limit. */
   public JobRecord withGranted(int tasks) {
     return new JobRecord(spec, acceptedMs, claimant, term, status, tasks);
   }
--- a/src/main/java/dev/dunefront/job/JobTable.java
+++ b/src/main/java/dev/dunefront/job/JobTable.java
@@ -16,22 +16,42 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** What this controller knows of jobs: live records from the replica, and final states for good. */
+/**
+ * The jobs known to this controller: live records from the replica, and a bounded cache of final
+ * statuses, which never change.
+ */
 public final class JobTable {
+  /** Final statuses kept; the least recently used is evicted. */
   private static final int MAX_FINAL_STATUSES = 50_000;
 
-  /** The replica shows a job, and others tell of its end, sooner than this. */
+  /**
+   * Age from which a cancellation that the replica does not show is checked against the state
+   * service. The replica's updates and the peers' announcements normally arrive earlier.
+   */
   private static final int UNCONFIRMED_AFTER_S = 10;
 
-  /** A live record with its stamp. */
+  /** A live record and the version of its key in the state service. */
   public record Entry(JobRecord record, long revision) {}
 
-  /** Hears of changes of live records; before is null for a new one, entry when one is gone. */
+  /** Notified when a live record changes. */
   public interface Listener {
+    /**
+     * Called after a change.
+     *
+     * @param before the previous entry, or null if the record is new
+     * @param entry the new entry, or null if the record was removed
+     */
     void jobChanged(String id, Entry before, Entry entry);
   }
 
-  /** What a current read found; a final state has no entry. REFUSED and UNCLEAR found nothing. */
+  /**
+   * Result of looking up a job.
+   *
+   * @param outcome OK if the job was found; with REFUSED and UNKNOWN nothing is known
+   * @param entry the live record, or null if the status comes from a final record or nothing was
+   *     found
+   * @param status the status to report to users, or null if nothing was found
+   */
   public record LookupResult(Outcome outcome, Entry entry, Status status) {}
 
   private final StateStore store;
@@ -55,7 +75,7 @@
     replica.addListener(JobRecord.PREFIX, this::onReplicaChange);
   }
 
-  private void onReplicaChange(String id, Document value, long stamp) {
+  private void onReplicaChange(String id, Document value, long revision) {
     Entry entry = null;
     Entry known = liveEntries.get(id);
     if (value == null) {
@@ -68,7 +88,8 @@
       try {
         entry =
             new Entry(
-                JobRecord.fromDocument(value, known == null ? null : known.record.spec()), stamp);
+                JobRecord.fromDocument(value, known == null ? null : known.record.spec()),
+                revision);
         liveEntries.put(id, entry);
         if (entry.record.status() == Status.DONE) {
           finalStatuses.put(id, Status.DONE);
@@ -97,14 +118,14 @@
   }
 
   /**
-   * A final state that is known for certain, or null. A cancelled job has none while its live
-   * record shows that tasks of it may still be somewhere.
+   * The job's final status, or null if none is known. A cancelled job has none while its live
+   * record exists, because its tasks may not have ended yet.
    */
   public Status finalStatus(String id) {
     return finalStatuses.get(id);
   }
 
-  /** Whether no task of the job may be started any more, as far as is known here. */
+  /** Whether the job is known to be cancelled or done, so that none of its tasks may be started. */
   public boolean isEndingOrEnded(String id) {
     Entry e = liveEntries.get(id);
     return finalStatuses.containsKey(id)
@@ -112,23 +133,23 @@
         || e != null && e.record.status() != Status.OPEN;
   }
 
-  /** Jobs that are to end and have not ended. */
+  /** Cancelled jobs whose final status is not recorded yet. */
   public PendingCancellations cancellations() {
     return cancellations;
   }
 
   /**
-   * Asks after the oldest cancelled job that the replica does not show. It may have come and gone
-   * while the replica stood still, and the word of its end may have been lost: then nothing else
-   * would ever tell of it. Older ones that rightly wait, for a machine that cannot be asked, must
-   * not keep it from being looked for. Called now and then.
+   * Reads the final status of the oldest pending cancellation whose job the replica does not show.
+   * The job may have been created and removed while the replica did not advance, and the
+   * announcement of its end may have been lost; nothing else would remove the entry. Older entries
+   * whose live record exists are skipped: they may wait long for an unreachable machine and must
+   * not block this check. Called periodically.
    */
   public void verifyOldestCancellation() {
     if (verifying || store.unavailable()) {
       return;
     }
-    String id =
-        cancellations.oldest(UNCONFIRMED_AFTER_S, waiting -> !liveEntries.containsKey(waiting));
+    String id = cancellations.oldest(UNCONFIRMED_AFTER_S, job -> !liveEntries.containsKey(job));
     if (id == null) {
       return;
     }
@@ -144,34 +165,35 @@
         });
   }
 
-  /** Another controller has recorded that the job is to end. */
+  /** Another controller has announced that it recorded the job's cancellation. */
   public void cancellationRecorded(String id) {
     if (!finalStatuses.containsKey(id)) {
       cancellations.add(id);
     }
   }
 
-  /** A record or a final state that this controller has written itself. */
-  public void applyOwnWrite(String id, JobRecord record, String mark, long stamp) {
-    replica.apply(JobRecord.key(id), record.toDocument(mark), stamp);
+  /** Applies a live record that this controller has written, at the version of its key. */
+  public void applyOwnWrite(String id, JobRecord record, String writeId, long revision) {
+    replica.apply(JobRecord.key(id), record.toDocument(writeId), revision);
   }
 
-  /** Another controller has recorded a final state. */
+  /** Stores a final status that is recorded in the state service. */
   public void finalStatusRecorded(String id, Status status) {
     finalStatuses.put(id, status);
     cancellations.remove(id);
   }
 
+  /** Applies a final status that this controller has written and removes the live record. */
   public void applyOwnFinalWrite(String id, Status status, long revision) {
     finalStatusRecorded(id, status);
     replica.apply(JobRecord.key(id), null, revision);
   }
 
   /**
-   * Reads a job as it is now. A record moves from live to final and never back, so reading the live
-   * key first and the final key second misses nothing.
+   * Reads a job's current status from the state service. A job's record moves from the live to the
+   * final key and never back, so reading the live key first and then the final key cannot miss it.
    */
-  public void readCurrent(String id, RequestPriority urgency, Consumer<LookupResult> then) {
+  public void readCurrent(String id, RequestPriority priority, Consumer<LookupResult> then) {
     Status known = finalStatuses.get(id);
     if (known != null) {
       then.accept(new LookupResult(Outcome.OK, null, known));
@@ -179,32 +201,33 @@
     }
     store.get(
         JobRecord.key(id),
-        urgency,
-        got -> {
-          if (got.outcome() == Outcome.OK) {
-            replica.apply(JobRecord.key(id), got.value(), got.revision());
+        priority,
+        result -> {
+          if (result.outcome() == Outcome.OK) {
+            replica.apply(JobRecord.key(id), result.value(), result.revision());
             Entry e = liveEntries.get(id);
             if (e != null) {
               then.accept(new LookupResult(Outcome.OK, e, reportedStatus(e.record)));
             } else {
-              // Removed while the read was under way.
-              readFinalStatus(id, urgency, then);
+              // The live record was removed while the read was in flight.
+              readFinalStatus(id, priority, then);
             }
-          } else if (got.outcome() == Outcome.NOT_FOUND) {
-            readFinalStatus(id, urgency, then);
+          } else if (result.outcome() == Outcome.NOT_FOUND) {
+            readFinalStatus(id, priority, then);
           } else {
-            then.accept(new LookupResult(got.outcome(), null, null));
+            then.accept(new LookupResult(result.outcome(), null, null));
           }
         });
   }
 
-  /** A cancelled job is not called so before all its tasks are proven gone. */
+  /** The status to report: a job is not reported as cancelled until all its tasks have ended. */
   private static Status reportedStatus(JobRecord record) {
     return record.status() == Status.CANCELLED ? Status.OPEN : record.status();
   }
 
   /**
-   * What the replica shows of a job, or null if nothing: then it is over, or was never accepted.
+   * Looks a job up in this table, without a read. Null if it is unknown here: then it has ended, or
+   * was never accepted.
    */
   LookupResult lookUpLocally(String id) {
     Status known = finalStatuses.get(id);
@@ -215,20 +238,22 @@
     return e == null ? null : new LookupResult(Outcome.OK, e, reportedStatus(e.record));
   }
 
-  /** Reads the final state of a job that was not live a moment ago; it may be by now. */
-  void readFinalStatus(String id, RequestPriority urgency, Consumer<LookupResult> then) {
+  /** Reads the final record of a job without a live record; the job may have become live since. */
+  void readFinalStatus(String id, RequestPriority priority, Consumer<LookupResult> then) {
     store.get(
         JobRecord.finalKey(id),
-        urgency,
-        got -> {
-          if (got.outcome() != Outcome.OK) {
-            // It may have been accepted since, while its final record was looked for.
-            LookupResult since = got.outcome() == Outcome.NOT_FOUND ? lookUpLocally(id) : null;
-            then.accept(since != null ? since : new LookupResult(got.outcome(), null, null));
+        priority,
+        result -> {
+          if (result.outcome() != Outcome.OK) {
+            // The job may have been accepted while the final record was being read.
+            LookupResult accepted =
+                result.outcome() == Outcome.NOT_FOUND ? lookUpLocally(id) : null;
+            then.accept(
+                accepted != null ? accepted : new LookupResult(result.outcome(), null, null));
             return;
           }
           try {
-            Status status = JobRecord.finalStatusFromDocument(got.value());
+            Status status = JobRecord.finalStatusFromDocument(result.value());
             finalStatuses.put(id, status);
             then.accept(new LookupResult(Outcome.OK, null, status));
           } catch (MalformedMessageException | IllegalArgumentException e) {
--- a/src/main/java/dev/dunefront/job/Submissions.java
+++ b/src/main/java/dev/dunefront/job/Submissions.java
@@ -21,7 +21,10 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Takes submissions: what is malformed or can never run is refused, the rest is written first. */
+/**
+ * Accepts submissions. A malformed job, or one that can never run, is rejected; any other is
+ * recorded in the state service before the user gets a response.
+ */
 final class Submissions {
   private static final System.Logger LOG = System.getLogger(Submissions.class.getName());
 
@@ -33,7 +36,7 @@
   private final StateStore store;
   private final Timers timers;
 
-  /** Submissions that are being written. */
+  /** Submissions whose record is being written, by job id. */
   private final Map<String, PendingSubmission> pendingSubmissions = new HashMap<>();
 
   Submissions(
@@ -53,118 +56,125 @@
     this.timers = timers;
   }
 
-  void submit(byte[] body, Responder answer) {
+  void submit(byte[] body, Responder responder) {
     JobSpec spec;
     try {
       spec = JobSpec.fromSubmission(Document.decode(body));
     } catch (MalformedMessageException e) {
-      LOG.log(Level.INFO, "a submission is malformed: {0}", e.getMessage());
-      answer.send(400, JobResponses.errorBody(e.getMessage()));
+      LOG.log(Level.INFO, "rejected a malformed submission: {0}", e.getMessage());
+      responder.send(400, JobResponses.errorBody(e.getMessage()));
       return;
     }
     if (jobs.finalStatus(spec.id()) != null) {
-      answer.send(
+      responder.send(
           200, JobResponses.statusBody(claims, spec.id(), jobs.finalStatus(spec.id()), null));
       return;
     }
     if (store.unavailable() || membership.ownIncarnation() == null) {
-      JobResponses.sendRetryLater(answer);
+      JobResponses.sendRetryLater(responder);
       return;
     }
     String reason = rejectionReason(spec);
     if (jobs.get(spec.id()) != null || reason != null) {
-      // A known job is never refused, whatever would be said of it today.
-      respondWithCurrentStatus(spec, reason, answer);
+      // A job that was accepted before is never rejected, even if it would be rejected now.
+      respondWithCurrentStatus(spec, reason, responder);
     } else if (!catalog.isLoaded()) {
-      JobResponses.sendRetryLater(answer);
+      JobResponses.sendRetryLater(responder);
     } else {
-      accept(spec, answer);
+      accept(spec, responder);
     }
   }
 
-  private void accept(JobSpec spec, Responder answer) {
-    String claim = claims.admitsAtOnce(spec) ? membership.ownIncarnation() : null;
+  private void accept(JobSpec spec, Responder responder) {
+    String claimant = claims.admitsAtOnce(spec) ? membership.ownIncarnation() : null;
     JobRecord record =
-        new JobRecord(spec, timers.wallClockMs(), claim, claim == null ? 0 : 1, Status.OPEN, 0);
-    String mark = store.newWriteId();
-    PendingSubmission under = new PendingSubmission(answer);
-    pendingSubmissions.putIfAbsent(spec.id(), under);
+        new JobRecord(
+            spec, timers.wallClockMs(), claimant, claimant == null ? 0 : 1, Status.OPEN, 0);
+    String writeId = store.newWriteId();
+    PendingSubmission pending = new PendingSubmission(responder);
+    pendingSubmissions.putIfAbsent(spec.id(), pending);
     store.tryTxn(
         new Txn()
             .requireRevision(JobRecord.key(spec.id()), 0)
             .requireRevision(JobRecord.finalKey(spec.id()), 0)
-            .put(JobRecord.key(spec.id()), record.toDocument(mark)),
+            .put(JobRecord.key(spec.id()), record.toDocument(writeId)),
         RequestPriority.USER,
-        done -> {
-          if (done.ok()) {
+        result -> {
+          if (result.ok()) {
             LOG.log(
                 Level.INFO,
-                "accepted {0}: {1} tasks of {2} for {3}",
+                "accepted job {0}: {1} tasks of class {2} for team {3}",
                 spec.id(),
                 spec.tasks(),
                 spec.jobClass(),
                 spec.team());
-            jobs.applyOwnWrite(spec.id(), record, mark, done.revision());
+            jobs.applyOwnWrite(spec.id(), record, writeId, result.revision());
           }
-          pendingSubmissions.remove(spec.id(), under);
-          if (under.answered) {
+          pendingSubmissions.remove(spec.id(), pending);
+          if (pending.responded) {
             return;
           }
-          if (done.ok() || done.outcome() == Outcome.CONFLICT) {
-            // Known, though not by this write, or over before it was ever shown here.
-            respondWithCurrentStatus(spec, null, answer);
+          if (result.ok() || result.outcome() == Outcome.CONFLICT) {
+            // Another write has recorded the job, or it ended before the replica showed it.
+            respondWithCurrentStatus(spec, null, responder);
           } else {
-            JobResponses.sendRetryLater(answer);
+            JobResponses.sendRetryLater(responder);
           }
         });
   }
 
   /** A submission whose record is being written. */
   private static final class PendingSubmission {
-    final Responder answer;
-    boolean answered;
+    final Responder responder;
+    boolean responded;
 
-    PendingSubmission(Responder answer) {
-      this.answer = answer;
+    PendingSubmission(Responder responder) {
+      this.responder = responder;
     }
   }
 
   /**
-   * The replica shows the record of a submission that is still being written: it is accepted, by
-   * this write or another. Its answer may be lost, and its user would wait for that, be told to
-   * come back, and have the job wait as well until its claim is found.
+   * Responds to a submission as soon as the replica shows the job's record, even if the write is
+   * still in flight: the job is accepted, by this write or another. The response to the write may
+   * be lost; without this the user would wait and get a 503, and the job would wait until its claim
+   * is discovered.
    */
   void onRecordReplicated(String id, JobTable.Entry entry) {
-    PendingSubmission under = pendingSubmissions.remove(id);
-    if (under == null) {
+    PendingSubmission pending = pendingSubmissions.remove(id);
+    if (pending == null) {
       return;
     }
-    under.answered = true;
+    pending.responded = true;
     JobRecord record = entry.record();
     if (record.isClaimedBy(membership.ownIncarnation()) && record.term() == 1) {
       claims.adopt(id, true);
     }
-    under.answer.send(
+    pending.responder.send(
         201, JobResponses.statusBody(claims, id, jobs.lookUpLocally(id).status(), entry));
   }
 
-  /** Answers a submission of a job that is, or may be, known; 422 with the reason if it is not. */
-  private void respondWithCurrentStatus(JobSpec spec, String reason, Responder answer) {
+  /**
+   * Responds with the current status of a job that is or may be recorded already.
+   *
+   * @param reason why a job that is not recorded is rejected with a 422; if null, the user gets a
+   *     503 instead
+   */
+  private void respondWithCurrentStatus(JobSpec spec, String reason, Responder responder) {
     jobs.readCurrent(
         spec.id(),
         RequestPriority.USER,
         found -> {
           if (found.outcome() == Outcome.OK) {
-            answer.send(200, JobResponses.statusBody(claims, spec.id(), found.status(), null));
+            responder.send(200, JobResponses.statusBody(claims, spec.id(), found.status(), null));
           } else if (found.outcome() == Outcome.NOT_FOUND && reason != null) {
-            answer.send(422, JobResponses.errorBody(reason));
+            responder.send(422, JobResponses.errorBody(reason));
           } else {
-            JobResponses.sendRetryLater(answer);
+            JobResponses.sendRetryLater(responder);
           }
         });
   }
 
-  /** Why a job can never run, or null. */
+  /** Why the job can never run, or null if it can or if the catalog is not known yet. */
   private String rejectionReason(JobSpec spec) {
     Optional<Settings.Team> team = settings.team(spec.team());
     if (team.isEmpty()) {
@@ -173,19 +183,22 @@
     if (!catalog.isLoaded()) {
       return null;
     }
-    Resources size = spec.taskResources();
+    Resources taskResources = spec.taskResources();
     boolean fits = false;
     for (MachineType t : catalog.types()) {
       boolean allowed = spec.machineTypes() == null || spec.machineTypes().contains(t.name());
-      boolean there = spec.zone() == null || t.zones().isEmpty() || t.zones().contains(spec.zone());
-      fits |= allowed && there && size.fitsIn(t.resources());
+      boolean inZone =
+          spec.zone() == null || t.zones().isEmpty() || t.zones().contains(spec.zone());
+      fits |= allowed && inZone && taskResources.fitsIn(t.resources());
     }
     if (!fits) {
       return "a task fits no allowed machine type";
     }
-    double times = spec.service() ? spec.tasks() : 1;
-    if (team.get().cpusMax() > 0 && spec.cpus() * times > team.get().cpusMax() + 1e-9
-        || team.get().gpusMax() > 0 && spec.gpus() * times > team.get().gpusMax() + 1e-9) {
+    // All tasks of a service run at once; the tasks of a batch job may run one after another.
+    double concurrentTasks = spec.service() ? spec.tasks() : 1;
+    if (team.get().cpusMax() > 0 && spec.cpus() * concurrentTasks > team.get().cpusMax() + 1e-9
+        || team.get().gpusMax() > 0
+            && spec.gpus() * concurrentTasks > team.get().gpusMax() + 1e-9) {
       return "the job needs more than the team's limit";
     }
     return null;
--- a/src/main/java/dev/dunefront/metrics/Meters.java
+++ b/src/main/java/dev/dunefront/metrics/Meters.java
@@ -16,11 +16,11 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What this controller counts. Counting is cheap and always on; the registry is made when somebody
- * first looks, so that a start pays nothing for it. Guarded by the controller's lock.
+ * Metrics of this controller. Recording is cheap and always on. The registry is created at the
+ * first scrape, which keeps its cost out of the startup. Guarded by the controller's decision lock.
  */
 public final class Meters {
-  /** The kinds of requests that are told apart. */
+  /** Kinds of requests; the lower-case name is the value of the label {@code kind}. */
   public enum Request {
     SUBMIT,
     POLL,
@@ -31,45 +31,46 @@
   private static final long MAX_LATENCY_MICROS = 60_000_000;
   private static final double[] QUANTILES = {0.5, 0.95, 0.99, 1.0};
 
+  /** Latencies and refusals of one kind of requests. */
   private static final class RequestStats {
     private final Histogram latencyMicros = new Histogram(MAX_LATENCY_MICROS, 2);
     private long refused;
   }
 
   private final Map<Request, RequestStats> requestStats = new EnumMap<>(Request.class);
-  private final Map<String, IntSupplier> gauges = new LinkedHashMap<>();
+  private final Map<String, IntSupplier> plainGauges = new LinkedHashMap<>();
   private final Map<String, Supplier<List<LabelledValue>>> labelledGauges = new LinkedHashMap<>();
   private final Map<String, MultiGauge> multiGauges = new LinkedHashMap<>();
   private PrometheusMeterRegistry registry;
 
-  /** A number for what the labels name. */
+  /** The value of a gauge for a set of labels. */
   public record LabelledValue(Map<String, String> labels, double value) {}
 
-  /** Adds numbers by label, of which there may be others at each look. */
-  public void gauges(String name, Supplier<List<LabelledValue>> values) {
+  /** Adds a gauge with labels. Its values are computed at each scrape and may have other labels. */
+  public void labelledGauge(String name, Supplier<List<LabelledValue>> values) {
     labelledGauges.put(name, values);
   }
 
-  /** Adds a number that is asked for whenever somebody looks. */
+  /** Adds a gauge without labels, computed at each scrape. */
   public void gauge(String name, IntSupplier value) {
-    gauges.put(name, value);
+    plainGauges.put(name, value);
   }
 
-  /** Counts a request that has been answered. */
+  /** Records the response to a request; a status of 500 or more counts as refused. */
   public void recordRequest(Request request, int status, double seconds) {
-    RequestStats s = requestStats.computeIfAbsent(request, r -> new RequestStats());
-    s.latencyMicros.recordValue(
+    RequestStats stats = requestStats.computeIfAbsent(request, r -> new RequestStats());
+    stats.latencyMicros.recordValue(
         Math.max(0, Math.min(MAX_LATENCY_MICROS, Math.round(seconds * 1e6))));
     if (status >= 500) {
-      s.refused++;
+      stats.refused++;
     }
   }
 
-  /** All meters as text. */
+  /** All metrics in the Prometheus text format. */
   public String scrape() {
     if (registry == null) {
       registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-      gauges.forEach((name, value) -> Gauge.builder(name, value::getAsInt).register(registry));
+      plainGauges.forEach((name, value) -> Gauge.builder(name, value::getAsInt).register(registry));
       for (Request r : Request.values()) {
         register(r, requestStats.computeIfAbsent(r, k -> new RequestStats()));
       }
--- a/src/main/java/dev/dunefront/standin/FakeStateService.java
+++ b/src/main/java/dev/dunefront/standin/FakeStateService.java
@@ -12,11 +12,12 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** The state service: keys with stamps, transactions, leases, watches. */
+/** A fake state service: versioned keys, transactions, leases and watches. */
 public final class FakeStateService {
-  /** Changes that a transaction may hold; conditions may be four times as many. */
+  /** Maximum number of changes in a transaction; it may have four times as many conditions. */
   public static final int MAX_TXN_OPS = 24;
 
+  /** Changes kept for watches; older ones are discarded. */
   private static final int MAX_CHANGES_KEPT = 10_000;
 
   private record Value(Document data, long revision, long leaseId) {}
@@ -39,7 +40,7 @@
     this.timers = timers;
   }
 
-  /** Starts or ends an outage. At its end every lease has its full time again. */
+  /** Starts or ends an outage. At its end every lease is extended to its full duration. */
   public void outage(boolean on) {
     expireLeases();
     inOutage = on;
@@ -50,18 +51,18 @@
     }
   }
 
-  /** Changes of transactions whose conditions have failed so far; the limits count them as well. */
+  /** Changes in transactions with failed conditions so far; rate limits count them too. */
   public int failedTxnOps() {
     return failedTxnOps;
   }
 
-  /** Ends a lease before its time, and with it its keys. */
+  /** Expires a lease early, which removes its keys. */
   public void endLease(long id) {
     leaseExpiries.computeIfPresent(id, (k, until) -> Double.NEGATIVE_INFINITY);
     expireLeases();
   }
 
-  /** How often keys with the prefix have been put or removed so far. */
+  /** Number of puts and removals of keys with the prefix so far. */
   public int writes(String prefix) {
     return writes.entrySet().stream()
         .filter(e -> e.getKey().startsWith(prefix))
@@ -69,7 +70,7 @@
         .sum();
   }
 
-  /** The value of a key, or null. */
+  /** The value of a key, or null if it does not exist. */
   public Document value(String key) {
     expireLeases();
     Value v = keys.get(key);
@@ -83,17 +84,17 @@
 
   public void handle(String method, String pathAndQuery, byte[] body, Consumer<Response> then) {
     expireLeases();
-    int mark = pathAndQuery.indexOf('?');
-    String path = mark < 0 ? pathAndQuery : pathAndQuery.substring(0, mark);
+    int questionMark = pathAndQuery.indexOf('?');
+    String path = questionMark < 0 ? pathAndQuery : pathAndQuery.substring(0, questionMark);
     Map<String, String> query = new HashMap<>();
-    if (mark >= 0) {
-      for (String part : pathAndQuery.substring(mark + 1).split("&")) {
+    if (questionMark >= 0) {
+      for (String part : pathAndQuery.substring(questionMark + 1).split("&")) {
         int eq = part.indexOf('=');
         query.put(part.substring(0, eq), part.substring(eq + 1));
       }
     }
     if (inOutage) {
-      then.accept(reply(503, Document.create()));
+      then.accept(response(503, Document.create()));
       return;
     }
     try {
@@ -107,28 +108,28 @@
         long id = ++lastLease;
         leaseDurationsS.put(id, Document.decode(body).count("life_ms") / 1000.0);
         leaseExpiries.put(id, timers.now() + leaseDurationsS.get(id));
-        then.accept(reply(200, Document.create().put("tenancy", id)));
+        then.accept(response(200, Document.create().put("tenancy", id)));
       } else if (path.startsWith("/leases/")) {
         long id = Long.parseLong(path.split("/")[2]);
         if (!leaseExpiries.containsKey(id)) {
-          then.accept(reply(404, Document.create()));
+          then.accept(response(404, Document.create()));
           return;
         }
         leaseExpiries.put(id, timers.now() + leaseDurationsS.get(id));
-        then.accept(reply(200, Document.create().put("tenancy", id)));
+        then.accept(response(200, Document.create().put("tenancy", id)));
       } else if (path.equals("/watch")) {
         double until =
             timers.now() + Double.parseDouble(query.getOrDefault("block_ms", "0")) / 1000;
         watch(query.get("prefix"), Long.parseLong(query.get("from")), until, then);
       } else {
-        then.accept(reply(404, Document.create()));
+        then.accept(response(404, Document.create()));
       }
     } catch (MalformedMessageException e) {
-      then.accept(reply(400, Document.create()));
+      then.accept(response(400, Document.create()));
     }
   }
 
-  private static Response reply(int status, Document doc) {
+  private static Response response(int status, Document doc) {
     return new Response(status, doc.encode(), 0);
   }
 
@@ -136,8 +137,8 @@
     Value v = keys.get(key);
     then.accept(
         v == null
-            ? reply(404, Document.create().put("ledger_rev", revision))
-            : reply(200, pair(key, v)));
+            ? response(404, Document.create().put("ledger_rev", revision))
+            : response(200, pair(key, v)));
   }
 
   private static Document pair(String key, Value v) {
@@ -158,7 +159,7 @@
       }
     }
     then.accept(
-        reply(
+        response(
             200,
             Document.create().put("pairs", pairs).put("more", more).put("ledger_rev", revision)));
   }
@@ -166,7 +167,7 @@
   private void txn(Document txn, Consumer<Response> then) throws MalformedMessageException {
     if (txn.documents("then").size() > MAX_TXN_OPS
         || txn.documents("when").size() > 4 * MAX_TXN_OPS) {
-      then.accept(reply(400, Document.create().put("error", "too much")));
+      then.accept(response(400, Document.create().put("error", "too much")));
       return;
     }
     List<String> failed = new ArrayList<>();
@@ -178,13 +179,14 @@
     }
     for (Document t : txn.documents("then")) {
       if (t.has("tenancy") && !leaseExpiries.containsKey(t.count("tenancy"))) {
-        then.accept(reply(400, Document.create().put("error", "no such lease")));
+        then.accept(response(400, Document.create().put("error", "no such lease")));
         return;
       }
     }
     if (!failed.isEmpty()) {
       failedTxnOps += txn.documents("then").size();
-      then.accept(reply(409, Document.create().put("failed", failed).put("ledger_rev", revision)));
+      then.accept(
+          response(409, Document.create().put("failed", failed).put("ledger_rev", revision)));
       return;
     }
     revision++;
@@ -198,7 +200,7 @@
         changes.add(new Change(revision, t.text("remove"), null));
       }
     }
-    then.accept(reply(200, Document.create().put("ledger_rev", revision)));
+    then.accept(response(200, Document.create().put("ledger_rev", revision)));
     notifyWatches();
   }
 
@@ -227,22 +229,23 @@
                 .put("stamp", c.revision);
         events.add(c.data == null ? e : e.put("data", c.data));
       }
-      then.accept(reply(200, Document.create().put("ledger_rev", revision).put("events", events)));
+      then.accept(
+          response(200, Document.create().put("ledger_rev", revision).put("events", events)));
       return;
     }
-    boolean[] over = {false};
-    Runnable again =
+    boolean[] retried = {false};
+    Runnable retry =
         () -> {
-          if (!over[0]) {
-            over[0] = true;
+          if (!retried[0]) {
+            retried[0] = true;
             watch(prefix, from, until, then);
           }
         };
-    watches.add(again);
-    timers.after(Math.max(0.05, until - timers.now()), again);
+    watches.add(retry);
+    timers.after(Math.max(0.05, until - timers.now()), retry);
   }
 
-  /** The place of the first change after a revision; changes are kept in their order. */
+  /** Index of the first change after a revision; changes are ordered by revision. */
   private int firstIndexAfter(long from) {
     int first = changes.size();
     while (first > 0 && changes.get(first - 1).revision > from) {
--- a/src/main/java/dev/dunefront/standin/FakeWorker.java
+++ b/src/main/java/dev/dunefront/standin/FakeWorker.java
@@ -8,9 +8,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** A worker: keeps tasks, obeys tokens, writes reports. Tasks end when they are told to. */
+/**
+ * A fake worker: executes commands, rejects outdated fencing tokens and creates reports. A task
+ * runs until {@link #exit} or a command ends it.
+ */
 public final class FakeWorker {
-  /** A task as the worker knows it. */
+  /** A task on the worker; {@code exitReason} is null until it has exited. */
   private record Task(long attempt, String state, String exitReason) {}
 
   private final String host;
@@ -54,12 +57,12 @@
 
   public byte[] report() {
     serial++;
-    List<Document> pieces = new ArrayList<>();
+    List<Document> taskDocuments = new ArrayList<>();
     tasks.forEach(
         (id, t) -> {
           Document d =
               Document.create().put("piece", id).put("try_no", t.attempt).put("status", t.state);
-          pieces.add(t.exitReason == null ? d : d.put("exit_reason", t.exitReason));
+          taskDocuments.add(t.exitReason == null ? d : d.put("exit_reason", t.exitReason));
         });
     return Document.create()
         .put("host", host)
@@ -70,17 +73,21 @@
         .put("tenure", session)
         .put("serial", serial)
         .put("baton", token)
-        .put("pieces", pieces)
+        .put("pieces", taskDocuments)
         .put("recall_s", reclaimNoticeS)
         .encode();
   }
 
-  /** The cloud gives notice that it takes the machine back. */
+  /** Sets the notice that the cloud reclaims the machine in this many seconds. */
   public void setReclaimNotice(double seconds) {
     reclaimNoticeS = seconds;
   }
 
-  /** Takes the answer to a report; false if it carried too low a token and was dropped. */
+  /**
+   * Processes the response to a report.
+   *
+   * @return false if its token is lower than the highest one seen, in which case it is ignored
+   */
   public boolean handleReportResponse(byte[] body) throws MalformedMessageException {
     Document d = Document.decode(body);
     if (d.countOr("baton", 0) < token) {
@@ -91,7 +98,10 @@
     return true;
   }
 
-  /** A direct command, as it arrives: now, or much later than it was sent. */
+  /**
+   * Processes a request with commands when it arrives, which may be long after it was sent.
+   * Responds with a 409 if its token is outdated or it is meant for another session.
+   */
   public Response handleCommands(byte[] body) throws MalformedMessageException {
     Document d = Document.decode(body);
     if (!d.has("baton") || !d.has("tenure")) {
@@ -105,12 +115,12 @@
     return new Response(200, report(), 0);
   }
 
-  private void execute(List<Document> orders) throws MalformedMessageException {
-    for (Document o : orders) {
-      String id = o.text("piece");
-      long attempt = o.count("try_no");
+  private void execute(List<Document> commands) throws MalformedMessageException {
+    for (Document command : commands) {
+      String id = command.text("piece");
+      long attempt = command.count("try_no");
       Task t = tasks.get(id);
-      switch (o.text("verb")) {
+      switch (command.text("verb")) {
         case "run" -> {
           if (t == null || t.attempt != attempt && t.state.equals("exited")) {
             tasks.put(id, new Task(attempt, "running", null));
@@ -127,27 +137,27 @@
             tasks.remove(id);
           }
         }
-        default -> throw new MalformedMessageException("verb");
+        default -> throw new MalformedMessageException("verb is none of run, stop, clear");
       }
     }
   }
 
-  /** Ends a task on its own account, for a reason of the protocol. */
-  public void exit(String id, String why) {
-    if (why.equals("done") && running().contains(id)) {
+  /** A task exits by itself, with an exit reason of the protocol. */
+  public void exit(String id, String exitReason) {
+    if (exitReason.equals("done") && running().contains(id)) {
       done.add(id);
     }
-    tasks.computeIfPresent(id, (k, t) -> new Task(t.attempt, "exited", why));
+    tasks.computeIfPresent(id, (k, t) -> new Task(t.attempt, "exited", exitReason));
   }
 
-  /** The lease has run out: all tasks are killed and forgotten. */
+  /** The worker's lease expires: all tasks are killed and removed, and a new session begins. */
   public void newSession() {
     session++;
     serial = 0;
     tasks.clear();
   }
 
-  /** It begins anew, as after a restart of its machine: whatever it knew is forgotten. */
+  /** The worker restarts with its machine and loses its session, token and tasks. */
   public void restart() {
     session = 1;
     serial = 0;
@@ -162,16 +172,17 @@
         .toList();
   }
 
+  /** Number of tasks that the worker reports, including exited ones. */
   public int taskCount() {
     return tasks.size();
   }
 
-  /** The tasks that have ever been done here. */
+  /** All tasks that have exited as done on this worker so far. */
   public List<String> done() {
     return done;
   }
 
-  /** Every start there has been, as {@code task#attempt}. */
+  /** All starts so far, as {@code task#attempt}. */
   public List<String> starts() {
     return starts;
   }
--- a/src/main/java/dev/dunefront/wire/Document.java
+++ b/src/main/java/dev/dunefront/wire/Document.java
@@ -11,15 +11,21 @@
 import org.msgpack.core.MessagePackException;
 import org.msgpack.core.MessageUnpacker;
 
-/** A MessagePack map keyed by text, with checked access to its fields. */
+/**
+ * A MessagePack map with string keys and type-checked access to its fields. A field with a nil
+ * value counts as absent.
+ */
 public final class Document {
+  /** Maximum nesting of a decoded message, which bounds the decoder's recursion. */
   private static final int MAX_DEPTH = 24;
+
   private final Map<String, Object> fields;
 
   private Document(Map<String, Object> fields) {
     this.fields = fields;
   }
 
+  /** A new, empty document. */
   public static Document create() {
     return new Document(new LinkedHashMap<>());
   }
@@ -63,7 +69,7 @@
         return in.unpackString();
       case ARRAY:
         int n = in.unpackArrayHeader();
-        // The announced length is not trusted for memory: a short body may announce billions.
+        // The declared length does not size the list: a short body may declare billions of items.
         List<Object> list = new ArrayList<>(Math.min(n, 1024));
         for (int i = 0; i < n; i++) {
           list.add(unpackValue(in, depth + 1));
@@ -117,7 +123,7 @@
     }
   }
 
-  /** Sets a field. Whole numbers are kept as long, as a decoded message would have them. */
+  /** Sets a field. An Integer is stored as a Long, as it would be in a decoded message. */
   public Document put(String name, Object value) {
     fields.put(name, value instanceof Integer i ? (Object) i.longValue() : value);
     return this;
@@ -138,6 +144,7 @@
     return has(name) ? text(name) : fallback;
   }
 
+  /** The value of a required field that is a whole number of 0 or more. */
   public long count(String name) throws MalformedMessageException {
     Object v = fields.get(name);
     if (v instanceof Long l && l >= 0) {
@@ -153,6 +160,7 @@
     return has(name) ? count(name) : fallback;
   }
 
+  /** The value of a required field that is a finite number of 0 or more. */
   public double amount(String name) throws MalformedMessageException {
     if (fields.get(name) instanceof Number n
         && n.doubleValue() >= 0
@@ -196,7 +204,8 @@
     return list(name, Long.class);
   }
 
-  private <T> List<T> list(String name, Class<T> kind) throws MalformedMessageException {
+  /** The items of a list; empty if the field is absent. */
+  private <T> List<T> list(String name, Class<T> itemType) throws MalformedMessageException {
     Object v = fields.get(name);
     if (v == null) {
       return List.of();
@@ -206,10 +215,10 @@
     }
     List<T> all = new ArrayList<>(raw.size());
     for (Object o : raw) {
-      if (!kind.isInstance(o)) {
+      if (!itemType.isInstance(o)) {
         throw new MalformedMessageException(name + " holds an item of the wrong kind");
       }
-      all.add(kind.cast(o));
+      all.add(itemType.cast(o));
     }
     return all;
   }
--- a/src/main/java/dev/dunefront/wire/JobSpec.java
+++ b/src/main/java/dev/dunefront/wire/JobSpec.java
@@ -2,7 +2,22 @@
 
 import java.util.List;
 
-/** A job as its user submitted it. */
+/**
+ * A job as its user submitted it. Resources are per task.
+ *
+ * @param service whether all tasks run at once and indefinitely, as opposed to a batch job
+ * @param gpus number of GPUs; fractions are allowed
+ * @param image container image, or null in a record that has none
+ * @param machineTypes allowed machine types, or null for any
+ * @param zone required zone, or null for any
+ * @param oneZone whether all tasks must be in the same zone
+ * @param spread whether the tasks must be spread over zones
+ * @param spotAllowed whether tasks may run on spot machines
+ * @param estimateS expected run time of a task, in seconds; 0 if unknown
+ * @param checkpointIntervalS interval between checkpoints, in seconds; 0 for none
+ * @param checkpointDurationS time to write a checkpoint, in seconds
+ * @param deadlineS deadline in seconds, or null for none
+ */
 public record JobSpec(
     String id,
     String jobClass,
@@ -26,11 +41,11 @@
     Double deadlineS) {
 
   private static final int MAX_TASKS = 100_000;
-  private static final int MAX_NAME = 120;
+  private static final int MAX_NAME_LENGTH = 120;
 
   /**
-   * Reads what a user submits. The protocol lets only {@code flavors}, {@code site} and {@code
-   * due_s} be absent; everything else a user must have said, or the job would run by our guess.
+   * Decodes a submission. By the protocol only {@code flavors}, {@code site} and {@code due_s} may
+   * be absent. Any other missing field is an error, so that no job runs with assumed values.
    */
   public static JobSpec fromSubmission(Document d) throws MalformedMessageException {
     for (String amount :
@@ -44,7 +59,7 @@
     return fromDocument(d);
   }
 
-  /** Reads a record, which may have been written when less was asked of users. */
+  /** Decodes a stored spec. Fields that older versions did not require of users may be absent. */
   public static JobSpec fromDocument(Document d) throws MalformedMessageException {
     String shape = d.text("shape");
     if (!shape.equals("sweep") && !shape.equals("daemon")) {
@@ -62,7 +77,7 @@
       throw new MalformedMessageException("vcpus, cards or ram_gb is beyond any machine");
     }
     return new JobSpec(
-        id(d.text("id")),
+        requireValidId(d.text("id")),
         requireName(d, "batchclass"),
         requireName(d, "owner"),
         shape.equals("daemon"),
@@ -84,8 +99,8 @@
         d.amountOrNull("due_s"));
   }
 
-  /** The form of a job id; anything else never names a job. */
-  public static String id(String text) throws MalformedMessageException {
+  /** Returns the text if it has the form of a job id; no job has an id of any other form. */
+  public static String requireValidId(String text) throws MalformedMessageException {
     if (!isValidId(text)) {
       throw new MalformedMessageException("id does not have the form of a job id");
     }
@@ -101,13 +116,14 @@
         .allMatch(c -> c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c == '-');
   }
 
-  private static String truncate(String word) {
-    return word.length() > 20 ? word.substring(0, 20) : word;
+  /** The first 20 characters, for an error message. */
+  private static String truncate(String text) {
+    return text.length() > 20 ? text.substring(0, 20) : text;
   }
 
   private static String requireName(Document d, String field) throws MalformedMessageException {
     String s = d.text(field);
-    if (s.isEmpty() || s.length() > MAX_NAME) {
+    if (s.isEmpty() || s.length() > MAX_NAME_LENGTH) {
       throw new MalformedMessageException(field + " is empty or too long");
     }
     return s;
@@ -139,7 +155,7 @@
     return d;
   }
 
-  /** How many tasks of a job whose tasks are to be apart one zone may have. */
+  /** The maximum number of tasks in one zone if the job's tasks must be spread over zones. */
   public int maxTasksPerZone() {
     return (tasks + 1) / 2;
   }
@@ -148,6 +164,7 @@
     return Resources.demand(cpus, gpus, ramGb);
   }
 
+  /** Whether a task may run on a machine of this type, in this zone, on spot or not. */
   public boolean allows(String type, String inZone, boolean onSpot) {
     return (machineTypes == null || machineTypes.contains(type))
         && (zone == null || zone.equals(inZone))
--- a/src/main/java/dev/dunefront/wire/Priority.java
+++ b/src/main/java/dev/dunefront/wire/Priority.java
@@ -1,6 +1,6 @@
 package dev.dunefront.wire;
 
-/** Urgency of a job, most urgent first. */
+/** Priority of a job, the highest first. */
 public enum Priority {
   CRITICAL("critical"),
   HIGH("high"),
@@ -9,22 +9,23 @@
 
   private final String wireName;
 
-  Priority(String word) {
-    this.wireName = word;
+  Priority(String wireName) {
+    this.wireName = wireName;
   }
 
+  /** The value on the wire. */
   public String wireName() {
     return wireName;
   }
 
-  /** Whether a few seconds' delay of a start matters to the user. */
+  /** Whether a delay of a few seconds at the start matters to the user. */
   public boolean urgent() {
     return compareTo(HIGH) <= 0;
   }
 
-  static Priority parse(String word) throws MalformedMessageException {
+  static Priority parse(String text) throws MalformedMessageException {
     for (Priority p : values()) {
-      if (p.wireName.equals(word)) {
+      if (p.wireName.equals(text)) {
         return p;
       }
     }
--- a/src/main/java/dev/dunefront/wire/WorkerCommand.java
+++ b/src/main/java/dev/dunefront/wire/WorkerCommand.java
@@ -10,7 +10,7 @@
 
   Document toDocument();
 
-  /** Starts an attempt. */
+  /** Starts an attempt of a task. */
   record Run(TaskId task, long attempt) implements WorkerCommand {
     @Override
     public Document toDocument() {
@@ -18,7 +18,7 @@
     }
   }
 
-  /** Ends an attempt, with so many seconds to save. */
+  /** Stops an attempt, which gets {@code graceS} seconds to write a checkpoint. */
   record Stop(TaskId task, long attempt, double graceS) implements WorkerCommand {
     @Override
     public Document toDocument() {
@@ -26,7 +26,7 @@
     }
   }
 
-  /** Forgets an attempt that has ended. */
+  /** Removes an attempt that has exited from the worker's reports. */
   record Clear(TaskId task, long attempt) implements WorkerCommand {
     @Override
     public Document toDocument() {
@@ -34,27 +34,32 @@
     }
   }
 
-  private static Document commandDocument(String verb, WorkerCommand o) {
+  private static Document commandDocument(String verb, WorkerCommand command) {
     return Document.create()
         .put("verb", verb)
-        .put("piece", o.task().toString())
-        .put("try_no", o.attempt());
+        .put("piece", command.task().toString())
+        .put("try_no", command.attempt());
   }
 
-  /** The body of a direct command to a worker. */
-  static byte[] directRequest(long token, long session, List<? extends WorkerCommand> orders) {
+  /**
+   * The body of a request that sends commands to a worker.
+   *
+   * @param token fencing token of the sender's hold on the machine
+   * @param session session of the worker for which the commands are meant
+   */
+  static byte[] directRequest(long token, long session, List<? extends WorkerCommand> commands) {
     return Document.create()
         .put("baton", token)
         .put("tenure", session)
-        .put("orders", orders.stream().map(WorkerCommand::toDocument).toList())
+        .put("orders", commands.stream().map(WorkerCommand::toDocument).toList())
         .encode();
   }
 
-  /** The body that answers a report. */
-  static byte[] reportResponse(long token, List<? extends WorkerCommand> orders) {
+  /** The body of the response to a worker's report. */
+  static byte[] reportResponse(long token, List<? extends WorkerCommand> commands) {
     return Document.create()
         .put("baton", token)
-        .put("orders", orders.stream().map(WorkerCommand::toDocument).toList())
+        .put("orders", commands.stream().map(WorkerCommand::toDocument).toList())
         .encode();
   }
 }
--- a/src/test/java/dev/dunefront/wire/DocumentTest.java
+++ b/src/test/java/dev/dunefront/wire/DocumentTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Bodies as they may come from anybody. */
+/** Encoding of documents, rejection of malformed bodies, and arithmetic of resources. */
 class DocumentTest {
 
   @Test
@@ -15,11 +15,11 @@
     Document inner = Document.create().put("a", 1.5).put("none", null);
     Document d =
         Document.create().put("n", 7).put("t", "x").put("l", List.of(inner)).put("b", true);
-    Document back = Document.decode(d.encode());
-    assertEquals(7, back.count("n"));
-    assertEquals("x", back.text("t"));
-    assertEquals(1.5, back.documents("l").get(0).amount("a"));
-    assertEquals("else", back.documents("l").get(0).textOr("none", "else"));
+    Document decoded = Document.decode(d.encode());
+    assertEquals(7, decoded.count("n"));
+    assertEquals("x", decoded.text("t"));
+    assertEquals(1.5, decoded.documents("l").get(0).amount("a"));
+    assertEquals("else", decoded.documents("l").get(0).textOr("none", "else"));
   }
 
   @Test
@@ -34,7 +34,7 @@
         () -> Document.decode(Arrays.copyOf(whole, whole.length + 1)));
     assertThrows(
         MalformedMessageException.class, () -> Document.decode(new byte[] {(byte) 0x93, 1, 2, 3}));
-    // A list that announces four billion items, and nesting without end.
+    // A list that declares four billion items, and 60,000 levels of nesting.
     assertThrows(
         MalformedMessageException.class,
         () -> Document.decode(new byte[] {(byte) 0xdd, -1, -1, -1, -1}));
@@ -46,7 +46,10 @@
   @Test
   void countsOfFittingTasksAreExact() {
     Resources third = Resources.demand(1.0 / 3, 0, 0.1);
-    assertEquals(2, third.countFittingIn(Resources.supply(1, 0, 1)), "rounded up, never too many");
+    assertEquals(
+        2,
+        third.countFittingIn(Resources.supply(1, 0, 1)),
+        "requests are rounded up, so that not too many tasks fit");
     Resources tenth = Resources.demand(0.1, 0, 0.1);
     assertEquals(10, tenth.countFittingIn(Resources.supply(1, 0, 1)));
   }
