--- a/src/main/java/dev/dunefront/book/Books.java
+++ b/src/main/java/dev/dunefront/book/Books.java
@@ -25,23 +25,24 @@
 import java.util.Objects;
 
 /**
- * The machines that this controller holds: takes reports, keeps a book for each and deals freed
- * room. {@link Reception} takes the reports of others, {@link Orders} talks to workers, {@link
- * Views} to the controllers.
+ * The machines that this controller holds, meaning that it alone sends them orders and offers their
+ * room. Dispatches worker reports, keeps the want book of each machine and drives periodic work.
+ * {@link Reception} processes reports of machines not held here, {@link Orders} sends orders to
+ * workers, {@link Views} publishes machine state to the controllers.
  */
 public final class Books {
   private static final System.Logger LOG = System.getLogger(Books.class.getName());
 
-  /** A controller that is behind keeps at least so many machines. */
+  /** An overloaded controller redirects no machines away once it holds this few. */
   private static final int KEEP = 5;
 
-  /** How often a machine is looked at on which nothing is known to wait. */
+  /** Interval at which a machine without pending work is checked, in seconds. */
   private static final double IDLE_LOOK_S = 1;
 
-  /** Steady clocks differ by this part at most. */
+  /** Largest relative rate difference between the monotonic clocks of two hosts. */
   private static final double DRIFT = 0.001;
 
-  /** A machine that has been lost for so many leases is no longer held. */
+  /** A machine whose lease expired is released after this many lease durations without a report. */
   private static final double FORGET_LEASES = 10;
 
   private final Settings settings;
@@ -53,7 +54,10 @@
   private final DecisionLock decisionLock;
   private final Map<String, Machine> held = new HashMap<>();
 
-  /** What was called gone on machines let go of since without a new token; see {@link #hold}. */
+  /**
+   * Attempts denied on machines that were released since, by host; see {@link #hold}. Removed once
+   * the machine is held under a new token.
+   */
   private final Map<String, Map<TaskId, Long>> fences = new HashMap<>();
 
   private final Views views;
@@ -102,8 +106,9 @@
   // ---- reports ----
 
   /**
-   * Takes a worker's report. After a standstill the worker waits a moment: it may have another
-   * holder by now, from which an answer under the old token would keep it.
+   * Processes a worker's report. After this process was suspended, the report waits until the state
+   * is known to be current: another controller may hold the worker by now, and an answer under the
+   * old token would keep the worker here.
    */
   public void report(Report r, Answer answer) {
     standstill.whenCurrent(() -> taken(r, answer));
@@ -119,12 +124,15 @@
     }
   }
 
-  /** A controller tells how many machines it holds, and how late its timers are. */
-  public void load(String node, int machines, double lateS) {
-    neighbours.tells(node, machines, lateS);
+  /**
+   * Another controller has reported how many machines it holds and how late its timers run, in
+   * seconds.
+   */
+  public void load(String node, int machineCount, double lateS) {
+    neighbours.tells(node, machineCount, lateS);
   }
 
-  /** Whether this controller is far behind with its work while another is not. */
+  /** Whether this controller's timers run late while another controller keeps up. */
   public boolean overloaded() {
     return neighbours.idler() != null;
   }
@@ -135,18 +143,19 @@
   }
 
   /**
-   * From now on this controller holds the machine. Under the token under which it has held it
-   * before, what it has called gone stays refused: the start may still be on its way here.
+   * Starts to hold the machine. If it is held again under the token of an earlier hold here, the
+   * attempts denied then stay denied, because their start requests may still be in transit to this
+   * controller.
    */
   void hold(Machine m) {
     held.put(m.host, m);
-    Map<TaskId, Long> fence = fences.remove(m.host);
-    if (fence != null && m.resumed) {
-      m.fence.putAll(fence);
+    Map<TaskId, Long> denied = fences.remove(m.host);
+    if (denied != null && m.resumed) {
+      m.fence.putAll(denied);
     }
     LOG.log(
         Level.INFO,
-        "holding {0}, a {1}, under token {2}, hold stamp {3}, session {4}",
+        "holding {0} of type {1}: token {2}, hold revision {3}, session {4}",
         m.host,
         m.typeName,
         m.token,
@@ -156,49 +165,50 @@
 
   void reportOfHeld(Machine m, Report r, Answer answer) {
     if (r.token() > m.token) {
-      // Somebody with a higher token commands this machine.
-      dropHold(m, "a higher token is out");
+      // Another controller holds this machine under a higher token.
+      dropHold(m, "its worker has reported a higher token");
       answer.send(421, null);
       return;
     }
-    Freshness.Worth worth = m.fresh.of(r);
-    if (worth == Freshness.Worth.COPY) {
-      // Nobody waits for the answer, unless the worker has begun anew.
+    Freshness.Worth classification = m.fresh.of(r);
+    if (classification == Freshness.Worth.COPY) {
+      // The sender no longer waits for this answer, unless the worker has restarted.
       answer.send(503, null, 1);
       listening.copied(m);
       return;
     }
     if (m.lost && r.session() <= m.session) {
-      // Its tasks have been given up for gone; nothing may renew this lease any more.
+      // Its tasks have been declared ended, so nothing may renew the lease of this session.
       answer.send(503, null, 1);
       return;
     }
     m.heard = timers.now();
-    if (worth == Freshness.Worth.NEW) {
+    if (classification == Freshness.Worth.NEW) {
       listening.reported(m, r);
     }
     reports.reported(m, r);
-    String away = leaving.whereTo(m, held.values());
-    if (away != null) {
-      dropHold(m, "alone here, it goes to " + away);
-      reception.send(m.host, away, answer);
+    String redirectTarget = leaving.whereTo(m, held.values());
+    if (redirectTarget != null) {
+      dropHold(m, "this controller is isolated; redirecting it to " + redirectTarget);
+      reception.send(m.host, redirectTarget, answer);
       return;
     }
     if (m.sendTo == null && held.size() > KEEP) {
       m.sendTo = neighbours.idler();
     }
     if (m.sendTo != null) {
-      String to = m.sendTo;
+      String target = m.sendTo;
       m.sendTo = null;
-      if (neighbours.reachable(to)
+      if (neighbours.reachable(target)
           && !m.busy()
-          // Sent on, a machine that does not hear it would go round instead.
+          // An unresponsive machine would not receive the redirect and would retry all
+          // controllers in turn.
           && m.responsiveness.trusted()
           && !m.doubt
           && !m.raising
           && !m.retiring(timers.now())) {
-        dropHold(m, "it is better held by " + to);
-        reception.send(m.host, to, answer);
+        dropHold(m, "balancing load; redirecting it to " + target);
+        reception.send(m.host, target, answer);
         return;
       }
     }
@@ -210,16 +220,16 @@
     act(m);
   }
 
-  void dropHold(Machine m, String why) {
+  void dropHold(Machine m, String reason) {
     if (held.remove(m.host, m)) {
       if (!m.fence.isEmpty()) {
         fences.put(m.host, m.fence);
       }
       LOG.log(
           Level.INFO,
-          "no longer holding {0}: {1}; it was token {2}, hold stamp {3}, session {4}",
+          "released {0}: {1}; token {2}, hold revision {3}, session {4}",
           m.host,
-          why,
+          reason,
           m.token,
           m.holdStamp,
           m.session);
@@ -227,30 +237,36 @@
     }
   }
 
-  /** This controller has become another incarnation. */
+  /** This controller continues under a new incarnation. */
   public void reborn() {
     holdChanges.reborn();
     reception.reborn();
   }
 
-  /** The replica shows a changed hold record. */
+  /** The hold record of a machine has changed in the replica. */
   public void holdChanged(String host) {
     holdChanges.changed(host);
     if (!held.containsKey(host)) {
-      // Held under another token from now on, if ever again.
+      // Any later hold of this machine has a higher token, so the denials are no longer needed.
       fences.remove(host);
     }
   }
 
-  /** A live record has changed; a job that must no longer run is stopped without being asked. */
+  /**
+   * The record of an unfinished job has changed. Tasks of a job that must not run any more are
+   * stopped without a request from its claimant.
+   */
   public void jobChanged(String id, JobTable.Entry before, JobTable.Entry entry) {
-    boolean over = over(entry);
-    if (!over && !over(before) && Objects.equals(before.record().claim(), entry.record().claim())) {
-      // Most changes grant tasks; who is told of the job's tasks, and what they take, stays.
+    boolean ended = over(entry);
+    if (!ended
+        && !over(before)
+        && Objects.equals(before.record().claim(), entry.record().claim())) {
+      // Most changes only grant tasks, which affects neither the controller that receives the
+      // task states nor the size of the tasks.
       return;
     }
     for (Machine m : held.values()) {
-      if (over) {
+      if (ended) {
         m.book.dropJob(id);
       }
       if (m.has(id)) {
@@ -263,7 +279,7 @@
     }
   }
 
-  /** A job is to end: what of it runs here is stopped, what is about to start is refused. */
+  /** A job has been cancelled: stops its running tasks here and refuses its pending starts. */
   public void cancelled(String id) {
     for (Machine m : held.values()) {
       upkeep.stopJob(m, id);
@@ -291,7 +307,7 @@
     }
   }
 
-  /** A controller's link is gone, and with it all that it wanted. */
+  /** The connection to a controller has closed. Its wants and offers are dropped. */
   public void gone(String node) {
     neighbours.gone(node);
     views.gone(node);
@@ -304,14 +320,17 @@
     }
   }
 
-  /** A controller can be reached again: it hears of every held machine. */
+  /** The connection to a controller is open again. It receives the state of every held machine. */
   public void reached(String node) {
     views.reached(node);
   }
 
-  // ---- dealing ----
+  // ---- allocation ----
 
-  /** Deals what room there is, sends what orders there are, tells what has changed. */
+  /**
+   * Offers free room to wants, sends pending orders and publishes the machine's state if it has
+   * changed.
+   */
   void act(Machine m) {
     if (held.get(m.host) != m) {
       return;
@@ -324,46 +343,50 @@
     }
   }
 
-  // ---- time ----
+  // ---- metrics and periodic work ----
 
   public int heldMachines() {
     return held.size();
   }
 
-  /** Copies of old reports that have come so far. */
+  /** Number of stale reports received since the start of the process. */
   public int copies() {
     return listening.copies();
   }
 
-  /** How often a machine has turned out to be heard and not to hear so far. */
+  /** Number of times that a machine whose reports arrive has been found unresponsive. */
   public int deafened() {
     return listening.deafened();
   }
 
-  /** Machines that this controller has sent away because it was alone with them so far. */
+  /** Number of workers that this controller has redirected because it was isolated. */
   public int sentAway() {
     return leaving.sent();
   }
 
-  /** Whether neither the state service nor any other controller answers. */
+  /** Whether neither the state service nor any other controller is reachable. */
   public boolean alone() {
     return leaving.alone();
   }
 
-  /** Called several times a second. */
+  /**
+   * Periodic work, called several times a second.
+   *
+   * @param lateS by how much this controller's timers run late, in seconds
+   */
   public void tick(double lateS) {
     neighbours.late(lateS);
     listening.late(lateS);
     double now = timers.now();
-    double lease = settings.workers().leaseS();
+    double leaseS = settings.workers().leaseS();
     if (!standstill.current()) {
       return;
     }
     holdChanges.tick();
     leaving.tick(now);
     for (Machine m : List.copyOf(held.values())) {
-      // What cannot be done for one machine is no reason to leave the others alone.
-      decisionLock.run(() -> tick(m, now, lease));
+      // A failure on one machine must not keep the others from being processed.
+      decisionLock.run(() -> tick(m, now, leaseS));
     }
     if (now - strangersAt > IDLE_LOOK_S) {
       strangersAt = now;
@@ -373,50 +396,57 @@
     dealing.spread(held.values(), now);
   }
 
-  private void tick(Machine m, double now, double lease) {
-    boolean expired = false;
-    for (Iterator<Machine.Offered> i = m.offers.values().iterator(); i.hasNext(); ) {
-      if (i.next().until() < now) {
-        i.remove();
-        expired = true;
+  private void tick(Machine m, double now, double leaseS) {
+    boolean offerExpired = false;
+    for (Iterator<Machine.Offered> iterator = m.offers.values().iterator(); iterator.hasNext(); ) {
+      if (iterator.next().until() < now) {
+        iterator.remove();
+        offerExpired = true;
       }
     }
-    m.dirty |= expired;
+    m.dirty |= offerExpired;
     if (m.retiringUntil > 0 && !m.retiring(now)) {
       m.retiringUntil = 0;
       m.dirty = true;
     }
     listening.tick(m, now);
-    double surelyOver = lease * (1 + DRIFT) + 0.3;
-    if (!m.lost && m.ours && now - m.renewed() > surelyOver) {
+    double leaseCertainlyOverS = leaseS * (1 + DRIFT) + 0.3;
+    if (!m.lost && m.ours && now - m.renewed() > leaseCertainlyOverS) {
       // No report of this session has been answered for longer than its lease lasts. A token
-      // raised since, which the worker may never see, changes nothing in that: a machine that
-      // ended just after would otherwise never be called lost, and its jobs never end.
+      // raised meanwhile does not change that, since the worker may never receive it: a machine
+      // that ended just after the write would otherwise never count as lost, and its jobs would
+      // never end.
       m.lost = true;
       m.pending.clear();
       m.offers.clear();
       m.dirty = true;
-      LOG.log(Level.INFO, "{0} is silent; the lease of its session {1} is over", m.host, m.session);
+      LOG.log(
+          Level.INFO,
+          "no report from {0}; the lease of its session {1} has expired",
+          m.host,
+          m.session);
     }
-    if (!m.ours && now - m.heard > surelyOver) {
-      // It never showed a token of this hold, so its lease proves nothing here; a late copy of a
-      // report may have come of a machine that is gone. Held on to it would be told of for ever as
-      // one that is neither well nor lost, and nobody would have its end proven.
-      dropHold(m, "it fell silent before it had shown its token");
+    if (!m.ours && now - m.heard > leaseCertainlyOverS) {
+      // The worker has not reported a token of this hold, so an expired lease proves nothing
+      // here; the report that started the hold may be a late duplicate from a machine that no
+      // longer exists. If the machine stayed held, it would be published forever as neither
+      // healthy nor lost, and nobody would prove the end of its attempts.
+      dropHold(m, "its reports stopped before its worker had reported the current token");
       return;
     }
-    if (m.lost && now - m.renewed() > lease * FORGET_LEASES) {
-      // All that ran there has been given up for gone. Should its worker come back after all it is
-      // in another session, for which no start is on its way that was meant for this one.
+    if (m.lost && now - m.renewed() > leaseS * FORGET_LEASES) {
+      // All its attempts have been declared ended. If its worker reports again, it does so in a
+      // later session, and no start request in transit is addressed to that one.
       m.fence.clear();
-      dropHold(m, "it has been silent for long");
+      dropHold(m, "no report for a long time");
       return;
     }
     if (m.noticeS != null) {
       upkeep.clearOut(m, m.noticeS - (now - m.noticeAt), now);
     }
-    boolean waits = m.dirty || !m.pending.isEmpty() || !m.stops.isEmpty() || !m.clears.isEmpty();
-    if (waits || now - m.looked > IDLE_LOOK_S) {
+    boolean hasPendingWork =
+        m.dirty || !m.pending.isEmpty() || !m.stops.isEmpty() || !m.clears.isEmpty();
+    if (hasPendingWork || now - m.looked > IDLE_LOOK_S) {
       m.looked = now;
       act(m);
     }
--- a/src/main/java/dev/dunefront/book/Dealing.java
+++ b/src/main/java/dev/dunefront/book/Dealing.java
@@ -12,9 +12,15 @@
 import dev.dunefront.wire.Size;
 import java.util.Collection;
 
-/** Deals the room of held machines, and machines among controllers. */
+/**
+ * Offers the free room of held machines to wants, and moves machines to other controllers to
+ * balance the load.
+ */
 final class Dealing {
-  /** How often a machine is let go of for another controller, when the budget is idle. */
+  /**
+   * Shortest interval between two machines that are moved to other controllers, in seconds. None is
+   * moved while writes wait for the state service's rate budget.
+   */
   private static final double SPREAD_S = 0.5;
 
   private final Tunables tunables;
@@ -27,7 +33,10 @@
   private final Views views;
   private double spreadAt;
 
-  /** No earlier incarnation's offers have these numbers. */
+  /**
+   * Id of the last offer. It starts from the wall clock, so that ids differ from those of earlier
+   * incarnations.
+   */
   private long offers;
 
   Dealing(ControllerContext context, Neighbours neighbours, Views views) {
@@ -42,7 +51,7 @@
     this.offers = timers.timeOfDayMs() << 16;
   }
 
-  /** Deals the room that a machine has. */
+  /** Offers the free room of a machine to the wants in its book. */
   void deal(Machine m) {
     if (!m.open() || m.book.isEmpty() || !standstill.current()) {
       return;
@@ -53,27 +62,31 @@
     }
     Size free = m.free(type, views::sizeOf);
     double gatherBefore = timers.now() - tunables.gatherTicks() * tunables.tickS();
-    WantBook.Want w;
-    while ((w = m.book.take(free, type.size(), gatherBefore)) != null) {
+    WantBook.Want want;
+    while ((want = m.book.take(free, type.size(), gatherBefore)) != null) {
       long offer = ++offers;
       m.offers.put(
-          offer, new Machine.Offered(w.node, w.job, w.size, timers.now() + tunables.offerWaitS()));
-      free = free.minus(w.size);
+          offer,
+          new Machine.Offered(
+              want.node, want.job, want.size, timers.now() + tunables.offerWaitS()));
+      free = free.minus(want.size);
       m.dirty = true;
-      peers.send(w.node, new Message.Offer(offer, m.host, w.job, m.token, m.holdStamp, m.session));
+      peers.send(
+          want.node, new Message.Offer(offer, m.host, want.job, m.token, m.holdStamp, m.session));
     }
   }
 
   /**
-   * Lets go of a machine that another controller should hold: one of its own zone, or of ours that
-   * has far fewer. It comes back to nobody's harm: its report finds the other, which takes it.
+   * Marks at most one machine to be redirected to another controller: to one of the machine's own
+   * zone, or to one of this zone that holds far fewer machines. Its next report is answered with a
+   * redirect, and the target acquires it without interruption of its tasks.
    */
   void spread(Collection<Machine> held, double now) {
     if (now - spreadAt < SPREAD_S || store.down() || store.writeDelayS() > 0) {
       return;
     }
     spreadAt = now;
-    String few = neighbours.farBelow(held.size());
+    String lessLoaded = neighbours.farBelow(held.size());
     for (Machine m : held) {
       if (m.settled
           && !m.doubt
@@ -82,7 +95,7 @@
           && m.responsiveness.trusted()
           && !m.busy()
           && m.sendTo == null) {
-        m.sendTo = neighbours.better(m.zone, few);
+        m.sendTo = neighbours.better(m.zone, lessLoaded);
         if (m.sendTo != null) {
           return;
         }
--- a/src/main/java/dev/dunefront/book/HoldChanges.java
+++ b/src/main/java/dev/dunefront/book/HoldChanges.java
@@ -4,13 +4,13 @@
 import dev.dunefront.config.Settings;
 import java.util.List;
 
-/** What becomes of the machines held here when the records of who holds them change. */
+/** Updates or releases held machines when hold records or the roster change. */
 final class HoldChanges {
   private final Settings settings;
   private final Holds holds;
   private final Books books;
 
-  /** The stamp of the roster by which machines without a record are held. */
+  /** Revision of the roster that determines the holders of machines without a record. */
   private long rosterStamp;
 
   HoldChanges(ControllerContext context, Books books) {
@@ -19,47 +19,49 @@
     this.books = books;
   }
 
-  /** Called several times a second. */
+  /** Checks for a new roster; called several times a second. */
   void tick() {
-    long stamp = holds.roster().stamp();
-    if (stamp != rosterStamp) {
-      rosterStamp = stamp;
+    long revision = holds.roster().stamp();
+    if (revision != rosterStamp) {
+      rosterStamp = revision;
       rosterChanged();
     }
   }
 
   /**
-   * This controller has become another incarnation. Machines that nobody has taken meanwhile are
-   * held on: their records still name this controller.
+   * This controller continues under a new incarnation. It keeps the machines that no other
+   * controller has acquired meanwhile, since their records still name this node.
    */
   void reborn() {
     for (Machine m : List.copyOf(books.all())) {
       Holds.Hold hold = holds.of(m.host, m.zone);
       if (hold == null || hold.stamp() != m.holdStamp && !m.raising) {
-        books.dropHold(m, "another controller has taken it");
+        books.dropHold(m, "another controller has acquired it");
       }
     }
   }
 
-  /** The replica shows a changed hold record. */
+  /** The hold record of a machine has changed in the replica. */
   void changed(String host) {
     Machine m = books.held(host);
     Holds.Hold hold = holds.get(host);
     if (m != null && hold == null && m.holdStamp > 0 && !m.raising) {
-      // Forgotten, as machines are that are gone; nothing more can be recorded under that stamp.
-      books.dropHold(m, "its record has been removed");
+      // The records of deleted machines are removed after a while. Writes conditional on the
+      // removed revision fail.
+      books.dropHold(m, "its hold record has been removed");
     } else if (m != null && hold != null && hold.stamp() > m.holdStamp && !m.raising) {
       if (hold.dead() || !holds.heldBy(settings.node(), hold) || hold.token() != m.token) {
-        books.dropHold(m, hold.dead() ? "deleted" : "another controller has taken it");
+        books.dropHold(
+            m, hold.dead() ? "the machine is deleted" : "another controller has acquired it");
       }
     }
   }
 
   /**
-   * The roster has changed: machines without a record are held by its new token from now on, or by
-   * another controller. Nothing can be recorded any more under the old one, so what was offered
-   * runs out; what was recorded and is on its way is shown by the worker's next report or, like
-   * after a raised token, will never be carried out.
+   * The roster has changed: each machine without a record is held under the new roster's token from
+   * now on, or by another controller. Writes conditional on the old roster fail, so outstanding
+   * offers are dropped. A start that is already recorded and in transit either shows up in the
+   * worker's next report or, as after a raised token, is never carried out.
    */
   private void rosterChanged() {
     for (Machine m : List.copyOf(books.all())) {
@@ -68,7 +70,7 @@
       }
       Holds.Hold hold = holds.of(m.host, m.zone);
       if (m.raising || !holds.heldBy(settings.node(), hold) || !hold.natural()) {
-        books.dropHold(m, "by the new roster another controller holds it");
+        books.dropHold(m, "the new roster assigns it to another controller");
       } else {
         m.token = hold.token();
         m.holdStamp = hold.stamp();
--- a/src/main/java/dev/dunefront/book/Holds.java
+++ b/src/main/java/dev/dunefront/book/Holds.java
@@ -17,28 +17,31 @@
 import java.util.function.Consumer;
 
 /**
- * Who holds which machine: as recorded, or, while there is no record, by nature. Every controller
- * works out alike from the roster which of them is a machine's natural holder, under the roster's
- * token; whoever else takes the machine writes a record, on the condition that there is none. So
- * hundreds of machines that come at once are held without a single write, and no more than one
- * holds each.
+ * Which controller holds which machine. A machine without a hold record has a default holder, which
+ * every controller computes alike from the roster by rendezvous hashing and which holds the machine
+ * under the roster's token. Any other controller that acquires the machine writes a record, on the
+ * condition that there is none. Hundreds of machines that start at once are therefore held without
+ * a write, and never by more than one controller each.
  */
 public final class Holds {
   public static final String PREFIX = Replica.PREFIX + "h/";
 
   private static final System.Logger LOG = System.getLogger(Holds.class.getName());
 
-  /** The controllers among which machines are shared by nature. */
+  /** Key of the roster, the controllers that share the machines without a record. */
   public static final String ROSTER = Replica.PREFIX + "roster";
 
   /**
-   * Who holds a machine under which token; {@code dead} once the cloud has confirmed its end, at a
-   * time of day that is 0 where none was written. Where there is no record the stamp is that of the
-   * roster, below zero.
+   * Which controller holds a machine, and under which fencing token.
+   *
+   * @param holder incarnation of the controller, empty if there is none
+   * @param dead whether the cloud has confirmed the deletion of the machine
+   * @param deadAtMs wall-clock time of that confirmation in milliseconds, 0 if none was recorded
+   * @param stamp revision of the record; if there is no record, the negated revision of the roster
    */
   public record Hold(
       String host, String holder, long token, boolean dead, long deadAtMs, long stamp) {
-    /** Whether there is no record of the machine. */
+    /** Whether this is the default hold of a machine without a record. */
     boolean natural() {
       return stamp < 0;
     }
@@ -46,14 +49,17 @@
 
   private final Map<String, Hold> all = new HashMap<>();
 
-  /** Those of machines that are gone, in the order in which that was seen. */
+  /** Records of deleted machines, in the order in which the deletions were seen. */
   private final Map<String, Hold> dead = new LinkedHashMap<>();
 
   private final Map<String, String> natural = new HashMap<>();
   private final Replica replica;
   private Roster roster = Roster.NONE;
 
-  /** A newer one, before all is known that was written before it. */
+  /**
+   * A newer roster, until the replica has caught up with all that was written before it; otherwise
+   * null.
+   */
   private Roster coming;
 
   private boolean establishing;
@@ -63,8 +69,8 @@
     this.replica = replica;
     replica.listen(
         PREFIX,
-        (host, value, stamp) -> {
-          Hold hold = value == null ? null : read(host, value, stamp);
+        (host, value, revision) -> {
+          Hold hold = value == null ? null : read(host, value, revision);
           if (hold == null) {
             all.remove(host);
           } else {
@@ -75,18 +81,19 @@
           } else {
             dead.remove(host);
           }
-          // Worked out anew if it is asked for again; otherwise it would be kept for ever.
+          // Computed again on demand; otherwise entries of removed machines would accumulate.
           natural.remove(host);
           listener.accept(host);
         });
-    replica.listen(ROSTER, (rest, value, stamp) -> enrol(value, stamp));
+    replica.listen(ROSTER, (suffix, value, revision) -> enrol(value, revision));
   }
 
   /**
-   * A record that names nobody, or cannot be read, is one without a holder: whoever the worker
-   * reports to takes the machine and so writes a good one.
+   * Reads a record. One that names no holder or cannot be read counts as a hold without a holder,
+   * so that the controller to which the worker reports acquires the machine and writes a valid
+   * record.
    */
-  private static Hold read(String host, Doc value, long stamp) {
+  private static Hold read(String host, Doc value, long revision) {
     try {
       return new Hold(
           host,
@@ -94,38 +101,38 @@
           value.countOr("baton", 0),
           value.flagOr("dead", false),
           value.countOr("at", 0),
-          stamp);
+          revision);
     } catch (BadMessage e) {
-      LOG.log(Level.ERROR, "the hold of {0} cannot be read: {1}", host, e.getMessage());
-      return new Hold(host, "", 0, false, 0, stamp);
+      LOG.log(Level.ERROR, "cannot read the hold record of {0}: {1}", host, e.getMessage());
+      return new Hold(host, "", 0, false, 0, revision);
     }
   }
 
-  private void enrol(Doc value, long stamp) {
+  private void enrol(Doc value, long revision) {
     if (value == null) {
       return;
     }
     try {
-      Roster next = Roster.read(value, stamp);
+      Roster next = Roster.read(value, revision);
       if (roster.members().isEmpty()) {
         adopt(next);
       } else {
         coming = next;
       }
     } catch (BadMessage e) {
-      LOG.log(Level.ERROR, "the roster cannot be read: {0}", e.getMessage());
+      LOG.log(Level.ERROR, "cannot read the roster: {0}", e.getMessage());
     }
   }
 
   private void adopt(Roster next) {
     roster = next;
     natural.clear();
-    LOG.log(Level.INFO, "{0} controllers share the machines", next.members().size());
+    LOG.log(Level.INFO, "the roster names {0} controllers", next.members().size());
   }
 
   /**
-   * The roster that holds. A newer one counts once everything is known that was written before it:
-   * a machine that somebody has taken in the epoch before must not be held by nature in the next.
+   * The roster in effect. A newer one takes effect once the replica has all earlier writes: a
+   * machine that was acquired in the previous epoch must not get a default holder in the next.
    */
   public Roster roster() {
     if (coming != null && replica.seen() >= coming.stamp()) {
@@ -135,12 +142,20 @@
     return roster;
   }
 
-  /** Makes a write conditional on the hold of a machine being what it was at that stamp. */
-  public static Txn condition(Txn txn, String host, long stamp) {
-    return stamp < 0 ? txn.when(key(host), 0).when(ROSTER, -stamp) : txn.when(key(host), stamp);
+  /**
+   * Makes a write conditional on the hold of a machine being unchanged since the given revision,
+   * where a negative one is that of the roster.
+   */
+  public static Txn condition(Txn txn, String host, long revision) {
+    return revision < 0
+        ? txn.when(key(host), 0).when(ROSTER, -revision)
+        : txn.when(key(host), revision);
   }
 
-  /** Writes the roster if there is none; whoever is first decides it for all. */
+  /**
+   * Writes the initial roster if there is none. The first controller to write it determines it for
+   * all.
+   */
   public void establish(Settings settings, Store store) {
     if (!roster.members().isEmpty() || establishing || !replica.ready()) {
       return;
@@ -153,10 +168,10 @@
     store.tryTxn(
         new Txn().when(ROSTER, 0).put(ROSTER, value),
         Store.Urgency.LEASE,
-        done -> {
+        result -> {
           establishing = false;
-          if (done.ok()) {
-            replica.apply(ROSTER, value, done.revision());
+          if (result.ok()) {
+            replica.apply(ROSTER, value, result.revision());
           }
         });
   }
@@ -169,35 +184,38 @@
     return PREFIX + host;
   }
 
-  /** The records of machines that are gone, oldest first. */
+  /** The records of deleted machines, oldest first. */
   public Collection<Hold> dead() {
     return dead.values();
   }
 
-  /** All records there are. */
+  /** All hold records. */
   public Collection<Hold> recorded() {
     return all.values();
   }
 
-  /** The record of a machine, or null. */
+  /** The hold record of a machine, or null if there is none. */
   public Hold get(String host) {
     return all.get(host);
   }
 
-  /** Who holds the machine, by record or by nature; null only while the roster is unknown. */
+  /** The hold of a machine, by its record or by default; null only while the roster is unknown. */
   public Hold of(String host, String zone) {
     Hold recorded = all.get(host);
     if (recorded != null) {
       return recorded;
     }
-    Roster now = roster();
-    String holder = natural.computeIfAbsent(host, h -> now.holder(h, zone));
+    Roster current = roster();
+    String holder = natural.computeIfAbsent(host, h -> current.holder(h, zone));
     return holder == null
         ? null
-        : new Hold(host, holder + "#0", now.token(), false, 0, -now.stamp());
+        : new Hold(host, holder + "#0", current.token(), false, 0, -current.stamp());
   }
 
-  /** Whether the machine is held by this controller, in whatever incarnation. */
+  /**
+   * Whether the hold belongs to this node, in any of its incarnations. False for null and for a
+   * deleted machine.
+   */
   boolean heldBy(String node, Hold hold) {
     return hold != null
         && !hold.dead()
@@ -205,25 +223,33 @@
         && Membership.nodeOf(hold.holder()).equals(node);
   }
 
-  /** A holder's record. Nobody may write one who has no name: nobody else could read it. */
+  /**
+   * Returns the value of a hold record.
+   *
+   * @throws IllegalArgumentException if the holder has no node name, since no controller could
+   *     resolve such a record
+   */
   static Doc write(String holder, long token, String mark) {
     if (Membership.nodeOf(holder).isEmpty()) {
-      throw new IllegalArgumentException("a hold needs a holder");
+      throw new IllegalArgumentException("hold record without a holder");
     }
     return Doc.of().put("holder", holder).put("baton", token).put(Store.MARK, mark);
   }
 
-  /** The record of a machine whose deletion the cloud has confirmed, at a time of day. */
+  /**
+   * Returns the record of a machine whose deletion the cloud has confirmed at the given wall-clock
+   * time in milliseconds.
+   */
   public static Doc writeDead(long atMs, String mark) {
     return Doc.of().put("dead", true).put("at", atMs).put(Store.MARK, mark);
   }
 
-  /** The roster as it is to be recorded in the place of the present one. */
-  public static Txn change(Txn txn, Roster now, Roster next) {
-    return txn.when(ROSTER, now.stamp()).put(ROSTER, next.write());
+  /** Adds the replacement of the current roster to a transaction, conditional on its revision. */
+  public static Txn change(Txn txn, Roster current, Roster next) {
+    return txn.when(ROSTER, current.stamp()).put(ROSTER, next.write());
   }
 
-  void wrote(String host, Doc value, long stamp) {
-    replica.apply(key(host), value, stamp);
+  void wrote(String host, Doc value, long revision) {
+    replica.apply(key(host), value, revision);
   }
 }
--- a/src/main/java/dev/dunefront/book/Inbox.java
+++ b/src/main/java/dev/dunefront/book/Inbox.java
@@ -10,14 +10,17 @@
 import dev.dunefront.wire.TaskId;
 import java.lang.System.Logger.Level;
 
-/** What other controllers say that concerns held machines. */
+/** Processes the messages of other controllers that concern held machines. */
 final class Inbox {
   private static final System.Logger LOG = System.getLogger(Inbox.class.getName());
 
-  /** How long room is kept for an offer that is being taken, in seconds. */
+  /** How long room is reserved for an accepted offer, in seconds. */
   private static final double TAKING_S = 15;
 
-  /** How long a machine that is to be returned stays closed without being told so again. */
+  /**
+   * How long a machine that is to be returned stays closed unless the request is repeated, in
+   * seconds.
+   */
   private static final double RETIRE_S = 8;
 
   private final Settings settings;
@@ -50,10 +53,10 @@
       Machine m = books.held(w.host());
       if (m != null) {
         JobTable.Entry job = jobs.get(w.job());
-        boolean over = job != null && Books.over(job);
+        boolean ended = job != null && Books.over(job);
         int priority = Math.max(0, Math.min(3, w.priority()));
         int rank = Math.max(0, Math.min(WantBook.RANKS - 1, w.rank()));
-        m.book.park(from, w.job(), priority, rank, w.size(), over ? 0 : w.count(), timers.now());
+        m.book.park(from, w.job(), priority, rank, w.size(), ended ? 0 : w.count(), timers.now());
         books.act(m);
       }
     } else if (message instanceof Message.Decline d) {
@@ -108,8 +111,8 @@
   }
 
   /**
-   * Closes an empty machine that is to be returned, so that no placement meets its deletion. If it
-   * is not returned after all, it opens again by itself.
+   * Closes an empty machine that is to be returned, so that no task is placed on it while it is
+   * being deleted. It opens again by itself if the request is not repeated.
    */
   private void retire(String host) {
     Machine m = books.held(host);
@@ -129,7 +132,8 @@
     if (m.blame.faulty()) {
       m.quarantined = true;
       m.dirty = true;
-      LOG.log(Level.INFO, "{0} is put in quarantine: {1} fail on it", m.host, m.blame.jobs());
+      LOG.log(
+          Level.INFO, "quarantining {0}: tasks of jobs {1} failed on it", m.host, m.blame.jobs());
       books.act(m);
     }
   }
--- a/src/main/java/dev/dunefront/book/Interests.java
+++ b/src/main/java/dev/dunefront/book/Interests.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 
 /**
- * How much each controller wants to hear of the machines held here. Whoever has not said so lately
- * is told everything: a subscription that is lost, late or from a former life may cost messages or
- * a moment until it is repeated, but it hides room from nobody for good.
+ * How much detail each controller subscribes to for the machines held here. A controller without a
+ * current subscription receives everything: a lost, late or outdated subscription may cost extra
+ * messages until it is renewed, but it never hides free room permanently.
  */
 final class Interests {
-  /** A declaration counts for so long; it is repeated several times meanwhile. Seconds. */
+  /** Lifetime of a subscription, in seconds. It is renewed several times within that. */
   static final double LAPSE_S = 10;
 
   private record Declared(Detail detail, double at) {}
@@ -18,9 +18,9 @@
   private final Map<String, Declared> byNode = new HashMap<>();
 
   /**
-   * A controller says how much it wants to hear.
+   * A controller subscribes to a level of detail.
    *
-   * @return whether that is more than it was told until now
+   * @return whether it now receives more than before
    */
   boolean declared(String node, Detail detail, double now) {
     Detail before = of(node, now);
@@ -28,13 +28,15 @@
     return detail.compareTo(before) > 0;
   }
 
-  /** What a controller is to be told at this time. */
+  /** The level of detail that a controller receives at this time. */
   Detail of(String node, double now) {
-    Declared said = byNode.get(node);
-    return said == null || now - said.at > LAPSE_S ? Detail.LOAD : said.detail;
+    Declared subscription = byNode.get(node);
+    return subscription == null || now - subscription.at > LAPSE_S
+        ? Detail.LOAD
+        : subscription.detail;
   }
 
-  /** A controller's link is gone. */
+  /** The connection to a controller has closed. */
   void gone(String node) {
     byNode.remove(node);
   }
--- a/src/main/java/dev/dunefront/book/Leaving.java
+++ b/src/main/java/dev/dunefront/book/Leaving.java
@@ -11,14 +11,18 @@
 import java.util.List;
 
 /**
- * Sends workers away from a controller that has lost the state service and all others: see {@link
- * Isolation}. A worker that is sent on keeps its lease for as long as it finds another in time; the
- * hold's record still names this controller, so one that comes back is held on without a write.
+ * Redirects workers to other controllers when this one has lost both the state service and all
+ * other controllers; see {@link Isolation}. A redirected worker keeps its lease if it reaches
+ * another controller in time. The hold record still names this controller, so a worker that comes
+ * back is held again without a write.
  */
 final class Leaving {
   private static final System.Logger LOG = System.getLogger(Leaving.class.getName());
 
-  /** All are sent within this part of a lease: whoever takes them writes once for each. */
+  /**
+   * All workers are redirected within this fraction of the lease duration. They are spread out
+   * because each controller that acquires one has to write a record.
+   */
   private static final double SPAN = 0.5;
 
   private final Settings settings;
@@ -36,7 +40,8 @@
     this.store = context.store();
     this.timers = context.timers();
     this.neighbours = neighbours;
-    // Those of this zone first: they hear its machines when it is cut off.
+    // Controllers of this zone come first: they can still reach its machines if the zone is
+    // partitioned.
     settings.peers().stream()
         .sorted(
             (a, b) ->
@@ -44,50 +49,56 @@
         .forEach(p -> others.add(p.node()));
   }
 
-  /** Whether neither the state service nor any other controller answers. */
+  /** Whether neither the state service nor any other controller is reachable. */
   boolean alone() {
     return store.down() && neighbours.none() && !others.isEmpty();
   }
 
-  /** Machines sent away so far. */
+  /** Number of workers redirected so far. */
   int sent() {
     return sent;
   }
 
-  /** Time has passed. */
+  /** Advances the state machine; called several times a second. */
   void tick(double now) {
     Isolation.Step before = alone.step();
     alone = alone.passed(now, alone(), others.size(), settings.workers().leaseS());
     if (alone.step() != before && alone.step() == Isolation.Step.GO) {
-      LOG.log(Level.INFO, "alone, and {0} found somebody else: the others follow", alone.trial());
+      LOG.log(
+          Level.INFO,
+          "isolated, and trial worker {0} has not come back; redirecting the other workers",
+          alone.trial());
     }
   }
 
-  /** A machine's report has come. */
+  /** A report of a machine has arrived. */
   void reported(String host) {
     Isolation.Step before = alone.step();
     alone = alone.reported(host, timers.now());
     if (before != alone.step()) {
-      LOG.log(Level.INFO, "alone, and {0} came back: nobody else is to be had", host);
+      LOG.log(Level.INFO, "isolated, and worker {0} came back; keeping the workers here", host);
     }
   }
 
   /**
-   * To which controller a machine that has just reported is to be sent, or null if it stays. Sent
-   * ahead is one on which nothing runs, if any.
+   * The controller to which a machine that has just reported is redirected, or null if it stays.
+   * The trial machine is one without tasks if there is any.
    */
   String whereTo(Machine m, Collection<Machine> held) {
     double now = timers.now();
-    boolean first = alone.step() == Isolation.Step.TRY;
-    if (!first && (alone.step() != Isolation.Step.GO || now < next)) {
+    boolean trial = alone.step() == Isolation.Step.TRY;
+    if (!trial && (alone.step() != Isolation.Step.GO || now < next)) {
       return null;
     }
-    if (first && !m.unfinished().isEmpty() && anyIdle(held)) {
+    if (trial && !m.unfinished().isEmpty() && anyIdle(held)) {
       return null;
     }
-    if (first) {
+    if (trial) {
       alone = alone.sent(m.host, now);
-      LOG.log(Level.INFO, "alone with its workers; {0} is sent ahead", m.host);
+      LOG.log(
+          Level.INFO,
+          "isolated from the state service and all controllers; redirecting {0} as a trial",
+          m.host);
     }
     next = now + settings.workers().leaseS() * SPAN / Math.max(1, held.size());
     sent++;
--- a/src/main/java/dev/dunefront/book/Listening.java
+++ b/src/main/java/dev/dunefront/book/Listening.java
@@ -14,21 +14,25 @@
 import java.util.function.Consumer;
 
 /**
- * Asks workers what they are at, where reports alone do not tell: copies of old reports come late,
- * machines are heard that do not hear, and workers begin anew. An answer to a question asked now is
- * as good as a look.
+ * Requests the status of workers where reports alone are not conclusive: stale reports may arrive
+ * late, a machine may send reports but receive nothing, and a worker may restart. A response to a
+ * status request shows the current state of the worker.
  */
 final class Listening {
   private static final System.Logger LOG = System.getLogger(Listening.class.getName());
 
-  /** How long a question waits for its answer, in seconds. */
+  /** Timeout of a status request, in seconds. */
   private static final double QUESTION_S = 1;
 
-  /** A controller whose timers are later than this, in seconds, may have been too slow to hear. */
+  /**
+   * If this controller's timers run later than this, in seconds, it may itself have been too slow
+   * to receive a response in time, so a timeout does not count against the machine.
+   */
   private static final double SLOW_S = 0.4;
 
   /**
-   * A worker that had no answer tries elsewhere after so long, in seconds, and a bit for the way.
+   * Time after which a worker whose report got no answer tries another controller, in seconds, with
+   * some margin for network delay.
    */
   private static final double ELSEWHERE_S = 6;
 
@@ -51,25 +55,28 @@
     this.reports = reports;
   }
 
-  /** How late this controller's own timers are, in seconds. */
+  /** Records by how much this controller's timers run late, in seconds. */
   void late(double seconds) {
     lateS = seconds;
   }
 
-  /** Copies of old reports that have come so far. */
+  /** Number of stale reports received so far. */
   int copies() {
     return copies;
   }
 
-  /** How often a machine has turned out not to hear so far. */
+  /** Number of times that a machine has been found unresponsive. */
   int deafened() {
     return deafened;
   }
 
-  /** Asks a worker; what comes is null if no answer came in time. */
-  void ask(String endpoint, Consumer<Report> then) {
+  /**
+   * Requests the status of a worker. The callback receives null if no valid response arrives in
+   * time, or if the endpoint is empty.
+   */
+  void ask(String endpoint, Consumer<Report> callback) {
     if (endpoint.isEmpty()) {
-      then.accept(null);
+      callback.accept(null);
       return;
     }
     decisionLock.then(
@@ -80,7 +87,7 @@
                 "/status",
                 null,
                 QUESTION_S,
-                reply -> decisionLock.run(() -> then.accept(read(reply)))));
+                reply -> decisionLock.run(() -> callback.accept(read(reply)))));
   }
 
   private static Report read(Caller.Reply reply) {
@@ -90,14 +97,15 @@
     try {
       return Report.read(Doc.decode(reply.body()));
     } catch (BadMessage e) {
-      LOG.log(Level.INFO, "a worker answers with nonsense: {0}", e.getMessage());
+      LOG.log(Level.INFO, "cannot read the status response of a worker: {0}", e.getMessage());
       return null;
     }
   }
 
   /**
-   * A copy of an old report has come, which says nothing. But if nothing newer comes, its worker
-   * may have begun anew, in a session that is lower than what is known.
+   * A stale report has arrived, which carries no information. If no newer one arrives for longer
+   * than the report interval, the worker may have restarted in a session lower than the known one,
+   * so its status is requested.
    */
   void copied(Machine m) {
     copies++;
@@ -106,10 +114,10 @@
     }
   }
 
-  /** There is evidence that the machine does not hear. */
+  /** There is evidence that messages to the machine do not arrive. */
   void suspect(Machine m, String why) {
     if (m.responsiveness.trusted()) {
-      LOG.log(Level.DEBUG, "{0} may not hear: {1}", m.host, why);
+      LOG.log(Level.DEBUG, "{0} may be unresponsive: {1}", m.host, why);
     }
     m.responsiveness = m.responsiveness.suspected(timers.now());
     if (m.responsiveness.asks(timers.now())) {
@@ -117,36 +125,39 @@
     }
   }
 
-  /** The machine's worker has reported to another controller, which asks after it. */
-  void elsewhere(Machine m, Message.HoldAsk seen) {
-    if (m.fresh.of(seen.session(), seen.serial(), seen.token()) != Freshness.Worth.NEW) {
+  /**
+   * The worker of a held machine has reported to another controller, which asks whether this one
+   * still receives its reports.
+   */
+  void elsewhere(Machine m, Message.HoldAsk query) {
+    if (m.fresh.of(query.session(), query.serial(), query.token()) != Freshness.Worth.NEW) {
       return;
     }
-    boolean later = seen.session() > m.session && m.session > 0;
+    boolean later = query.session() > m.session && m.session > 0;
     if (later) {
-      reports.laterSession(m, seen.session());
+      reports.laterSession(m, query.session());
     }
     if (timers.now() - m.answered < ELSEWHERE_S + settings.workers().reportS()) {
-      suspect(m, "it was answered here and reports elsewhere");
+      suspect(m, "it reports to another controller although its reports were answered here");
     }
     if (later) {
-      // Only now: a machine that may not hear is given no work.
+      // This comes last, so that a machine just suspected to be unresponsive gets no work.
       books.act(m);
     }
   }
 
-  /** A report that says something new has come: time for a question, if one is due. */
+  /** A report with new information has arrived. Requests the status if that is due. */
   void reported(Machine m, Report r) {
     double now = timers.now();
-    boolean rose = m.fresh.session() > 0 && r.session() > m.fresh.session();
-    if (rose && now - m.answered < settings.workers().leaseS() * 0.9) {
-      suspect(m, "its session has ended although it was answered");
+    boolean laterSession = m.fresh.session() > 0 && r.session() > m.fresh.session();
+    if (laterSession && now - m.answered < settings.workers().leaseS() * 0.9) {
+      suspect(m, "its session ended although its reports were answered within the lease");
     } else if (m.responsiveness.asks(now)) {
       question(m);
     }
   }
 
-  /** Time has passed. */
+  /** Advances the responsiveness state; called several times a second. */
   void tick(Machine m, double now) {
     if (!m.responsiveness.trusted()) {
       m.responsiveness =
@@ -184,24 +195,27 @@
     if (!m.responsiveness.deaf()) {
       deafened++;
       m.dirty = true;
-      LOG.log(Level.INFO, "{0} is heard but does not hear", m.host);
+      LOG.log(
+          Level.INFO,
+          "{0} is unresponsive: its reports arrive, but it does not answer requests",
+          m.host);
     }
     m.responsiveness = m.responsiveness.unanswered(timers.now());
     books.act(m);
   }
 
   /**
-   * The worker has answered what was asked or ordered when {@code known} was what was known. Says
-   * whether the machine is still held here.
+   * The worker has responded to a request sent when {@code known} was the known report sequence.
+   * Returns whether the machine is still held here.
    */
   boolean answered(Machine m, Freshness known, Report r) {
     if (m.responsiveness.deaf()) {
-      LOG.log(Level.INFO, "{0} hears again", m.host);
+      LOG.log(Level.INFO, "{0} responds again", m.host);
     }
     m.dirty |= !m.responsiveness.trusted();
     m.responsiveness = m.responsiveness.answered(timers.now());
     if (r.token() > m.token) {
-      books.dropHold(m, "a higher token is out");
+      books.dropHold(m, "its worker has reported a higher token");
       return false;
     }
     if (known.begunAnew(r)) {
--- a/src/main/java/dev/dunefront/book/Machine.java
+++ b/src/main/java/dev/dunefront/book/Machine.java
@@ -19,9 +19,15 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A machine that this controller holds. */
+/**
+ * A machine that this controller holds: what its worker has reported, and the orders and offers
+ * that are outstanding. Times are seconds of the monotonic clock unless stated otherwise.
+ */
 final class Machine {
-  /** A start under way; {@code sentUnder} is the token it went out with, 0 if it has not yet. */
+  /**
+   * A start that the worker has not confirmed yet. {@code sentUnder} is the token under which the
+   * order was sent, 0 if it has not been sent.
+   */
   static final class Pending {
     final long attempt;
     long sentUnder;
@@ -31,20 +37,24 @@
     }
   }
 
+  /** An offer that is neither taken, declined nor expired. */
   record Offered(String node, String job, Size size, double until) {
     Offered until(double later) {
       return new Offered(node, job, size, later);
     }
   }
 
-  /** An attempt to be stopped or cleared, repeated until the worker's report shows it. */
+  /**
+   * A stop or clear of an attempt, which is sent repeatedly until the worker's report shows its
+   * effect.
+   */
   static final class Wish {
     private static final double NEVER = Double.NEGATIVE_INFINITY;
 
     final long attempt;
     final double graceS;
 
-    /** When it was wished for; matters for clears alone. */
+    /** When it was requested; used for clears only. */
     final double since;
 
     double sentAt = NEVER;
@@ -71,46 +81,65 @@
   double heard;
 
   /**
-   * When its session was first seen, be it by a report, an answer or another controller's word, or
-   * when the worker first showed a token of this hold, if that was later.
+   * When its session was first seen, in a report, in a response or in a message of another
+   * controller, or when the worker first reported a token of this hold, if that was later.
    */
   double begun;
 
-  /** What its worker has said so far, by which copies of old reports are told from news. */
+  /** The sequence of reports and responses received so far, which identifies stale reports. */
   Freshness fresh = Freshness.NONE;
 
-  /** Whether what is said to it arrives. */
+  /** Whether messages to it arrive. */
   Responsiveness responsiveness = Responsiveness.GOOD;
 
-  /** It has been asked what it is at, and the answer is not here yet. */
+  /** A status request is in progress. */
   boolean questioned;
 
   /** When a report of it was last answered. */
   double answered = Double.NEGATIVE_INFINITY;
 
+  /** Remaining time until the provider reclaims it, as last reported; null without a notice. */
   Double noticeS;
+
+  /** When that was reported. */
   double noticeAt;
+
+  /** When it was last checked for pending work. */
   double looked;
+
+  /** The worker has reported under the current token. */
   boolean settled;
 
-  /** The worker has reported under a token of this hold: nobody else can renew its lease. */
+  /**
+   * The worker has reported under a token of this hold, so no other controller can renew its lease.
+   */
   boolean ours;
 
+  /** The lease of its session has expired. */
   boolean lost;
+
+  /** It is unknown whether a start that was sent has been or will be carried out. */
   boolean doubt;
+
+  /** A write that raises its token is in progress. */
   boolean raising;
+
+  /** A request with orders is in progress. */
   boolean ordering;
 
-  /** Until when it is closed because it is to be returned; 0 if it is not. */
+  /** Until when it is closed because it is to be returned to the provider; 0 if it is not. */
   double retiringUntil;
 
-  /** Time of day since when nothing has run on it while it was open; 0 while that is not so. */
+  /**
+   * Wall-clock time in milliseconds since when it has been open without a task; 0 while that is not
+   * the case.
+   */
   private long idleSinceMs;
 
-  /** The controller to which its next report is sent, or null. */
+  /** The controller to which its next report is redirected, or null. */
   String sendTo;
 
-  /** Orders of an earlier incarnation may still be on their way to the worker. */
+  /** Orders of an earlier incarnation of this controller may still be in transit to the worker. */
   boolean resumed;
 
   final Map<TaskId, Report.Task> tasks = new LinkedHashMap<>();
@@ -118,29 +147,32 @@
   final Map<TaskId, Double> startedAt = new HashMap<>();
   final Map<TaskId, Wish> stops = new HashMap<>();
   final Map<TaskId, Wish> clears = new HashMap<>();
+
+  /** The highest denied attempt of each task; a start of that or an earlier one is refused. */
   final Map<TaskId, Long> fence = new HashMap<>();
+
   final Map<Long, Offered> offers = new HashMap<>();
 
-  /** Jobs that have failed on it since anything was done there. */
+  /** Jobs whose tasks have failed on it since a task last completed there. */
   Blame blame = Blame.NONE;
 
   final Set<String> images = new LinkedHashSet<>();
   final WantBook book = new WantBook();
   boolean quarantined;
 
-  /** What others know of it has changed. */
+  /** Its state has changed since the last view that was published. */
   boolean dirty = true;
 
-  /** It is about to be told to the others. */
+  /** Its view is scheduled to be published. */
   boolean telling;
 
-  /** What was last to be told of it, without tasks; null before that. */
+  /** Its most recent view, without tasks; null before the first. */
   View latest;
 
-  /** When that was. */
+  /** When that view was built. */
   double latestAt;
 
-  /** What each controller was last told of it. */
+  /** The view that was last sent to each controller. */
   final Map<String, View> toldTo = new HashMap<>();
 
   Machine(Report r, long token, long holdStamp, double now) {
@@ -154,6 +186,7 @@
     this.heard = now;
   }
 
+  /** Whether tasks may be placed on it. */
   boolean open() {
     return settled
         && !lost
@@ -165,17 +198,20 @@
         && retiringUntil == 0;
   }
 
-  /** When the lease of its session can have been renewed last, as far as is known here. */
+  /**
+   * The latest time at which the lease of its session can have been renewed, as far as this
+   * controller knows.
+   */
   double renewed() {
     return Math.max(heard, begun);
   }
 
-  /** Whether it is closed because it is to be returned. */
+  /** Whether it is closed because it is to be returned to the provider. */
   boolean retiring(double now) {
     return now < retiringUntil;
   }
 
-  /** Since when it idles, in milliseconds of the day's time; 0 while it does not. */
+  /** Wall-clock time in milliseconds since when it has been idle; 0 while it is not. */
   long idleSince(long nowMs) {
     if (!unfinished().isEmpty() || !open() && retiringUntil == 0) {
       idleSinceMs = 0;
@@ -185,7 +221,10 @@
     return idleSinceMs;
   }
 
-  /** Room left on a machine of the type, or none while any task's size is unknown. */
+  /**
+   * Free room on a machine of this type. None if the type is null or the size of any task on it is
+   * unknown.
+   */
   Size free(MachineType type, java.util.function.Function<String, Size> sizes) {
     if (type == null) {
       return Size.NONE;
@@ -204,7 +243,10 @@
     return free;
   }
 
-  /** An attempt is to be stopped, with so much time to save; a shorter time replaces a longer. */
+  /**
+   * Requests the stop of an attempt with a grace period for its checkpoint, in seconds. A shorter
+   * grace period replaces a longer one.
+   */
   void stop(TaskId id, long attempt, double graceS) {
     Wish old = stops.get(id);
     if (old == null || old.attempt != attempt || old.graceS > graceS) {
@@ -212,12 +254,12 @@
     }
   }
 
-  /** Whether starts are under way that a change of hands would disturb. */
+  /** Whether orders, starts or offers are outstanding that a change of the holder would disturb. */
   boolean busy() {
     return ordering || !pending.isEmpty() || !offers.isEmpty();
   }
 
-  /** Whether a task of the job is here or about to be. */
+  /** Whether a task of the job is on the machine or about to start. */
   boolean has(String job) {
     for (TaskId id : tasks.keySet()) {
       if (id.job().equals(job)) {
@@ -232,7 +274,7 @@
     return false;
   }
 
-  /** Tasks that take room or are about to. */
+  /** Tasks that occupy room on the machine or are about to start. */
   List<TaskId> unfinished() {
     List<TaskId> all = new ArrayList<>();
     for (Report.Task t : tasks.values()) {
@@ -248,6 +290,7 @@
     return all;
   }
 
+  /** The states of its tasks and pending starts, as sent to their claimants. */
   List<TaskState> states() {
     List<TaskState> all = new ArrayList<>();
     for (Report.Task t : tasks.values()) {
--- a/src/main/java/dev/dunefront/book/Neighbours.java
+++ b/src/main/java/dev/dunefront/book/Neighbours.java
@@ -8,15 +8,21 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** The other controllers as far as machines go: how many each holds, and whether it keeps up. */
+/** How many machines each of the other controllers holds, and whether it keeps up. */
 final class Neighbours {
-  /** A controller is behind when its timers are so late. */
+  /** A controller is overloaded if its timers run at least this late, in seconds. */
   private static final double BEHIND_S = 0.4;
 
-  /** And another keeps up whose timers are late by less than this part of that. */
+  /**
+   * Another controller keeps up if its timers run late by less than this fraction of the overloaded
+   * one's lag.
+   */
   private static final double KEEPS_UP = 0.4;
 
-  /** Another controller has far fewer machines: this many times, and so many on top. */
+  /**
+   * Another controller holds far fewer machines if this one exceeds its count by this factor plus
+   * the margin.
+   */
   private static final double FAR_MORE = 1.25;
 
   private static final int FEW = 4;
@@ -24,7 +30,10 @@
   private final Settings settings;
   private final Membership membership;
 
-  /** Machines held by those that can be heard, and by how much their timers are late. */
+  /**
+   * Number of machines held by each connected controller, and by how much its timers run late in
+   * seconds.
+   */
   private final Map<String, Integer> loads = new HashMap<>();
 
   private final Map<String, Double> lags = new HashMap<>();
@@ -38,17 +47,19 @@
     settings.peers().forEach(p -> zones.add(p.zone()));
   }
 
-  void tells(String node, int machines, double lateS) {
-    loads.put(node, machines);
+  /** Records the load that a controller has reported. */
+  void tells(String node, int machineCount, double lateS) {
+    loads.put(node, machineCount);
     lags.put(node, lateS);
   }
 
+  /** The connection to a controller has closed. */
   void gone(String node) {
     loads.remove(node);
     lags.remove(node);
   }
 
-  /** Whether no other controller can be heard. */
+  /** Whether no other controller is connected. */
   boolean none() {
     return loads.isEmpty();
   }
@@ -57,12 +68,12 @@
     return loads.containsKey(node);
   }
 
-  /** By how much this controller's own timers are late. */
+  /** Records by how much this controller's own timers run late, in seconds. */
   void late(double seconds) {
     lagS = seconds;
   }
 
-  /** The living controller within reach that holds least of those that qualify, or null. */
+  /** The live, connected controller with the fewest machines among those that qualify, or null. */
   private String leastLoaded(Predicate<Settings.Peer> qualifies) {
     String best = null;
     for (Settings.Peer p : settings.peers()) {
@@ -76,38 +87,47 @@
     return best;
   }
 
-  /** The controller of a zone to which a machine of that zone is best sent, or null. */
+  /**
+   * The controller of this zone with the fewest machines, to which a machine of the zone is sent;
+   * null if there is none.
+   */
   String of(String zone) {
-    String best = leastLoaded(p -> p.zone().equals(zone));
-    if (best != null) {
-      // Counted at once, so that a wave of machines is not all sent to one.
-      loads.merge(best, 1, Integer::sum);
+    String target = leastLoaded(p -> p.zone().equals(zone));
+    if (target != null) {
+      // The machine is counted at once, so that many arriving machines are not all sent to the
+      // same controller.
+      loads.merge(target, 1, Integer::sum);
     }
-    return best;
+    return target;
   }
 
-  /** A controller of this zone that holds far fewer machines than this one, or null. */
-  String farBelow(int held) {
-    String best = leastLoaded(p -> p.zone().equals(settings.zone()));
-    return best != null && held > loads.get(best) * FAR_MORE + FEW ? best : null;
+  /** A controller of this controller's zone that holds far fewer machines, or null. */
+  String farBelow(int ownCount) {
+    String target = leastLoaded(p -> p.zone().equals(settings.zone()));
+    return target != null && ownCount > loads.get(target) * FAR_MORE + FEW ? target : null;
   }
 
-  /** Which controller should rather hold a machine of this zone, or null. */
+  /**
+   * The controller that should hold a machine of the given zone instead of this one, or null.
+   *
+   * @param farBelow the result of {@link #farBelow}
+   */
   String better(String zone, String farBelow) {
     return zone.equals(settings.zone()) || !zones.contains(zone) ? farBelow : of(zone);
   }
 
   /**
-   * Another controller that keeps up, if this one does not; of its zone if there is one. A
-   * controller that has just returned, or computes slowly, falls behind with its machines' reports;
-   * what it cannot answer in time would lose its lease, so it passes machines on instead.
+   * Another controller that keeps up, preferably of this zone; null if there is none or this
+   * controller is not overloaded itself. A controller that has just restarted or runs on a slow
+   * host falls behind with the reports of its machines. Workers that it does not answer in time
+   * would lose their leases, so it redirects machines instead.
    */
   String idler() {
     if (lagS < BEHIND_S) {
       return null;
     }
     Predicate<Settings.Peer> keepsUp = p -> lags.getOrDefault(p.node(), lagS) < lagS * KEEPS_UP;
-    String near = leastLoaded(p -> p.zone().equals(settings.zone()) && keepsUp.test(p));
-    return near != null ? near : leastLoaded(keepsUp);
+    String sameZone = leastLoaded(p -> p.zone().equals(settings.zone()) && keepsUp.test(p));
+    return sameZone != null ? sameZone : leastLoaded(keepsUp);
   }
 }
--- a/src/main/java/dev/dunefront/book/Orders.java
+++ b/src/main/java/dev/dunefront/book/Orders.java
@@ -19,16 +19,21 @@
 import java.util.List;
 
 /**
- * Sends orders to workers. When the fate of a start is unknown the machine's token is raised, so
- * that whatever is still on its way is refused there.
+ * Sends orders to workers. If it is unknown whether a start was carried out, the machine's fencing
+ * token is raised, so that the worker refuses whatever is still in transit.
  */
 final class Orders {
   private static final System.Logger LOG = System.getLogger(Orders.class.getName());
+
+  /** Timeout of a request with orders, in seconds. */
   private static final double ORDER_S = 3.0;
+
+  /** Interval after which a stop or clear without effect is sent again, in seconds. */
   private static final double REPEAT_S = 2.0;
+
   private static final int MAX_ORDERS = 200;
 
-  /** A worker reports at least this many times as often as its rhythm says. */
+  /** A worker reports within this many report intervals at the latest. */
   private static final double LONGEST_REPORT = 1.5;
 
   private final Membership membership;
@@ -41,7 +46,7 @@
   private final Listening listening;
   private final Standstill standstill;
 
-  /** A clear that has waited so long goes out on its own, in seconds. */
+  /** Time after which a clear is sent in a request of its own, in seconds. */
   private final double clearAloneS;
 
   Orders(ControllerContext context, Caller caller, Books books, Listening listening) {
@@ -57,10 +62,10 @@
     this.clearAloneS = context.settings().workers().reportS() * LONGEST_REPORT;
   }
 
-  /** Raises the token, so that orders of unknown fate are refused by the worker from now on. */
+  /** Raises the token, so that the worker refuses earlier orders of unknown outcome from now on. */
   void raise(Machine m) {
-    // While this controller is nobody it writes nothing: a hold that names nobody is held by
-    // nobody.
+    // A controller without an incarnation writes nothing: a hold record that names no incarnation
+    // has no holder.
     String self = membership.self();
     if (m.raising || store.down() || self == null) {
       return;
@@ -73,58 +78,61 @@
     store.commit(
         Holds.condition(new Txn(), m.host, m.holdStamp).put(Holds.key(m.host), value),
         mark,
-        done -> {
+        result -> {
           m.raising = false;
           if (books.held(m.host) != m) {
             return;
           }
-          if (!done.ok()) {
-            books.dropHold(m, "another controller has taken it");
+          if (!result.ok()) {
+            books.dropHold(m, "another controller has acquired it");
             return;
           }
           m.token = token;
-          m.holdStamp = done.revision();
+          m.holdStamp = result.revision();
           m.settled = false;
           m.doubt = false;
           m.resumed = false;
           m.fence.clear();
           m.dirty = true;
-          holds.wrote(m.host, value, done.revision());
-          // Somebody may have taken the machine since, and the replica have shown that before this
-          // answer came: gone by what was written, it would be held here for ever.
+          holds.wrote(m.host, value, result.revision());
+          // Another controller may have acquired the machine since, and the replica may have
+          // shown that before this response arrived. Without this check of the record the machine
+          // would stay held here forever.
           books.holdChanged(m.host);
           if (books.held(m.host) != m) {
             return;
           }
-          LOG.log(Level.DEBUG, "token of {0} raised to {1}", m.host, token);
+          LOG.log(Level.DEBUG, "raised the token of {0} to {1}", m.host, token);
           show(m);
         });
   }
 
-  /** Lets the worker see the new token at once. */
+  /** Sends the new token to the worker at once, in a request without orders. */
   private void show(Machine m) {
     send(m, List.of());
   }
 
   /**
-   * Sends what there is to send. While the fate of an order is unknown or the token is being
-   * raised, nothing is started or cleared: but a stop names an attempt, and does nothing if that is
-   * not there. Should its start still be on the way and come after it, the attempt is shown and the
-   * stop repeated. Held back with the others it would wait for the token to be raised, which takes
-   * a write; in an outage what was cancelled would run on for as long as that lasts.
+   * Sends the pending orders. While the outcome of a start is unknown or the token is being raised,
+   * starts and clears are held back. Stops are still sent: a stop names an attempt and has no
+   * effect if the worker does not have it. If the start in transit arrives after the stop, the next
+   * report shows the attempt and the stop is repeated. If stops were held back, too, they would
+   * wait for the write that raises the token, and tasks of cancelled jobs would run on for the
+   * whole of a state service outage.
    *
-   * <p>Not so before the worker has shown a token of this hold: it may still be with its former
-   * holder, whose answers it would drop from then on until its lease is over.
+   * <p>No stop is sent before the worker has reported a token of this hold. It may still be
+   * reporting to its previous holder and would ignore that one's answers after an order under the
+   * new token, until its lease expires.
    */
   void give(Machine m) {
     if (m.ordering || m.lost || m.endpoint.isEmpty() || !standstill.current()) {
       return;
     }
     double now = timers.now();
-    boolean sure = sure(m);
+    boolean allowed = sure(m);
     List<Order> orders = new ArrayList<>();
     for (var e : m.pending.entrySet()) {
-      if (sure && e.getValue().sentUnder == 0 && orders.size() < MAX_ORDERS) {
+      if (allowed && e.getValue().sentUnder == 0 && orders.size() < MAX_ORDERS) {
         e.getValue().sentUnder = m.token;
         orders.add(new Order.Run(e.getKey(), e.getValue().attempt));
       }
@@ -135,8 +143,9 @@
         orders.add(new Order.Stop(e.getKey(), e.getValue().attempt, e.getValue().graceS));
       }
     }
-    if (sure && (!orders.isEmpty() || clearsAreLate(m, now))) {
-      // Executed first: a task may come back to the machine on which its last attempt ended.
+    if (allowed && (!orders.isEmpty() || clearsAreLate(m, now))) {
+      // The worker executes clears first, since a task may be placed again on the machine on
+      // which its previous attempt ended.
       orders.addAll(0, clears(m, now, MAX_ORDERS - orders.size()));
     }
     if (!orders.isEmpty()) {
@@ -149,19 +158,19 @@
   }
 
   /**
-   * What goes out with the answer to a report. Nothing waits for a clear, so it rides along: with
-   * an answer, or with another order. On its own it is a call to the worker, and there is one for
-   * each task that ends.
+   * The orders that are sent with the answer to a report. Clears are not urgent and there is one
+   * for each task that ends, so they are sent with an answer or with other orders instead of a
+   * request of their own.
    */
   List<Order> withAnswer(Machine m) {
     return sure(m) && !m.ordering ? clears(m, timers.now(), MAX_ORDERS) : List.of();
   }
 
-  /** Clears that have not been sent, or not lately. */
-  private static List<Order> clears(Machine m, double now, int most) {
+  /** Clears that have not been sent, or not within the resend interval. */
+  private static List<Order> clears(Machine m, double now, int limit) {
     List<Order> clears = new ArrayList<>();
     for (var e : m.clears.entrySet()) {
-      if (now - e.getValue().sentAt >= REPEAT_S && clears.size() < most) {
+      if (now - e.getValue().sentAt >= REPEAT_S && clears.size() < limit) {
         e.getValue().sentAt = now;
         clears.add(new Order.Clear(e.getKey(), e.getValue().attempt));
       }
@@ -170,8 +179,9 @@
   }
 
   /**
-   * Whether a clear has found nothing to ride along with for longer than a worker is silent, or has
-   * been sent and had no effect: an answer to a report may have been lost.
+   * Whether a clear has waited for longer than the longest report interval without an answer or
+   * order to be sent with, or has been sent without effect, since an answer to a report may have
+   * been lost.
    */
   private boolean clearsAreLate(Machine m, double now) {
     for (Machine.Wish clear : m.clears.values()) {
@@ -213,8 +223,9 @@
       try {
         Report r = Report.read(Doc.decode(reply.body()));
         if (reply.status() == 409) {
-          // Nothing was carried out: what was sent may be sent again, if it still makes sense; but
-          // not what went out before and may yet be carried out.
+          // The worker has carried out nothing of this request, so its starts may be sent again
+          // if they are still wanted. Starts of earlier requests may yet be carried out and are
+          // not sent again.
           for (TaskId id : runs) {
             Machine.Pending p = m.pending.get(id);
             if (p != null) {
@@ -226,16 +237,17 @@
           return;
         }
       } catch (BadMessage e) {
-        LOG.log(Level.INFO, "{0} answers orders with nonsense: {1}", m.host, e.getMessage());
+        LOG.log(
+            Level.INFO, "cannot read the response of {0} to orders: {1}", m.host, e.getMessage());
         m.doubt |= !runs.isEmpty();
       }
     } else {
       if (!runs.isEmpty()) {
-        // The start may be carried out now, minutes later, or never.
+        // The start may be carried out now, minutes later or never.
         m.doubt = true;
         m.dirty = true;
       }
-      listening.suspect(m, "an order had no answer");
+      listening.suspect(m, "a request with orders got no valid response");
     }
     books.act(m);
   }
--- a/src/main/java/dev/dunefront/book/Preemption.java
+++ b/src/main/java/dev/dunefront/book/Preemption.java
@@ -15,23 +15,27 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Which tasks give way to urgent ones that find no room. */
+/** Selects the tasks that are preempted for tasks of higher priority that find no room. */
 final class Preemption {
   private static final System.Logger LOG = System.getLogger(Preemption.class.getName());
 
-  /** Only tasks that have run for less than this give way: what they lose is small. */
+  /** Tasks that have run for less than this may be preempted, in seconds: they lose little work. */
   static final double YOUNG_S = 20;
 
-  /** And only such as are at most this many times as large as what they give way to. */
+  /** A preempted task has at most this many times the CPUs of the task that it makes room for. */
   private static final int MUCH_LARGER = 2;
 
   /**
-   * What yields is left alone for its first moments, in seconds: a start that is taken back before
-   * is none to its user, and fetching and saving would be all that it does.
+   * Tasks that checkpoint and may always be preempted run for at least this long first, in seconds.
+   * With earlier preemption users would see no start, and fetching and saving would be all that
+   * such a task does.
    */
   private static final double LEAVE_S = 30;
 
-  /** What a task that saves is given on top of the time that it needs, in seconds. */
+  /**
+   * Grace period for a checkpoint in addition to the time that the job specifies for it, in
+   * seconds.
+   */
   private static final double SAVE_MARGIN_S = 1;
 
   private final JobTable jobs;
@@ -46,8 +50,11 @@
     this.views = views;
   }
 
-  /** Stops the youngest tasks of lower priority, for they lose least. */
-  void stopYoung(Machine m, Message.Preempt p) {
+  /**
+   * Stops tasks of lower priority until there is room for the requested tasks: first those that may
+   * always be preempted, then the youngest, which lose the least work.
+   */
+  void stopYoung(Machine m, Message.Preempt request) {
     MachineType type = catalog.type(m.typeName);
     if (type == null || !m.open()) {
       return;
@@ -55,7 +62,7 @@
     double now = timers.now();
     Size room = m.free(type, views::sizeOf);
     List<Report.Task> victims = new ArrayList<>();
-    List<Report.Task> yielding = new ArrayList<>();
+    List<Report.Task> chosen = new ArrayList<>();
     for (Report.Task t : m.tasks.values()) {
       JobTable.Entry e = jobs.get(t.id().job());
       if (e == null || t.exited()) {
@@ -65,27 +72,27 @@
       if (m.stops.containsKey(t.id())) {
         room = room.plus(spec.size());
       } else if (yields(spec)) {
-        if (spec.priority().ordinal() > p.priority() && ranS(m, t, now) >= LEAVE_S) {
-          yielding.add(t);
+        if (spec.priority().ordinal() > request.priority() && ranS(m, t, now) >= LEAVE_S) {
+          chosen.add(t);
         }
-      } else if (spec.priority().ordinal() > p.priority()
+      } else if (spec.priority().ordinal() > request.priority()
           && !spec.service()
-          // Once is enough: what was begun anew goes on.
+          // A task is preempted only in its first attempt, so that it completes eventually.
           && t.attempt() == 1
-          && spec.size().cpu() <= MUCH_LARGER * p.size().cpu()
+          && spec.size().cpu() <= MUCH_LARGER * request.size().cpu()
           && ranS(m, t, now) < YOUNG_S) {
         victims.add(t);
       }
     }
     victims.sort(Comparator.comparingDouble(t -> -m.startedAt.get(t.id())));
-    yielding.addAll(victims);
-    for (Report.Task t : yielding) {
-      if (p.size().timesIn(room) >= p.count()) {
+    chosen.addAll(victims);
+    for (Report.Task t : chosen) {
+      if (request.size().timesIn(room) >= request.count()) {
         break;
       }
       JobSpec spec = jobs.get(t.id().job()).record().spec();
       room = room.plus(spec.size());
-      LOG.log(Level.DEBUG, "{0} on {1} gives way to a higher priority", t.id(), m.host);
+      LOG.log(Level.DEBUG, "preempting {0} on {1} for a task of higher priority", t.id(), m.host);
       m.stop(t.id(), t.attempt(), yields(spec) ? spec.saveS() + SAVE_MARGIN_S : 0);
     }
   }
@@ -95,8 +102,9 @@
   }
 
   /**
-   * Whether tasks of the job give way to any other priority, however long they have run and however
-   * often: they are of the lowest, which is to have what lies idle, and keep what they have done.
+   * Whether tasks of the job may be preempted by any higher priority at any runtime and any number
+   * of times: they have the lowest priority, which is meant for idle room, and keep their progress
+   * through checkpoints.
    */
   static boolean yields(JobSpec spec) {
     return spec.priority() == Priority.BEST_EFFORT && spec.checkpointS() > 0 && !spec.service();
--- a/src/main/java/dev/dunefront/book/Reception.java
+++ b/src/main/java/dev/dunefront/book/Reception.java
@@ -21,19 +21,27 @@
 import java.util.Set;
 
 /**
- * Reports of machines that this controller does not hold yet: holds them on, takes them, or sends
- * them to whoever holds them. No two controllers ever act for one machine under one token.
+ * Processes reports of machines that this controller does not hold yet: it resumes an earlier hold,
+ * acquires the machine, or redirects the worker to the current holder. No two controllers ever send
+ * orders to one machine under the same token.
  */
 final class Reception {
-  /** The part of a lease for which a silent holder is waited for. */
+  /** The fraction of a lease duration for which an unreachable holder is waited for. */
   private static final double PATIENCE = 0.25;
 
-  /** A machine that was sent to another controller and comes back this soon is taken. */
+  /**
+   * A machine that comes back within this time after a redirect is acquired instead of redirected
+   * again, in seconds.
+   */
   private static final double SENT_S = 20;
 
-  /** A machine that was let go of comes within this time, or is asked after like any other. */
+  /**
+   * A machine that its holder has released is acquired without a query if it reports within this
+   * time, in seconds.
+   */
   private static final double RELEASED_S = 60;
 
+  /** Timeout of a query to the holder of a machine, in seconds. */
   private static final double ASK_S = 0.5;
 
   private final Settings settings;
@@ -50,27 +58,31 @@
 
   private record Waiter(Report report, Answer answer) {}
 
-  /** Reports that wait for a hold to be taken. */
+  /** Reports that wait for the write of a hold record, by host. */
   private final Map<String, List<Waiter>> taking = new HashMap<>();
 
-  /** Reports that wait for another controller, or the machine itself, to say who hears it. */
+  /**
+   * Reports that wait for the holder to state whether it receives the machine's reports, or for the
+   * status of the worker, by host.
+   */
   private final Map<String, List<Waiter>> asking = new HashMap<>();
 
-  /** Machines that are asked what they are at, before they are taken from their holder. */
+  /** Machines whose status is requested before they are taken over from their holder. */
   private final Set<String> verifying = new HashSet<>();
 
-  /** Since when a holder has left questions unanswered. */
+  /** Holders that have not replied to queries, by node. */
   private final Map<String, Silence> unanswered = new HashMap<>();
 
+  /** An incarnation that does not reply, null if it has no lease, and since when. */
   private record Silence(String incarnation, double since) {}
 
-  /** Since when other controllers have had no lease. */
+  /** Since when other controllers have had no membership lease, by node. */
   private final Map<String, Double> deadSince = new HashMap<>();
 
-  /** When a machine was last sent to another controller. */
+  /** When a machine was last redirected to another controller, by host. */
   private final Map<String, Double> sentOn = new HashMap<>();
 
-  /** Machines that were let go of, by whom and when. */
+  /** Machines that other controllers have released, by host. */
   private final Map<String, Release> released = new HashMap<>();
 
   private record Release(String node, double at) {}
@@ -92,24 +104,30 @@
     this.begun = timers.now();
   }
 
-  /** This controller has become another incarnation. */
+  /** This controller continues under a new incarnation. */
   void reborn() {
     begun = timers.now();
-    taking.values().forEach(ws -> ws.forEach(w -> w.answer.send(503, null, 1)));
+    taking
+        .values()
+        .forEach(
+            pendingReports -> pendingReports.forEach(pending -> pending.answer.send(503, null, 1)));
     taking.clear();
   }
 
-  /** This controller has stood still: nobody else has been silent for as long as its clock says. */
+  /**
+   * This process was suspended, so the silence of other controllers that its clock shows is not
+   * theirs.
+   */
   void woken() {
     unanswered.clear();
   }
 
-  /** Another controller has let go of a machine. */
+  /** Another controller has released a machine. */
   void released(String host, String from) {
     released.put(host, new Release(from, timers.now()));
   }
 
-  /** Forgets what is over: of machines that come and go only what still matters is kept. */
+  /** Removes expired entries, so that memory stays bounded while machines come and go. */
   void forget(double now) {
     for (Settings.Peer p : settings.peers()) {
       if (membership.liveNodes().contains(p.node())) {
@@ -122,18 +140,19 @@
     released.values().removeIf(r -> now - r.at > RELEASED_S);
   }
 
-  /** A controller has said whether it hears a machine. */
-  void answered(String from, Message.HoldSay say) {
+  /** A controller has stated whether it receives the reports of a machine. */
+  void answered(String from, Message.HoldSay reply) {
     unanswered.remove(from);
-    settleAsk(say.host(), say);
+    settleAsk(reply.host(), reply);
   }
 
-  /** Sends a machine to another controller. */
+  /** Redirects a machine to another controller. */
   void send(String host, String node, Answer answer) {
     sentOn.put(host, timers.now());
     redirect(answer, node);
   }
 
+  /** Processes a report of a machine that is not held here. */
   void report(Report r, Answer answer) {
     if (taking.containsKey(r.host())) {
       taking.get(r.host()).add(new Waiter(r, answer));
@@ -158,7 +177,7 @@
     }
   }
 
-  /** The machine has another holder; yet its worker has come here. */
+  /** Another controller holds the machine, but the worker reports here. */
   private void reportOfOthers(Holds.Hold hold, Report r, Answer answer) {
     String holder = Membership.nodeOf(hold.holder());
     boolean live = membership.liveNodes().contains(holder);
@@ -166,7 +185,7 @@
     if (release != null && holder.equals(release.node)) {
       take(r, answer);
     } else if (live && hold.natural() && !sentLately(r.host())) {
-      // It has yet to learn who its natural holder is.
+      // The worker does not know its default holder yet.
       send(r.host(), holder, answer);
     } else if (live) {
       ask(holder, r, answer);
@@ -178,19 +197,20 @@
   }
 
   private boolean sentLately(String host) {
-    Double sent = sentOn.get(host);
-    return sent != null && timers.now() - sent < SENT_S;
+    Double redirectTime = sentOn.get(host);
+    return redirectTime != null && timers.now() - redirectTime < SENT_S;
   }
 
   /**
-   * Takes a machine, or sends it to a controller of its own zone, which goes on hearing it when the
-   * zone is cut off. Once sent, a machine that comes back is taken: it cannot get there.
+   * Acquires a machine, or redirects it to a controller of its own zone, which still reaches it
+   * when the zone is partitioned. A redirected machine that comes back is acquired, since it cannot
+   * reach the other controller.
    */
   private void takeNear(Report r, Answer answer) {
     if (!r.zone().equals(settings.zone())) {
-      String near = neighbours.of(r.zone());
-      if (near != null && !sentLately(r.host())) {
-        send(r.host(), near, answer);
+      String target = neighbours.of(r.zone());
+      if (target != null && !sentLately(r.host())) {
+        send(r.host(), target, answer);
         return;
       }
     }
@@ -199,69 +219,74 @@
   }
 
   /**
-   * A machine that is this controller's by nature, or that an earlier incarnation held and nobody
-   * has taken since: it is held without a write. So the arrival of many machines, and a return of
-   * many controllers at once costs no write for each machine, and no lease runs out behind the
-   * budget. What the earlier incarnation may have sent is in doubt only for tasks that the worker
-   * does not show.
+   * Holds a machine without a write, because this controller is its default holder, or because an
+   * earlier incarnation held it and no other controller has acquired it since. The arrival of many
+   * machines or the restart of many controllers therefore costs no write for each machine, and no
+   * worker lease expires while writes wait for the rate budget. Orders that the earlier incarnation
+   * may have sent are in doubt only for tasks that the worker does not report.
    */
   private void resume(Holds.Hold hold, Report r, Answer answer) {
     Machine m = new Machine(r, hold.token(), hold.stamp(), timers.now());
     m.resumed = true;
     books.hold(m);
     if (timers.now() - begun > settings.workers().leaseS()) {
-      // In the first moments of a life all machines report here. Later an unknown one is new, or
-      // this is a copy of a report of one that is gone: it is given no work before it has answered.
+      // During the first lease duration of an incarnation all machines report here. An unknown
+      // machine that reports later is new, or the report is a late duplicate from a machine that
+      // no longer exists, so it gets no work until it has responded to a status request.
       listening.suspect(m, "it is not known here");
     }
     books.reportOfHeld(m, r, answer);
   }
 
   /**
-   * Whether a holder that does not answer is still waited for. A controller that crashes is back
-   * within seconds and holds on to its machines; were they taken at once, a few survivors would
-   * write a hold for each and sit on them all.
+   * Whether an unreachable holder is still waited for. A controller that crashes is usually back
+   * within seconds and keeps its machines. If they were taken over at once, a few remaining
+   * controllers would have to write a hold record for each and would end up with all of them.
    */
   private boolean patient(String holder) {
     String incarnation = membership.incarnation(holder);
-    Silence s = unanswered.get(holder);
-    if (s == null || incarnation != null && !incarnation.equals(s.incarnation)) {
-      // One whose lease has been over for a while is not about to be back.
-      double dead =
+    Silence silence = unanswered.get(holder);
+    if (silence == null || incarnation != null && !incarnation.equals(silence.incarnation)) {
+      // A holder whose membership lease expired a while ago is not expected back soon.
+      double since =
           incarnation == null ? deadSince.getOrDefault(holder, timers.now()) : timers.now();
-      s = new Silence(incarnation, dead);
-      unanswered.put(holder, s);
+      silence = new Silence(incarnation, since);
+      unanswered.put(holder, silence);
     }
-    return timers.now() - s.since < settings.workers().leaseS() * PATIENCE;
+    return timers.now() - silence.since < settings.workers().leaseS() * PATIENCE;
   }
 
   private void await(Report r, Answer answer) {
     asking.put(r.host(), new ArrayList<>(List.of(new Waiter(r, answer))));
   }
 
-  /** Asks a live holder whether it hears the machine: its worker may have come for lack of that. */
+  /**
+   * Asks a live holder whether it still receives the machine's reports. The worker may have come
+   * here because it got no answer there.
+   */
   private void ask(String holder, Report r, Answer answer) {
     await(r, answer);
     peers.send(holder, new Message.HoldAsk(r.host(), r.session(), r.serial(), r.token()));
     timers.after(ASK_S, () -> decisionLock.run(() -> settleAsk(r.host(), null)));
   }
 
-  /** Another controller asks whether this one hears a machine. */
-  void asked(String from, Message.HoldAsk ask) {
-    String host = ask.host();
+  /** Another controller asks whether this one receives the reports of a machine. */
+  void asked(String from, Message.HoldAsk query) {
+    String host = query.host();
     Machine m = books.held(host);
     if (m != null) {
-      listening.elsewhere(m, ask);
+      listening.elsewhere(m, query);
       m = books.held(host);
     }
-    // A machine that this controller held before it crashed is waited for from its start on.
+    // For a machine that this controller held before it crashed, the time without a report counts
+    // from the start of this incarnation.
     Holds.Hold record = holds.get(host);
     boolean ours = m != null || record == null || holds.heldBy(settings.node(), record);
     double heard = m != null ? m.heard : begun;
     peers.send(from, new Message.HoldSay(host, ours, timers.now() - heard));
   }
 
-  private void settleAsk(String host, Message.HoldSay say) {
+  private void settleAsk(String host, Message.HoldSay reply) {
     if (verifying.contains(host)) {
       return;
     }
@@ -271,48 +296,49 @@
     }
     Holds.Hold hold = holds.of(host, waiting.get(0).report.zone());
     boolean heard =
-        say != null && say.held() && say.heardAgoS() < settings.workers().reportS() * 1.5;
-    if (say == null && hold != null && !hold.dead() && books.held(host) == null) {
+        reply != null && reply.held() && reply.heardAgoS() < settings.workers().reportS() * 1.5;
+    if (reply == null && hold != null && !hold.dead() && books.held(host) == null) {
       if (patient(Membership.nodeOf(hold.holder()))) {
         asking.remove(host);
-        waiting.forEach(w -> w.answer.send(503, null, 1));
+        waiting.forEach(pending -> pending.answer.send(503, null, 1));
         return;
       }
     }
     if (heard && hold != null && !hold.holder().isEmpty()) {
       asking.remove(host);
-      waiting.forEach(w -> redirect(w.answer, Membership.nodeOf(hold.holder())));
+      waiting.forEach(pending -> redirect(pending.answer, Membership.nodeOf(hold.holder())));
     } else if (books.held(host) != null || taking.containsKey(host)) {
       asking.remove(host);
-      waiting.forEach(w -> books.report(w.report, w.answer));
+      waiting.forEach(pending -> books.report(pending.report, pending.answer));
     } else {
       verify(host, waiting.get(waiting.size() - 1).report.endpoint());
     }
   }
 
   /**
-   * Asks a machine itself before it is taken from its holder: what came may be a late copy of a
-   * report, or the machine may hear nobody and go round the controllers, and each would write its
-   * hold anew. Nor does it help that the holder's lease is over: behind a cut, or refused by the
-   * state service alone, it may go on hearing the machine.
+   * Requests the worker's status before the machine is taken over from its holder. The report may
+   * be a late duplicate; or the machine may receive no answers and try all controllers in turn,
+   * each of which would write its hold record anew. This applies even if the holder's membership
+   * lease has expired: behind a partition, or if only its requests to the state service fail, it
+   * may still receive the machine's reports.
    */
   private void verify(String host, String endpoint) {
     verifying.add(host);
     listening.ask(
         endpoint,
-        now -> {
+        status -> {
           verifying.remove(host);
           List<Waiter> waiting = asking.remove(host);
           if (waiting == null) {
             return;
           }
-          for (Waiter w : waiting) {
+          for (Waiter pending : waiting) {
             if (books.held(host) != null || taking.containsKey(host)) {
-              books.report(w.report, w.answer);
-            } else if (now == null || !now.host().equals(host)) {
-              w.answer.send(503, null, 1);
+              books.report(pending.report, pending.answer);
+            } else if (status == null || !status.host().equals(host)) {
+              pending.answer.send(503, null, 1);
             } else {
-              take(now, w.answer);
+              take(status, pending.answer);
             }
           }
         });
@@ -322,12 +348,14 @@
     answer.send(421, Doc.of().put("overseer", node).encode());
   }
 
-  /** Takes the hold of a machine, raising its token above all that its worker has seen. */
+  /**
+   * Acquires a machine with a hold record whose token is higher than any that its worker has seen.
+   */
   private void take(Report r, Answer answer) {
     Holds.Hold hold = holds.of(r.host(), r.zone());
     String self = membership.self();
     if (store.down() || hold == null || self == null) {
-      // An answer or a wait may have come between, and with it the end of this incarnation.
+      // The incarnation may have ended while a response was awaited.
       answer.send(503, null, 1);
       return;
     }
@@ -338,23 +366,25 @@
     store.tryTxn(
         Holds.condition(new Txn(), r.host(), hold.stamp()).put(Holds.key(r.host()), value),
         Store.Urgency.LEASE,
-        done -> {
+        result -> {
           List<Waiter> waiting = taking.remove(r.host());
           if (waiting == null || !self.equals(membership.self())) {
             return;
           }
-          if (!done.ok()) {
-            // An unclear write may show later; the worker's next report finds it in the replica.
-            waiting.forEach(w -> w.answer.send(503, null, 1));
+          if (!result.ok()) {
+            // A write of unknown outcome may have succeeded; then the replica shows it by the
+            // worker's next report.
+            waiting.forEach(pending -> pending.answer.send(503, null, 1));
             return;
           }
-          holds.wrote(r.host(), value, done.revision());
+          holds.wrote(r.host(), value, result.revision());
           released.remove(r.host());
-          Machine m = new Machine(r, token, done.revision(), timers.now());
+          Machine m = new Machine(r, token, result.revision(), timers.now());
           books.hold(m);
-          // Taken by yet another since, as the replica may have shown before this answer came?
+          // Another controller may have acquired the machine since, as the replica may have shown
+          // before this response arrived.
           books.holdChanged(r.host());
-          waiting.forEach(w -> books.report(w.report, w.answer));
+          waiting.forEach(pending -> books.report(pending.report, pending.answer));
         });
   }
 }
--- a/src/main/java/dev/dunefront/book/Reports.java
+++ b/src/main/java/dev/dunefront/book/Reports.java
@@ -11,7 +11,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What a worker's report changes in what is known of its machine. */
+/** Applies worker reports to the state of held machines. */
 final class Reports {
   private static final System.Logger LOG = System.getLogger(Reports.class.getName());
   private static final int MAX_IMAGES = 12;
@@ -24,31 +24,31 @@
     this.timers = context.timers();
   }
 
-  /** Takes over a report that came by itself and is no copy of an old one. */
+  /** Applies a report that the worker sent on its own initiative and that is not stale. */
   void reported(Machine m, Report r) {
     take(m, r, m.fresh.reported(r));
   }
 
-  /** Takes over an answer to orders or to a question. */
+  /** Applies a response to orders or to a status request. */
   void answered(Machine m, Report r) {
     take(m, r, m.fresh.answered(r));
   }
 
   private void take(Machine m, Report r, Freshness next) {
-    boolean news = r.newerThan(m.fresh.session(), m.fresh.serial());
+    boolean newer = r.newerThan(m.fresh.session(), m.fresh.serial());
     m.fresh = next;
-    if (news) {
+    if (newer) {
       apply(m, r);
     }
   }
 
   /**
-   * The worker has begun anew, perhaps in a lower session: what it had is gone, but for its former
-   * sessions' numbers, which it may use again. So its token has to be raised before anything is
-   * sent to it or called gone.
+   * The worker has restarted, perhaps in a lower session. Its previous tasks are gone, and it may
+   * reuse the numbers of earlier sessions. The token is therefore raised before anything is sent to
+   * it or declared ended.
    */
   void begunAnew(Machine m, Report r) {
-    LOG.log(Level.INFO, "{0} has begun anew, in session {1}", m.host, r.session());
+    LOG.log(Level.INFO, "worker of {0} has restarted, in session {1}", m.host, r.session());
     m.fresh = Freshness.NONE.answered(r);
     m.session = 0;
     m.settled = false;
@@ -57,7 +57,10 @@
     m.settled = false;
   }
 
-  /** Another controller has seen the worker in a later session: what ran in the earlier is gone. */
+  /**
+   * Another controller has seen the worker in a later session. The tasks of the earlier session are
+   * gone.
+   */
   void laterSession(Machine m, long session) {
     m.fresh = new Freshness(session, -1, -1, m.fresh.token());
     m.session = session;
@@ -67,11 +70,12 @@
   }
 
   private void endSession(Machine m) {
-    // The new session's lease has only begun. Were it counted from the last report of the earlier
-    // one, a session learned of by an answer or from another controller would be called over while
-    // it lives, and what had just been started in it would be placed a second time.
+    // The lease of the new session has just begun. If it were counted from the last report of the
+    // earlier session, a session learned of from a response or from another controller would
+    // count as expired while it is alive, and tasks just started in it would be placed a second
+    // time.
     m.begun = timers.now();
-    // The earlier session's tasks are gone, and orders for it are refused.
+    // The tasks of the earlier session are gone, and the worker refuses orders for it.
     m.pending.clear();
     m.stops.clear();
     m.clears.clear();
@@ -82,7 +86,12 @@
   private void apply(Machine m, Report r) {
     if (r.session() > m.session) {
       if (m.session > 0) {
-        LOG.log(Level.DEBUG, "{0} is in session {1}, after {2}", m.host, r.session(), m.session);
+        LOG.log(
+            Level.DEBUG,
+            "{0} is in session {1}; the previous one was {2}",
+            m.host,
+            r.session(),
+            m.session);
       }
       endSession(m);
     }
@@ -97,7 +106,7 @@
       m.endpoint = r.endpoint();
     }
     if (r.noticeS() != null && m.noticeS == null) {
-      LOG.log(Level.INFO, "{0} will be taken back in {1} s", m.host, r.noticeS());
+      LOG.log(Level.INFO, "the provider will reclaim {0} in {1} s", m.host, r.noticeS());
     }
     m.noticeS = r.noticeS();
     m.noticeAt = timers.now();
@@ -105,8 +114,8 @@
     m.tasks.clear();
     for (Report.Task t : r.tasks()) {
       m.tasks.put(t.id(), t);
-      Report.Task was = before.get(t.id());
-      if (t.exited() && t.why().equals("done") && (was == null || !was.exited())) {
+      Report.Task previous = before.get(t.id());
+      if (t.exited() && t.why().equals("done") && (previous == null || !previous.exited())) {
         m.blame = Blame.NONE;
       }
       if (!t.state().equals("fetching") && !t.why().equals("no_room")) {
@@ -123,12 +132,12 @@
     if (r.token() == m.token) {
       m.settled = true;
       if (!m.ours) {
-        // Until the worker saw this token another controller, which does not know that it has lost
-        // the machine, may have renewed its lease under an older one.
+        // Until the worker received this token, a previous holder that does not know that it has
+        // lost the machine may have renewed the lease under an older one.
         m.ours = true;
         m.begun = timers.now();
       }
-      // Orders sent under an earlier token can no longer be carried out.
+      // Orders sent under an earlier token are refused by the worker from now on.
       m.pending.values().removeIf(p -> p.sentUnder != 0 && p.sentUnder < m.token);
     }
     m.pending
@@ -155,8 +164,8 @@
     return true;
   }
 
-  private static void forget(Map<TaskId, Machine.Wish> wishes, Machine m, boolean untilExited) {
-    wishes
+  private static void forget(Map<TaskId, Machine.Wish> orders, Machine m, boolean untilExited) {
+    orders
         .entrySet()
         .removeIf(
             e -> {
--- a/src/main/java/dev/dunefront/book/Roster.java
+++ b/src/main/java/dev/dunefront/book/Roster.java
@@ -8,13 +8,13 @@
 import java.util.Set;
 
 /**
- * The controllers among which machines without a record are shared, in an order that says nothing.
- * Every change begins a new epoch, in which machines are held under higher tokens than any that was
- * given out in the epoch before; so a worker obeys its holder by the newest roster that it has
- * heard of, and no other.
+ * The controllers among which machines without a hold record are shared, in no particular order.
+ * Each change begins a new epoch, whose tokens are higher than any token of the epoch before. A
+ * worker therefore obeys only the default holder of the newest roster that it has received a token
+ * from.
  *
- * @param epoch counts the changes, from 1
- * @param stamp of the record; what is recorded of a machine that has no record of its own is
+ * @param epoch number of the roster, counted from 1
+ * @param stamp revision of the roster record. Writes about a machine without a hold record are
  *     conditional on it
  */
 public record Roster(List<Member> members, long epoch, long stamp) {
@@ -23,24 +23,27 @@
 
   static final Roster NONE = new Roster(List.of(), 0, 0);
 
-  /** Tokens of an epoch; a machine's token is raised far fewer times. */
+  /**
+   * Each epoch has two to this power tokens, far more than the number of times a machine's token is
+   * raised in it.
+   */
   private static final int EPOCH_BITS = 32;
 
-  /** The token under which machines without a record are held. */
+  /** The token under which machines without a record are held in this epoch. */
   long token() {
     return (epoch - 1 << EPOCH_BITS) + 1;
   }
 
-  static Roster read(Doc value, long stamp) throws BadMessage {
+  static Roster read(Doc value, long revision) throws BadMessage {
     List<Member> members = new ArrayList<>();
     List<String> zones = value.texts("zones");
     for (String node : value.texts("nodes")) {
       if (members.size() == zones.size()) {
-        throw new BadMessage("a controller without a zone");
+        throw new BadMessage("roster has a controller without a zone");
       }
       members.add(new Member(node, zones.get(members.size())));
     }
-    return new Roster(members, value.countOr("epoch", 1), stamp);
+    return new Roster(members, value.countOr("epoch", 1), revision);
   }
 
   Doc write() {
@@ -50,35 +53,40 @@
         .put("epoch", epoch);
   }
 
-  /** The controller that holds a machine without a record, or null while there is none. */
+  /**
+   * The node that holds a machine without a record, chosen by rendezvous hashing; null if the
+   * roster is empty.
+   */
   String holder(String host, String zone) {
     Member best = null;
-    boolean bestNear = false;
-    int bestDraw = 0;
+    boolean bestInZone = false;
+    int bestHash = 0;
     for (Member m : members) {
-      // One of the machine's own zone, if there is any: it hears it when the zone is cut off.
-      boolean near = m.zone.equals(zone);
-      int draw = (host + "@" + m.node).hashCode() * 0x9E3779B9;
-      draw ^= draw >>> 15;
-      draw *= 0x85EBCA6B;
-      if (best == null || near && !bestNear || near == bestNear && draw > bestDraw) {
+      // Controllers of the machine's own zone are preferred: they still reach it when the zone is
+      // partitioned.
+      boolean inZone = m.zone.equals(zone);
+      int hash = (host + "@" + m.node).hashCode() * 0x9E3779B9;
+      hash ^= hash >>> 15;
+      hash *= 0x85EBCA6B;
+      if (best == null || inZone && !bestInZone || inZone == bestInZone && hash > bestHash) {
         best = m;
-        bestNear = near;
-        bestDraw = draw;
+        bestInZone = inZone;
+        bestHash = hash;
       }
     }
     return best == null ? null : best.node;
   }
 
   /**
-   * The roster after one controller has joined or left, or null if all is as it should be. Whoever
-   * lives belongs to it, and whoever is neither named by the settings nor has lived for a while
-   * does not. Controllers are restarted with new settings one after the other; by these two rules
-   * those with the old and those with the new ones never undo what the others have done.
+   * The next roster, with one member added, removed or moved to another zone; null if no change is
+   * needed. A controller that has been live for a while is added. A member that is neither named by
+   * the settings nor recently live is removed. Controllers are restarted with new settings one at a
+   * time; by these two rules those with old and those with new settings never revert each other's
+   * changes.
    *
-   * @param settled controllers that have lived for a while, with their zones
-   * @param present controllers that live, or have lived a while ago
-   * @param named the controllers that this one's settings name
+   * @param settled nodes that have been live for a while, with their zones
+   * @param present nodes that are live or were so recently
+   * @param named nodes named in the settings of this controller
    */
   public Roster next(Map<String, String> settled, Set<String> present, Set<String> named) {
     if (members.isEmpty()) {
@@ -103,11 +111,11 @@
     return null;
   }
 
-  private Roster with(Member gone, Member come) {
+  private Roster with(Member removed, Member added) {
     List<Member> next = new ArrayList<>(members);
-    next.remove(gone);
-    if (come != null) {
-      next.add(come);
+    next.remove(removed);
+    if (added != null) {
+      next.add(added);
     }
     return new Roster(List.copyOf(next), epoch + 1, 0);
   }
--- a/src/main/java/dev/dunefront/book/Starts.java
+++ b/src/main/java/dev/dunefront/book/Starts.java
@@ -16,7 +16,9 @@
 import dev.dunefront.wire.TaskId;
 import java.lang.System.Logger.Level;
 
-/** Starts of recorded attempts, and what is said of attempts that a machine does not show. */
+/**
+ * Processes requests to start recorded attempts, and denies attempts that a machine does not have.
+ */
 final class Starts {
   private static final System.Logger LOG = System.getLogger(Starts.class.getName());
 
@@ -42,7 +44,7 @@
     this.safety = context.safety();
   }
 
-  /** A claimant takes an offer: its placement is recorded. */
+  /** A claimant has accepted an offer and recorded the placement. */
   void start(String from, Message.Start s) {
     Machine m = books.held(s.host());
     if (m == null) {
@@ -54,7 +56,7 @@
       safety.refused(refusal);
       LOG.log(
           Level.DEBUG,
-          "start of {0}, attempt {1} of session {2} under token {3}, refused on {4}: {5}",
+          "refused start of {0}, attempt {1} of session {2} under token {3}, on {4}: {5}",
           id,
           s.attempt(),
           s.session(),
@@ -71,7 +73,7 @@
     books.act(m);
   }
 
-  /** Why a start may not be carried out, or null if it may. */
+  /** The reason why a start is refused, or null if it may be carried out. */
   private StartRefusal refusal(String from, Machine m, TaskId id, Message.Start s) {
     if (m.doubt || m.raising) {
       return StartRefusal.IN_DOUBT;
@@ -80,7 +82,8 @@
       return StartRefusal.OTHER_TOKEN;
     }
     if (m.session != s.session()) {
-      // Recorded for one session of the worker: a view of a later one proves it gone.
+      // The placement was recorded for one session of the worker. A view of a later session is
+      // proof that the attempt has ended.
       return StartRefusal.OTHER_SESSION;
     }
     if (outdated(s.job(), s.term())) {
@@ -109,9 +112,9 @@
   }
 
   /**
-   * Whether another controller is known to have claimed the job since. A claimant that stood still
-   * learns so only after it has sent what it had decided before; its successor may have been told
-   * that an attempt is gone, by a holder that has since forgotten that it said so.
+   * Whether another controller has claimed the job in a later term. A claimant whose process was
+   * suspended sends its earlier decisions before it finds that out. Its successor may have been
+   * told that the attempt does not exist, by a holder that no longer has the record of that denial.
    */
   boolean outdated(String job, long term) {
     JobTable.Entry e = jobs.get(job);
@@ -124,9 +127,10 @@
   }
 
   /**
-   * Whether there is room for a start whose offer has run out. When many placements wait for the
-   * state's budget, offers run out before they are recorded; were such starts refused, each would
-   * cost the budget a lost attempt and a new one, and nothing would start at all.
+   * Whether there is room for a start whose offer has expired. While many placements wait for the
+   * state service's rate budget, offers expire before the placements are recorded. If such starts
+   * were refused, each would cost writes for the ended attempt and for a new one, and nothing would
+   * start at all.
    */
   private boolean stillFits(Machine m, Message.Start s) {
     MachineType type = catalog.type(m.typeName);
@@ -134,7 +138,10 @@
     return type != null && size != null && m.open() && size.fits(m.free(type, views::sizeOf));
   }
 
-  /** A claimant asks whether an attempt that it does not see is surely gone. */
+  /**
+   * A claimant asks whether an attempt that the view does not show has certainly ended or will
+   * never start.
+   */
   void probed(String from, Message.Probe p) {
     Machine m = books.held(p.host());
     if (m == null
@@ -154,11 +161,13 @@
       return;
     }
     if (m.resumed) {
-      // Its start may have been sent before the crash: only a higher token shuts it out.
+      // An earlier incarnation may have sent its start; only a higher token makes the worker
+      // refuse it.
       orders.raise(m);
       return;
     }
-    // From now on this attempt is refused, should its start still be on the way here.
+    // From now on this attempt is refused, in case its start request is still in transit to this
+    // controller.
     m.fence.merge(id, p.attempt(), Math::max);
     peers.send(
         from, new Message.Absent(m.host, m.token, m.holdStamp, p.job(), p.number(), p.attempt()));
--- a/src/main/java/dev/dunefront/book/Upkeep.java
+++ b/src/main/java/dev/dunefront/book/Upkeep.java
@@ -10,13 +10,18 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What is stopped on machines without a claimant's asking. */
+/**
+ * Stops tasks without a request from their claimant: on machines that are about to be reclaimed,
+ * and of jobs that have ended.
+ */
 final class Upkeep {
-  /** So long before a machine is taken back, what still runs on it is stopped. */
+  /** Remaining tasks are stopped this long before their machine is reclaimed, in seconds. */
   private static final double LAST_S = 1.5;
 
   private final Settings settings;
   private final JobTable jobs;
+
+  /** When the record of an unknown job was last read, by job. */
   private final Map<String, Double> lookedUp = new HashMap<>();
 
   Upkeep(ControllerContext context) {
@@ -25,10 +30,13 @@
   }
 
   /**
-   * A machine will be taken back. Tasks that can save are told to, while there is time. Of the
-   * others those that will surely not be done are stopped at once, and the rest just before the
-   * end: what has exited is placed again at once, what vanishes with its machine only when its
-   * lease is over.
+   * Stops tasks on a machine that the provider is about to reclaim. Tasks that can save a
+   * checkpoint are stopped while there is time for it. Of the others, those that cannot complete in
+   * time are stopped at once and the rest just before the end: a task that has exited is placed
+   * again immediately, while one that disappears with its machine is placed again only after the
+   * lease has expired.
+   *
+   * @param leftS time until the machine is reclaimed, in seconds
    */
   void clearOut(Machine m, double leftS, double now) {
     for (Report.Task t : m.tasks.values()) {
@@ -53,10 +61,10 @@
   }
 
   /**
-   * Looks through all machines for tasks of jobs that are over, whenever that was learned: a
-   * machine may have been taken, or have begun a task, long after its job was cancelled, and the
-   * claimant may be out of reach. Where no live record names a job it is over, or news of it has
-   * yet to come.
+   * Stops tasks of jobs that have ended, whenever this controller learned of the end: a machine may
+   * have been acquired, or may have started a task, long after its job was cancelled, and the
+   * claimant may be unreachable. A job without a live record has ended, or its record has not
+   * reached the replica yet, so its record is read.
    */
   void stopWhatIsOver(Collection<Machine> held, double now) {
     lookedUp.values().removeIf(at -> now - at > 10);
@@ -76,7 +84,7 @@
     }
   }
 
-  /** A job is over: what of it runs is stopped, what is about to start is refused. */
+  /** A job has ended: stops its running tasks on the machine and refuses its pending starts. */
   void stopJob(Machine m, String job) {
     for (Report.Task t : m.tasks.values()) {
       if (t.id().job().equals(job) && !t.exited()) {
--- a/src/main/java/dev/dunefront/book/Views.java
+++ b/src/main/java/dev/dunefront/book/Views.java
@@ -19,23 +19,25 @@
 import java.util.Map;
 
 /**
- * Tells the controllers of held machines, each as much as it wants to hear: what proofs rest on and
- * what has become of their tasks at once, room to those that look for it, everything to who rents.
+ * Publishes the state of held machines to the controllers, each at the level of detail that it
+ * subscribes to: hold, session, lease and the states of its own tasks always; free room to
+ * controllers that look for room; everything to the one that rents machines.
  */
 final class Views {
-  /** Changes of machines gather this long before the other controllers hear of them. */
+  /** Changes are batched for this long before they are sent, in seconds. */
   private static final double TELL_S = 0.04;
 
   /**
-   * With more machines than these there is always a change to tell, so that the others are woken by
-   * each controller every time the least pause is over. They gather in proportion, up to so many
-   * times as long: what a change costs is mostly the waking.
+   * With more machines than this some view has always changed, so each controller would send
+   * messages after every batch delay. The delay therefore grows in proportion to the number of
+   * machines, up to this factor, because most of the cost of a message lies in waking up the
+   * receiver.
    */
   private static final double MACHINES = 100;
 
   private static final double LONGEST = 3;
 
-  /** What is young is taken for true for so long, in seconds, before it is looked at again. */
+  /** Maximum age of a view that shows young tasks before it is built again, in seconds. */
   private static final double FRESH_S = 1;
 
   private final JobTable jobs;
@@ -48,7 +50,7 @@
 
   private final Interests interests = new Interests();
 
-  /** All controllers, this one included. */
+  /** All controllers, including this one. */
   private final List<String> nodes = new ArrayList<>();
 
   Views(ControllerContext context, Map<String, Machine> held) {
@@ -62,13 +64,13 @@
     context.settings().peers().forEach(p -> nodes.add(p.node()));
   }
 
-  /** What a task of the job takes, or null if the job is not known. */
+  /** The size of a task of the job, or null if the job is unknown. */
   Size sizeOf(String job) {
     JobTable.Entry e = jobs.get(job);
     return e == null ? null : e.record().spec().size();
   }
 
-  /** A controller can be reached again: it hears of every held machine. */
+  /** The connection to a controller is open again. It receives the views of all held machines. */
   void reached(String node) {
     for (Machine m : held.values()) {
       m.toldTo.remove(node);
@@ -76,36 +78,36 @@
     }
   }
 
-  /** A controller says how much it wants to hear; what it has missed it is told at once. */
+  /** A controller has subscribed to a level of detail. What it has missed is sent at once. */
   void interested(String node, Detail detail) {
     if (interests.declared(node, detail, timers.now())) {
       held.values().forEach(m -> catchUp(m, node, detail));
     }
   }
 
-  /** Whether tasks that were young when the machine was last told of may not be young any more. */
+  /** Whether tasks that were young in the latest view may no longer be. */
   private boolean outdated(Machine m) {
     boolean showsYoung = m.latest.youngBelow(Priority.CRITICAL) > 0;
     return showsYoung && timers.now() - m.latestAt > FRESH_S;
   }
 
   /**
-   * Tells a controller what it has missed of a machine. Tasks are never missed, and what has
-   * changed just now is about to be told; so nothing is worked out anew, for this happens with
-   * every job that comes to any controller.
+   * Sends a controller the changes that its former level of detail left out. Task states are sent
+   * at every level, and recent changes are already scheduled, so no view is built anew: this runs
+   * for every job that any controller receives.
    */
   private void catchUp(Machine m, String node, Detail detail) {
     Message.View before = m.toldTo.get(node);
     if (before == null || outdated(m)) {
       tell(m, List.of(node));
     } else if (before != m.latest && detail.differs(m.latest, before)) {
-      Message.View told = before.tasks().isEmpty() ? m.latest : m.latest.withTasks(before.tasks());
-      m.toldTo.put(node, told);
-      peers.send(node, told);
+      Message.View view = before.tasks().isEmpty() ? m.latest : m.latest.withTasks(before.tasks());
+      m.toldTo.put(node, view);
+      peers.send(node, view);
     }
   }
 
-  /** A controller's link is gone, and with it what it has said. */
+  /** The connection to a controller has closed, which ends its subscription. */
   void gone(String node) {
     interests.gone(node);
   }
@@ -134,8 +136,8 @@
   }
 
   /**
-   * Unfinished tasks, by priority; if a time is given only those that may give way, for they have
-   * started since or lose nothing by it.
+   * Number of unfinished tasks by priority. If {@code since} is not 0, only those that may be
+   * preempted are counted: they started after that time, or lose no work.
    */
   private List<Integer> unfinished(Machine m, double since) {
     int[] n = new int[Priority.values().length];
@@ -150,7 +152,7 @@
     return Arrays.stream(n).boxed().toList();
   }
 
-  /** The machine's tasks by the controllers that have to know of them. */
+  /** The states of the machine's tasks by the claimants of their jobs. */
   private Map<String, List<Message.TaskState>> tasksFor(Machine m) {
     Map<String, List<Message.TaskState>> byNode = new HashMap<>();
     for (Message.TaskState t : m.states()) {
@@ -163,7 +165,9 @@
     return byNode;
   }
 
-  /** Tells of changed machines shortly; changes that come together are told at once. */
+  /**
+   * Schedules the machine's view to be published. Changes within the batch delay are sent together.
+   */
   void tellSoon(Machine m) {
     if (m.telling) {
       return;
@@ -171,8 +175,8 @@
     m.telling = true;
     toTell.add(m);
     if (toTell.size() == 1) {
-      double longer = Math.max(1, Math.min(LONGEST, held.size() / MACHINES));
-      timers.after(TELL_S * longer, () -> decisionLock.run(this::tell));
+      double factor = Math.max(1, Math.min(LONGEST, held.size() / MACHINES));
+      timers.after(TELL_S * factor, () -> decisionLock.run(this::tell));
     }
   }
 
@@ -187,33 +191,35 @@
     }
   }
 
-  /** Tells each controller of a machine if something has changed that it wants to hear. */
+  /**
+   * Sends the machine's view to each controller for which it has changed at its level of detail.
+   */
   private void tell(Machine m, List<String> receivers) {
-    Message.View bare = view(m);
-    m.latest = bare;
+    Message.View base = view(m);
+    m.latest = base;
     m.latestAt = timers.now();
     Map<String, List<Message.TaskState>> tasks = tasksFor(m);
     List<String> withoutTasks = new ArrayList<>();
     for (String node : receivers) {
-      List<Message.TaskState> its = tasks.getOrDefault(node, List.of());
-      if (isNews(m, node, bare, its)) {
-        Message.View told = its.isEmpty() ? bare : bare.withTasks(its);
-        m.toldTo.put(node, told);
-        if (its.isEmpty()) {
+      List<Message.TaskState> ownTasks = tasks.getOrDefault(node, List.of());
+      if (isNews(m, node, base, ownTasks)) {
+        Message.View view = ownTasks.isEmpty() ? base : base.withTasks(ownTasks);
+        m.toldTo.put(node, view);
+        if (ownTasks.isEmpty()) {
           withoutTasks.add(node);
         } else {
-          peers.send(node, told);
+          peers.send(node, view);
         }
       }
     }
-    peers.send(withoutTasks, bare);
+    peers.send(withoutTasks, base);
   }
 
   private boolean isNews(
-      Machine m, String node, Message.View now, List<Message.TaskState> itsTasks) {
+      Machine m, String node, Message.View now, List<Message.TaskState> ownTasks) {
     Message.View before = m.toldTo.get(node);
     return before == null
-        || !itsTasks.equals(before.tasks())
+        || !ownTasks.equals(before.tasks())
         || interests.of(node, timers.now()).differs(now, before);
   }
 }
--- a/src/main/java/dev/dunefront/book/WantBook.java
+++ b/src/main/java/dev/dunefront/book/WantBook.java
@@ -6,16 +6,18 @@
 import java.util.List;
 
 /**
- * The wants parked on one machine. Room goes to the highest priority first, within it to the lowest
- * rank, then round-robin across controllers, first-come within a controller. Once a want has waited
- * long, room gathers for it: nothing that comes after it is served before.
+ * The queue of wants of one machine. Free room is offered to the highest priority first, within a
+ * priority to the lowest rank, then round-robin across controllers, and first-come within a
+ * controller. For a want that has waited long, room is reserved: no want that comes after it in
+ * this order is served before it.
  */
 final class WantBook {
-  /** Ranks within a priority. */
+  /** Number of ranks within a priority. */
   static final int RANKS = 7;
 
   private static final int PRIORITIES = 4;
 
+  /** A queued request of a controller for room for tasks of one job. */
   static final class Want {
     final String node;
     final String job;
@@ -36,7 +38,7 @@
   /** In order of arrival. */
   private final List<Want> wants = new ArrayList<>();
 
-  /** For each priority the controllers in the order in which they are next served. */
+  /** For each priority, the controllers in the order in which they are served next. */
   private final List<List<String>> rings = new ArrayList<>();
 
   WantBook() {
@@ -45,14 +47,15 @@
     }
   }
 
+  /** Adds or updates the want of a controller for a job; a count of 0 removes it. */
   void park(String node, String job, int priority, int rank, Size size, int count, double now) {
     Want want = null;
-    for (Iterator<Want> i = wants.iterator(); i.hasNext() && want == null; ) {
-      Want w = i.next();
-      if (w.node.equals(node) && w.job.equals(job)) {
-        want = w;
+    for (Iterator<Want> iterator = wants.iterator(); iterator.hasNext() && want == null; ) {
+      Want existing = iterator.next();
+      if (existing.node.equals(node) && existing.job.equals(job)) {
+        want = existing;
         if (count <= 0) {
-          i.remove();
+          iterator.remove();
         }
       }
     }
@@ -86,13 +89,17 @@
   }
 
   /**
-   * The want that is served next from this room, taken down by one; null if there is none, or if
-   * the room gathers for one that has been parked since before {@code gatherBefore}.
+   * Chooses the want that is served next and lowers its count by one; at 0 it is removed. Returns
+   * null if no want fits, or if the room is reserved for a want that has been queued since before
+   * {@code reserveBefore}.
+   *
+   * @param room free room of the machine
+   * @param whole total room of the machine
    */
-  Want take(Size room, Size whole, double gatherBefore) {
+  Want take(Size room, Size whole, double reserveBefore) {
     Want best = null;
     int bestTurn = 0;
-    Want gatherer = null;
+    Want reserving = null;
     for (Want w : wants) {
       if (best != null && level(w) > level(best)) {
         continue;
@@ -103,13 +110,13 @@
           best = w;
           bestTurn = turn;
         }
-      } else if (w.since < gatherBefore
+      } else if (w.since < reserveBefore
           && w.size.fits(whole)
-          && (gatherer == null || level(w) < level(gatherer))) {
-        gatherer = w;
+          && (reserving == null || level(w) < level(reserving))) {
+        reserving = w;
       }
     }
-    if (best == null || gatherer != null && level(gatherer) < level(best)) {
+    if (best == null || reserving != null && level(reserving) < level(best)) {
       return null;
     }
     List<String> ring = rings.get(best.priority);
@@ -120,7 +127,7 @@
     return best;
   }
 
-  /** Wants of a lower level are served before all of a higher one. */
+  /** Position of a want's priority and rank in the serving order; lower ones are served first. */
   private static int level(Want w) {
     return w.priority * RANKS + w.rank;
   }
--- a/src/main/java/dev/dunefront/book/package-info.java
+++ b/src/main/java/dev/dunefront/book/package-info.java
@@ -1,2 +1,5 @@
-/** Held machines: their reports, their want-books, dealing, and the orders sent to them. */
+/**
+ * Machines held by this controller: their reports, their want books, the offers of their room and
+ * the orders sent to their workers.
+ */
 package dev.dunefront.book;
--- a/src/main/java/dev/dunefront/evidence/Blame.java
+++ b/src/main/java/dev/dunefront/evidence/Blame.java
@@ -6,27 +6,33 @@
 import java.util.Set;
 
 /**
- * Whether a machine is faulty, by the jobs whose tasks have failed on it since anything was done
- * there. A failure has two explanations, a faulty machine and a job with a mistake, which fails
- * wherever it runs. A job that runs elsewhere speaks against the machine; one of which nothing has
- * been done yet speaks half as much, and nothing at all once it has failed on a second machine. So
- * several mistaken jobs that come together put no healthy machine in quarantine, and a machine that
- * fails everything is found among them.
+ * Decides whether a machine is faulty, from the jobs whose tasks have failed on it since a task
+ * last completed there. A failure has two explanations: a faulty machine, or a faulty job, which
+ * fails on every machine. A job that runs on other machines counts fully against the machine. A job
+ * of which no task has completed yet counts half, and not at all once it has failed on a second
+ * machine. Several faulty jobs at the same time therefore do not quarantine a healthy machine, and
+ * a machine on which everything fails is still detected among them.
  *
- * @param weights by job what it says, as in {@link Message.Blame}
+ * @param weights weight of the evidence by job, as in {@link Message.Blame}
  */
 public record Blame(Map<String, Integer> weights) {
-  /** Nothing has failed. */
+  /** No task has failed. */
   public static final Blame NONE = new Blame(Map.of());
 
-  /** Two jobs that run elsewhere, or four of which nothing is known. */
+  /**
+   * The score of a faulty machine: two jobs that run on other machines, or four of which no task
+   * has completed yet.
+   */
   private static final int FAULTY = 2 * Message.Blame.PROVEN;
 
   public Blame {
     weights = Map.copyOf(weights);
   }
 
-  /** A job has failed here, or what is known of it has changed. */
+  /**
+   * Returns the score after a task of the job has failed on this machine, or after the weight of
+   * the job has changed.
+   */
   public Blame by(String job, int weight) {
     Map<String, Integer> next = new HashMap<>(weights);
     if (weight == Message.Blame.WITHDRAWN) {
--- a/src/main/java/dev/dunefront/evidence/EndProof.java
+++ b/src/main/java/dev/dunefront/evidence/EndProof.java
@@ -5,30 +5,31 @@
 import dev.dunefront.peer.Message.Why;
 
 /**
- * A proof that an attempt of a task is over, and what it rests on. A task may be placed again only
- * once there is one for its last attempt, so nothing else may end an attempt, and proofs are made
- * here alone.
+ * A proof that an attempt of a task has ended, and the evidence for it. A task may be placed again
+ * only once its last attempt has such a proof. No attempt ends otherwise, and proofs are created
+ * only here.
  *
- * @param kind what proves it
+ * @param kind the kind of evidence
  * @param why why the attempt exited; {@link Why#NONE} for every kind but {@link Kind#EXITED}
- * @param basis who said what it rests on, and when
+ * @param basis the source and age of the evidence
  */
 public record EndProof(Kind kind, Why why, Basis basis) {
-  /** What proves that an attempt is over. */
+  /** The evidence that an attempt has ended. */
   public enum Kind {
-    /** Its worker has reported that it has exited. */
+    /** The worker has reported that the attempt has exited. */
     EXITED(false),
     /**
-     * Its worker is in a later session than the one in which it was placed. A worker that begins
-     * anew counts its sessions from 1 again, but its holder raises the token before it gives it
-     * work; so whatever was said of its former life names an older record of the hold.
+     * The worker is in a later session than the one in which the attempt was placed. A restarted
+     * worker counts its sessions from 1 again, but its holder raises the token before it assigns
+     * work to it, so evidence from before the restart refers to an older revision of the hold
+     * record.
      */
     LATER_SESSION(true),
-    /** The lease of the session in which it was placed is over. */
+    /** The lease of the session in which the attempt was placed has expired. */
     LEASE_OVER(true),
-    /** The holder does not have it and will never start it. */
+    /** The holder does not have the attempt and will never start it. */
     DENIED(true),
-    /** The cloud has confirmed that its machine is deleted. */
+    /** The cloud has confirmed the deletion of the machine. */
     MACHINE_DELETED(false);
 
     private final boolean conditional;
@@ -43,33 +44,33 @@
    *
    * @param number number of the attempt, counted for each task
    * @param host machine on which it was placed
-   * @param session session of that machine's worker for which it was placed
+   * @param session session of that machine's worker in which it was placed
    */
   public record Attempt(long number, String host, long session) {}
 
   /**
-   * Who said what a proof rests on.
+   * The source of a proof.
    *
    * @param holder controller that held the machine
-   * @param token its fencing token for the machine
-   * @param session session of the worker that it spoke of
-   * @param holdStamp version of the record of who holds the machine, as the holder knew it
-   * @param ageS seconds since that was received here
+   * @param token fencing token of that hold
+   * @param session session of the worker to which the evidence refers
+   * @param holdStamp revision of the hold record, as known to the holder
+   * @param ageS seconds since the evidence was received here
    */
   public record Basis(String holder, long token, long session, long holdStamp, double ageS) {
     private static final Basis NONE = new Basis("", 0, 0, 0, 0);
 
-    /** The basis of what a holder's view says that was received so many seconds ago. */
+    /** The basis of evidence from a holder's view that was received this many seconds ago. */
     public static Basis of(String holder, View view, double ageS) {
       return new Basis(holder, view.token(), view.session(), view.holdStamp(), ageS);
     }
   }
 
   /**
-   * Looks for a proof in what a holder says of the attempt's machine.
+   * Looks for a proof in a view of the attempt's machine.
    *
    * @param shown the attempt's state in the view, or null if the view does not show it
-   * @return the proof, or null if the view proves nothing of this attempt
+   * @return the proof, or null if the view proves nothing about this attempt
    */
   public static EndProof find(Attempt attempt, TaskState shown, View view, Basis basis) {
     if (basis.session > attempt.session) {
@@ -79,33 +80,37 @@
       return new EndProof(Kind.EXITED, shown.why(), basis);
     }
     if (view.lost() && basis.session == attempt.session) {
-      // The last report may still show the task, but the lease of its session is surely over. That
-      // of an earlier one says nothing: the holder deals room as soon as a new session begins, and
-      // tells of it later, so an attempt of the new session may meet the view of the old.
+      // The last report may still show the task, but the lease of its session has certainly
+      // expired. An expired lease of an earlier session proves nothing: the holder offers room as
+      // soon as a new session begins and publishes the session later, so an attempt placed in the
+      // new session may be compared with a view of the old one.
       return new EndProof(Kind.LEASE_OVER, Why.NONE, basis);
     }
     return null;
   }
 
-  /** The holder has denied the attempt, and refuses it from then on. */
+  /** The proof that the holder has denied the attempt, which it refuses to start from then on. */
   public static EndProof denied(Basis basis) {
     return new EndProof(Kind.DENIED, Why.NONE, basis);
   }
 
-  /** The machine's deletion is on record. */
+  /** The proof that the machine's deletion is recorded. */
   public static EndProof machineDeleted() {
     return new EndProof(Kind.MACHINE_DELETED, Why.NONE, Basis.NONE);
   }
 
   /**
-   * Whether the proof holds only while the record of who holds the machine is still the one that
-   * its basis names; the transaction that records the end has to check that.
+   * Whether the proof is valid only while the hold record is unchanged since the revision in its
+   * basis. The transaction that records the end has to check that.
    */
   public boolean conditional() {
     return kind.conditional;
   }
 
-  /** Whether it speaks of the session in which the attempt was placed, or of its end. */
+  /**
+   * Whether the evidence is valid for this attempt: it refers to the session in which the attempt
+   * was placed, or to a later one for {@link Kind#LATER_SESSION}.
+   */
   public boolean concerns(Attempt attempt) {
     return switch (kind) {
       case MACHINE_DELETED -> true;
@@ -114,7 +119,7 @@
     };
   }
 
-  /** The facts, for the log. */
+  /** The proof in a form for log messages. */
   @Override
   public String toString() {
     if (kind == Kind.MACHINE_DELETED) {
@@ -127,7 +132,7 @@
         + basis.token
         + ", session "
         + basis.session
-        + ", hold stamp "
+        + ", hold revision "
         + basis.holdStamp
         + ", "
         + Math.round(basis.ageS * 1000)
--- a/src/main/java/dev/dunefront/evidence/Freshness.java
+++ b/src/main/java/dev/dunefront/evidence/Freshness.java
@@ -3,29 +3,35 @@
 import dev.dunefront.wire.Report;
 
 /**
- * What has been seen of a worker's messages so far, and what one more of them is worth. Copies of
- * reports may come late, by seconds or by several leases, and say what was true when they were
- * sent: none of them may count as a sign of life, as an answer waited for, or as news.
+ * Tracks the reports and responses received from a worker and classifies further ones. Duplicates
+ * of reports may arrive seconds or several lease durations late and describe the state at the time
+ * of sending. None of them may renew a lease, count as a response to a request, or update the known
+ * state.
  *
- * @param session the worker's latest session
- * @param serial the largest serial seen in it, of reports and of answers to orders
- * @param reported the largest serial seen in it of reports alone
- * @param token the highest token that the worker has shown; it never forgets one while it lives
+ * @param session the latest session of the worker
+ * @param serial the highest serial number received in that session, in a report or a response
+ * @param reported the highest serial number received in that session in a report; -1 before the
+ *     first
+ * @param token the highest token that the worker has reported; a worker keeps the highest token
+ *     until it restarts
  */
 public record Freshness(long session, long serial, long reported, long token) {
-  /** Nothing has been seen. */
+  /** Nothing has been received. */
   public static final Freshness NONE = new Freshness(0, -1, -1, 0);
 
-  /** What a report is worth. */
+  /** The classes of reports. */
   public enum Worth {
-    /** It tells something. */
+    /** It carries new information. */
     NEW,
     /**
-     * An answer to orders that was given after it came before it. It tells nothing, but its sender
-     * may be waiting for the answer, which renews the lease.
+     * A response to orders that the worker sent later has arrived earlier. The report carries no
+     * new information, but its sender may be waiting for the answer, which renews the lease.
      */
     OVERTAKEN,
-    /** It was seen before, or was sent before something that was: nobody waits for its answer. */
+    /**
+     * A duplicate, or sent before a report that was already received. The sender does not wait for
+     * its answer.
+     */
     COPY
   }
 
@@ -33,26 +39,27 @@
     return of(r.session(), r.serial(), r.token());
   }
 
-  /** What a report of this session, with this serial and showing this token is worth. */
-  public Worth of(long itsSession, long itsSerial, long itsToken) {
-    if (itsToken < token) {
+  /** Classifies a report by its session, its serial number and the token in it. */
+  public Worth of(long reportSession, long reportSerial, long reportToken) {
+    if (reportToken < token) {
       return Worth.COPY;
     }
-    if (itsSession > session || itsSession == session && itsSerial > serial) {
+    if (reportSession > session || reportSession == session && reportSerial > serial) {
       return Worth.NEW;
     }
-    // A worker has one report under way at a time, so its reports come in the order of serials.
-    return itsSession == session && itsSerial > reported ? Worth.OVERTAKEN : Worth.COPY;
+    // A worker sends one report at a time, so its reports arrive in the order of their serial
+    // numbers.
+    return reportSession == session && reportSerial > reported ? Worth.OVERTAKEN : Worth.COPY;
   }
 
-  /** A report has been taken that was no copy. */
+  /** Returns the state after a report that is not stale. */
   public Freshness reported(Report r) {
     Freshness next = answered(r);
     return new Freshness(
         next.session, next.serial, Math.max(r.serial(), next.reported), next.token);
   }
 
-  /** An answer to orders or to a question has been taken. */
+  /** Returns the state after a response to orders or to a status request. */
   public Freshness answered(Report r) {
     long shown = Math.max(token, r.token());
     if (!r.newerThan(session, serial)) {
@@ -62,9 +69,10 @@
   }
 
   /**
-   * Whether a worker that gives this answer now, to a question asked when this was known, has begun
-   * anew: everything that it has ever said counts from a beginning that is over. A late copy cannot
-   * look like that, for nobody has asked it.
+   * Whether a response proves that the worker has restarted, given that this was the known state
+   * when the request was sent: its token or serial numbers have fallen behind those reported
+   * earlier. A late duplicate cannot look like that, since it is not the response to a request sent
+   * now.
    */
   public boolean begunAnew(Report answer) {
     return session > 0
--- a/src/main/java/dev/dunefront/evidence/Invariant.java
+++ b/src/main/java/dev/dunefront/evidence/Invariant.java
@@ -1,13 +1,13 @@
 package dev.dunefront.evidence;
 
-/** What must never be otherwise while a controller runs, so that no task runs twice. */
+/** Invariants that hold while a controller runs, so that no task runs twice at the same time. */
 public enum Invariant {
-  /** No attempt is started while a view shows another attempt of the task that may run. */
+  /** No attempt is started while a view shows another attempt of the task that may be running. */
   STARTED_BESIDE_ANOTHER_ATTEMPT,
-  /** No attempt is ended by what was said of another session than its own. */
+  /** No attempt is ended by evidence that refers to another session than its own. */
   PROOF_OF_ANOTHER_SESSION,
-  /** A machine is not told to start a task of which it has another attempt. */
+  /** No machine is ordered to start a task of which it has another attempt. */
   TWO_ATTEMPTS_ON_ONE_MACHINE,
-  /** A task that is placed is not placed a second time. */
+  /** No task is placed while it already has a placement. */
   TWO_PLACEMENTS
 }
--- a/src/main/java/dev/dunefront/evidence/Responsiveness.java
+++ b/src/main/java/dev/dunefront/evidence/Responsiveness.java
@@ -1,27 +1,27 @@
 package dev.dunefront.evidence;
 
 /**
- * Whether a machine whose reports arrive hears what is said to it. Answers and orders may be lost
- * on one way while reports come on the other; such a machine lets its lease run out while its
- * holder believes it well. Evidence against it: it goes elsewhere although it was answered, its
- * session rises although it was answered within the lease, an order has no answer. The proof either
- * way is a question asked now.
+ * Whether a machine whose reports arrive also receives messages. A network fault may drop answers
+ * and orders while reports still arrive. The lease of such a machine expires although its holder
+ * considers it healthy. Evidence of this: the machine reports to another controller although it was
+ * answered, its session number increases although it was answered within the lease, or an order
+ * gets no response. A status request then decides.
  *
- * @param state what is believed
- * @param lapses how often it has turned out deaf of late
+ * @param state current state
+ * @param lapses number of recent times that the machine was found unresponsive
  * @param since when the state was entered
- * @param nextAsk not asked again before this time
- * @param pauseS how long is waited after the next question that has no answer
+ * @param nextAsk earliest time of the next status request
+ * @param pauseS pause after the next status request without a response, in seconds
  */
 public record Responsiveness(State state, int lapses, double since, double nextAsk, double pauseS) {
-  /** What is believed of a machine's hearing. */
+  /** Whether a machine is known to receive messages. */
   public enum State {
     HEARS,
-    /** There is evidence against it, and a question under way or to be asked. */
+    /** There is evidence that it is unresponsive; a status request is in progress or due. */
     SUSPECT,
-    /** A question had no answer although reports come. */
+    /** A status request got no response although reports arrive. */
     DEAF,
-    /** It answers again, and is not trusted with work yet. */
+    /** It responds again, but gets no work yet. */
     PROBATION
   }
 
@@ -29,10 +29,11 @@
   private static final double LONGEST_PAUSE_S = 8;
   private static final int MOST_DOUBLINGS = 5;
 
+  /** The state of a machine without recent failures. */
   public static final Responsiveness GOOD =
       new Responsiveness(State.HEARS, 0, Double.NEGATIVE_INFINITY, 0, FIRST_PAUSE_S);
 
-  /** Whether it may be given work. */
+  /** Whether tasks may be placed on the machine. */
   public boolean trusted() {
     return state == State.HEARS;
   }
@@ -41,24 +42,27 @@
     return state == State.DEAF;
   }
 
-  /** There is evidence against it. */
+  /** Returns the state after evidence that the machine is unresponsive. */
   public Responsiveness suspected(double now) {
     return state == State.HEARS || state == State.PROBATION
         ? new Responsiveness(State.SUSPECT, lapses, now, now, FIRST_PAUSE_S)
         : this;
   }
 
-  /** Whether it is time for a question. */
+  /** Whether a status request is due. */
   public boolean asks(double now) {
     return (state == State.SUSPECT || state == State.DEAF) && now >= nextAsk;
   }
 
-  /** A question or an order goes out; another waits until it is answered, or surely is not. */
+  /**
+   * Returns the state after a status request has been sent. The next one is due after its response
+   * or its timeout.
+   */
   public Responsiveness asked(double now, double deadlineS) {
     return new Responsiveness(state, lapses, since, now + deadlineS, pauseS);
   }
 
-  /** A question or an order had no answer. */
+  /** Returns the state after a status request without a response. */
   public Responsiveness unanswered(double now) {
     double next = Math.min(LONGEST_PAUSE_S, pauseS * 2);
     return state == State.DEAF
@@ -67,8 +71,9 @@
   }
 
   /**
-   * It has answered. One that was merely suspected is trusted at once; one that was deaf after a
-   * report interval, twice that the next time, and so on: each time it costs what was placed there.
+   * Returns the state after a response. A machine that was only suspected is trusted at once. One
+   * that was unresponsive is trusted after a report interval, after two the next time, then four
+   * and so on, because each failure costs the tasks that were placed on it.
    */
   public Responsiveness answered(double now) {
     return switch (state) {
@@ -79,10 +84,12 @@
   }
 
   /**
-   * Time has passed.
+   * Returns the state after the time has advanced.
    *
-   * @param reportS the workers' report interval, the unit of trust
-   * @param leaseS the workers' lease; ten of them without a lapse make good for all of them
+   * @param reportS the report interval of the workers, which is the first probation period, in
+   *     seconds
+   * @param leaseS the lease duration of the workers in seconds; after ten of them without a failure
+   *     all earlier failures are forgotten
    */
   public Responsiveness passed(double now, double reportS, double leaseS) {
     if (state == State.PROBATION) {
--- a/src/main/java/dev/dunefront/evidence/StartRefusal.java
+++ b/src/main/java/dev/dunefront/evidence/StartRefusal.java
@@ -1,21 +1,21 @@
 package dev.dunefront.evidence;
 
-/** Why the holder of a machine refuses to start a recorded attempt there. */
+/** Reasons for which the holder of a machine refuses to start a recorded attempt. */
 public enum StartRefusal {
-  /** The offer has run out, and there is no room left. */
+  /** The offer has expired and there is no room left. */
   NO_ROOM,
-  /** It was placed under another fencing token. */
+  /** The attempt was placed under another fencing token. */
   OTHER_TOKEN,
-  /** It was placed for another session of the worker. */
+  /** The attempt was placed in another session of the worker. */
   OTHER_SESSION,
-  /** Another controller has claimed the job since. */
+  /** Another controller has claimed the job in a later term. */
   OUTDATED_CLAIM,
-  /** What became of an earlier order is not known, or the token is being raised. */
+  /** The outcome of an earlier order is unknown, or the token is being raised. */
   IN_DOUBT,
-  /** The attempt was denied before. */
+  /** The holder has denied the attempt before. */
   DENIED_BEFORE,
-  /** The job is over. */
+  /** The job has ended. */
   JOB_OVER,
-  /** Another attempt of the task is on the machine or about to be. */
+  /** Another attempt of the task is on the machine or about to start there. */
   OTHER_ATTEMPT
 }
--- a/src/main/java/dev/dunefront/evidence/package-info.java
+++ b/src/main/java/dev/dunefront/evidence/package-info.java
@@ -1,8 +1,10 @@
 /**
- * What is to be believed, as pure functions of what was seen: which of a worker's reports says
- * something new ({@link dev.dunefront.evidence.Freshness}), whether a machine that is heard hears
- * ({@link dev.dunefront.evidence.Responsiveness}), and what a controller does that has lost
- * everybody but its workers ({@link dev.dunefront.evidence.Isolation}). No clocks, no network:
- * times come from outside, in seconds of the caller's steady clock.
+ * Decisions based on observed messages, as pure functions: which of a worker's reports carry new
+ * information ({@link dev.dunefront.evidence.Freshness}), whether a machine that sends reports also
+ * receives messages ({@link dev.dunefront.evidence.Responsiveness}), what a controller does that
+ * can reach nothing but its workers ({@link dev.dunefront.evidence.Isolation}), whether a machine
+ * is faulty ({@link dev.dunefront.evidence.Blame}), and what proves that an attempt has ended
+ * ({@link dev.dunefront.evidence.EndProof}). There is no clock and no network access here; callers
+ * pass times in seconds of a monotonic clock.
  */
 package dev.dunefront.evidence;
--- a/src/test/java/dev/dunefront/book/InterestsTest.java
+++ b/src/test/java/dev/dunefront/book/InterestsTest.java
@@ -7,26 +7,31 @@
 import dev.dunefront.peer.Detail;
 import org.junit.jupiter.api.Test;
 
-/** How much a holder tells each controller: everything, unless it has lately asked for less. */
+/**
+ * The level of detail that a holder sends to each controller: everything, unless the controller has
+ * recently subscribed to less.
+ */
 class InterestsTest {
   private final Interests interests = new Interests();
 
   @Test
-  void whoeverHasSaidNothingIsToldEverything() {
+  void aControllerWithoutASubscriptionReceivesEverything() {
     assertEquals(Detail.LOAD, interests.of("node-1", 5));
-    assertFalse(interests.declared("node-1", Detail.STANDING, 5), "nothing was missed");
+    assertFalse(
+        interests.declared("node-1", Detail.STANDING, 5),
+        "a lower level leaves no changes to be sent");
     assertEquals(Detail.STANDING, interests.of("node-1", 5));
   }
 
   @Test
-  void aDeclarationThatIsNotRepeatedLapses() {
+  void aSubscriptionThatIsNotRenewedExpires() {
     interests.declared("node-1", Detail.STANDING, 5);
     assertEquals(Detail.STANDING, interests.of("node-1", 5 + Interests.LAPSE_S));
     assertEquals(Detail.LOAD, interests.of("node-1", 5.1 + Interests.LAPSE_S));
   }
 
   @Test
-  void aRiseIsNoticedOnceHoweverOftenItIsSaid() {
+  void aHigherLevelIsReportedOnceHoweverOftenItIsRenewed() {
     interests.declared("node-1", Detail.STANDING, 5);
     assertTrue(interests.declared("node-1", Detail.ROOM, 6));
     assertFalse(interests.declared("node-1", Detail.ROOM, 6));
@@ -35,7 +40,7 @@
   }
 
   @Test
-  void anotherLifeBeginsWithEverything() {
+  void aReconnectedControllerReceivesEverything() {
     interests.declared("node-1", Detail.STANDING, 5);
     interests.gone("node-1");
     assertEquals(Detail.LOAD, interests.of("node-1", 5));
--- a/src/test/java/dev/dunefront/book/RosterTest.java
+++ b/src/test/java/dev/dunefront/book/RosterTest.java
@@ -13,23 +13,26 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Who shares the machines, and how that changes. */
+/** Membership of the roster and the default holders computed from it. */
 class RosterTest {
   private static final Roster THREE =
       new Roster(
           List.of(new Member("n-0", "a"), new Member("n-1", "b"), new Member("n-2", "a")), 4, 77);
 
   @Test
-  void isReadBackAsWrittenAndOneOfAnEarlierVersionIsOfTheFirstEpoch() throws BadMessage {
+  void isReadBackAsWrittenAndARecordWithoutAnEpochIsInTheFirst() throws BadMessage {
     assertEquals(THREE, Roster.read(Doc.decode(THREE.write().encode()), 77));
-    Doc earlier = Doc.of().put("nodes", List.of("n-0")).put("zones", List.of("a"));
-    assertEquals(1, Roster.read(earlier, 5).epoch());
-    assertEquals(1, Roster.read(earlier, 5).token());
-    Doc torn = Doc.of().put("nodes", List.of("n-0", "n-1")).put("zones", List.of("a"));
-    assertThrows(BadMessage.class, () -> Roster.read(torn, 5));
+    Doc withoutEpoch = Doc.of().put("nodes", List.of("n-0")).put("zones", List.of("a"));
+    assertEquals(1, Roster.read(withoutEpoch, 5).epoch());
+    assertEquals(1, Roster.read(withoutEpoch, 5).token());
+    Doc withoutZone = Doc.of().put("nodes", List.of("n-0", "n-1")).put("zones", List.of("a"));
+    assertThrows(BadMessage.class, () -> Roster.read(withoutZone, 5));
   }
 
-  /** A token of the epoch before, however often it was raised, is refused by the worker. */
+  /**
+   * A token of the previous epoch must stay below those of the next, however often it was raised,
+   * so that the worker refuses it.
+   */
   @Test
   void tokensOfAnEpochAreAboveAllOfTheOneBefore() {
     long raisedOften = new Roster(THREE.members(), 4, 1).token() + Integer.MAX_VALUE;
@@ -37,7 +40,7 @@
   }
 
   @Test
-  void oneWhoJoinsTakesItsPartAndNoMore() {
+  void aNewMemberReceivesItsShareAndNoOtherMachineMoves() {
     Roster more = THREE.next(Map.of("n-3", "b"), Set.of(), Set.of("n-0", "n-1", "n-2"));
     assertEquals(5, more.epoch());
     int moved = 0;
@@ -47,44 +50,48 @@
       String after = more.holder("host-" + i, i % 2 == 0 ? "a" : "b");
       if (!before.equals(after)) {
         moved++;
-        assertEquals("n-3", after, "machines move to nobody else");
+        assertEquals("n-3", after, "machines move to the new member only");
       }
     }
     assertTrue(moved > machines / 6 && moved < machines / 3, moved + " moved");
   }
 
   @Test
-  void whoLivesBelongsToItAndWhoIsNeitherNamedNorLivesDoesNot() {
+  void aLiveNodeIsAddedAndANodeNeitherNamedNorLiveIsRemoved() {
     Set<String> all = Set.of("n-0", "n-1", "n-2");
     Map<String, String> zones = Map.of("n-0", "a", "n-1", "b", "n-2", "a");
     assertNull(THREE.next(zones, all, all));
-    assertNull(THREE.next(Map.of(), Set.of(), all), "all crash: they will be back");
-    assertNull(THREE.next(Map.of(), all, Set.of("n-0")), "not named, but it lives");
+    assertNull(THREE.next(Map.of(), Set.of(), all), "all have crashed, but are still named");
+    assertNull(THREE.next(Map.of(), all, Set.of("n-0")), "not named, but live");
     Roster fewer = THREE.next(Map.of(), Set.of("n-0", "n-1"), Set.of("n-0", "n-1"));
     assertEquals(List.of("n-0", "n-1"), fewer.members().stream().map(Member::node).toList());
     Roster moved = THREE.next(Map.of("n-2", "b"), all, all);
     assertTrue(moved.members().contains(new Member("n-2", "b")));
-    assertNull(Roster.NONE.next(zones, all, all), "the first one is written by whoever is first");
+    assertNull(
+        Roster.NONE.next(zones, all, all), "the first roster is not a change of an earlier one");
     Roster last = new Roster(List.of(new Member("n-0", "a")), 1, 1);
-    assertNull(last.next(Map.of(), Set.of(), Set.of("n-1")), "somebody has to be there");
+    assertNull(last.next(Map.of(), Set.of(), Set.of("n-1")), "the last member is never removed");
   }
 
-  /** Whoever runs with old settings must not undo what one with new settings has done. */
+  /**
+   * During a rolling change of settings, controllers with old and with new settings must not revert
+   * each other's changes.
+   */
   @Test
-  void oldAndNewSettingsNeverGoBackAndForth() {
-    Set<String> old = Set.of("n-0", "n-1", "n-2");
-    Set<String> named = Set.of("n-0", "n-1", "n-3");
+  void controllersWithOldAndNewSettingsDoNotRevertEachOther() {
+    Set<String> oldNames = Set.of("n-0", "n-1", "n-2");
+    Set<String> newNames = Set.of("n-0", "n-1", "n-3");
     Map<String, String> live = Map.of("n-0", "a", "n-1", "b", "n-3", "a");
-    Roster r = THREE;
+    Roster roster = THREE;
     int changes = 0;
     for (int turn = 0; turn < 10; turn++) {
-      Roster next = r.next(live, live.keySet(), turn % 2 == 0 ? old : named);
+      Roster next = roster.next(live, live.keySet(), turn % 2 == 0 ? oldNames : newNames);
       if (next != null) {
         changes++;
-        r = next;
+        roster = next;
       }
     }
     assertEquals(2, changes, "one joins, one leaves");
-    assertEquals(named, Set.copyOf(r.members().stream().map(Member::node).toList()));
+    assertEquals(newNames, Set.copyOf(roster.members().stream().map(Member::node).toList()));
   }
 }
--- a/src/test/java/dev/dunefront/evidence/EndProofTest.java
+++ b/src/test/java/dev/dunefront/evidence/EndProofTest.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a view proves of an attempt that was placed in a worker's second session. */
+/** What a view proves about an attempt that was placed in the second session of a worker. */
 class EndProofTest {
   private static final long HOLD_STAMP = 40;
   private static final Attempt PLACED = new Attempt(3, "host-1", 2);
@@ -55,30 +55,30 @@
   }
 
   @Test
-  void aLeaseThatIsOverProvesForItsOwnSessionAlone() {
+  void anExpiredLeaseProvesTheEndOnlyInItsOwnSession() {
     assertNull(find(1, true, null));
     EndProof proof = find(2, true, shown(State.RUNNING, Why.NONE));
     assertEquals(Kind.LEASE_OVER, proof.kind());
-    assertTrue(proof.conditional(), "another holder may hear the machine");
+    assertTrue(proof.conditional(), "another holder may be receiving the machine's reports");
     assertEquals(HOLD_STAMP, proof.basis().holdStamp());
   }
 
   @Test
-  void aLaterSessionProvesUnderItsHoldAlone() {
+  void aLaterSessionProvesTheEndOnlyUnderItsHold() {
     EndProof proof = find(3, false, null);
     assertEquals(Kind.LATER_SESSION, proof.kind());
-    assertTrue(proof.conditional(), "it may be one of the worker's former life");
+    assertTrue(proof.conditional(), "the session may be from before a restart of the worker");
   }
 
   @Test
-  void whatIsShownAliveOrNotAtAllProvesNothing() {
+  void anAttemptShownRunningOrNotShownProvesNothing() {
     assertNull(find(2, false, shown(State.RUNNING, Why.NONE)));
     assertNull(find(2, false, null));
     assertNull(find(1, false, null));
   }
 
   @Test
-  void anExitNeedsNoCondition() {
+  void aReportedExitIsUnconditional() {
     EndProof proof = find(2, false, shown(State.EXITED, Why.DONE));
     assertEquals(Kind.EXITED, proof.kind());
     assertEquals(Why.DONE, proof.why());
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void aProofOfAnotherSessionDoesNotConcernTheAttempt() {
+  void aProofOfAnotherSessionDoesNotApplyToTheAttempt() {
     Basis former = Basis.of("node-0", view(1, true), 0.1);
     assertFalse(new EndProof(Kind.LEASE_OVER, Why.NONE, former).concerns(PLACED));
     assertFalse(new EndProof(Kind.LATER_SESSION, Why.NONE, former).concerns(PLACED));
