--- a/src/main/java/dev/dunefront/book/Books.java
+++ b/src/main/java/dev/dunefront/book/Books.java
@@ -33,7 +33,7 @@
 public final class Books {
   private static final System.Logger LOG = System.getLogger(Books.class.getName());
 
-  /** An overloaded controller redirects no machines away once it holds this few. */
+  /** An overloaded controller keeps at least this many machines. */
   private static final int KEEP = 5;
 
   /** Interval at which a machine without pending work is checked, in seconds. */
--- a/src/main/java/dev/dunefront/book/Machine.java
+++ b/src/main/java/dev/dunefront/book/Machine.java
@@ -153,7 +153,7 @@
 
   final Map<Long, Offered> offers = new HashMap<>();
 
-  /** Jobs whose tasks have failed on it since a task last completed there. */
+  /** Evidence from failed tasks that it is faulty, collected since a task last completed on it. */
   Blame blame = Blame.NONE;
 
   final Set<String> images = new LinkedHashSet<>();
--- a/src/main/java/dev/dunefront/book/Reception.java
+++ b/src/main/java/dev/dunefront/book/Reception.java
@@ -115,8 +115,8 @@
   }
 
   /**
-   * This process was suspended, so the silence of other controllers that its clock shows is not
-   * theirs.
+   * This process was suspended. The time without a reply that its clock shows says nothing about
+   * the other controllers.
    */
   void woken() {
     unanswered.clear();
@@ -233,7 +233,7 @@
       // During the first lease duration of an incarnation all machines report here. An unknown
       // machine that reports later is new, or the report is a late duplicate from a machine that
       // no longer exists, so it gets no work until it has responded to a status request.
-      listening.suspect(m, "it is not known here");
+      listening.suspect(m, "it was unknown to this controller");
     }
     books.reportOfHeld(m, r, answer);
   }
