--- a/src/main/java/dev/dunefront/book/Books.java
+++ b/src/main/java/dev/dunefront/book/HeldMachines.java
@@ -2,20 +2,20 @@
 
 import dev.dunefront.claim.ControllerContext;
 import dev.dunefront.config.Settings;
-import dev.dunefront.evidence.Freshness;
+import dev.dunefront.evidence.ReportSequence;
 import dev.dunefront.job.JobRecord;
 import dev.dunefront.job.JobTable;
-import dev.dunefront.net.Caller;
 import dev.dunefront.net.DecisionLock;
-import dev.dunefront.net.HttpServer.Answer;
+import dev.dunefront.net.HttpCaller;
+import dev.dunefront.net.HttpServer.Responder;
 import dev.dunefront.net.Timers;
 import dev.dunefront.peer.Message;
 import dev.dunefront.peer.Peers;
 import dev.dunefront.store.Membership;
-import dev.dunefront.store.Standstill;
-import dev.dunefront.wire.Order;
+import dev.dunefront.store.PauseDetector;
 import dev.dunefront.wire.Report;
 import dev.dunefront.wire.TaskId;
+import dev.dunefront.wire.WorkerCommand;
 import java.lang.System.Logger.Level;
 import java.util.Collection;
 import java.util.HashMap;
@@ -27,27 +27,27 @@
 /**
  * The machines that this controller holds, meaning that it alone sends them orders and offers their
  * room. Dispatches worker reports, keeps the want book of each machine and drives periodic work.
- * {@link Reception} processes reports of machines not held here, {@link Orders} sends orders to
- * workers, {@link Views} publishes machine state to the controllers.
+ * {@link HoldAcquisition} processes reports of machines not held here, {@link WorkerCommands} sends
+ * orders to workers, {@link ViewPublisher} publishes machine state to the controllers.
  */
-public final class Books {
-  private static final System.Logger LOG = System.getLogger(Books.class.getName());
+public final class HeldMachines {
+  private static final System.Logger LOG = System.getLogger(HeldMachines.class.getName());
 
   /** An overloaded controller keeps at least this many machines. */
-  private static final int KEEP = 5;
+  private static final int MIN_MACHINES_WHEN_OVERLOADED = 5;
 
   /** Interval at which a machine without pending work is checked, in seconds. */
-  private static final double IDLE_LOOK_S = 1;
+  private static final double IDLE_CHECK_INTERVAL_S = 1;
 
   /** Largest relative rate difference between the monotonic clocks of two hosts. */
-  private static final double DRIFT = 0.001;
+  private static final double MAX_CLOCK_DRIFT = 0.001;
 
   /** A machine whose lease expired is released after this many lease durations without a report. */
-  private static final double FORGET_LEASES = 10;
+  private static final double RELEASE_AFTER_LEASES = 10;
 
   private final Settings settings;
   private final Membership membership;
-  private final Holds holds;
+  private final HoldTable holds;
   private final JobTable jobs;
   private final Peers peers;
   private final Timers timers;
@@ -55,30 +55,30 @@
   private final Map<String, Machine> held = new HashMap<>();
 
   /**
-   * Attempts denied on machines that were released since, by host; see {@link #hold}. Removed once
-   * the machine is held under a new token.
+   * Attempts denied on machines that were released since, by host; see {@link #addMachine}. Removed
+   * once the machine is held under a new token.
    */
-  private final Map<String, Map<TaskId, Long>> fences = new HashMap<>();
+  private final Map<String, Map<TaskId, Long>> deniedAttemptsByHost = new HashMap<>();
 
-  private final Views views;
+  private final ViewPublisher viewPublisher;
   private final Preemption preemption;
-  private final Reports reports;
-  private final Starts starts;
-  private final Upkeep upkeep;
-  private final Orders orders;
-  private final Listening listening;
-  private final Leaving leaving;
+  private final ReportApplier reportApplier;
+  private final StartRequests startRequests;
+  private final TaskTermination taskTermination;
+  private final WorkerCommands workerCommands;
+  private final StatusChecks statusChecks;
+  private final WorkerEvacuation workerEvacuation;
 
   private final HoldChanges holdChanges;
-  private final Neighbours neighbours;
-  private final Reception reception;
-  private final Standstill standstill;
-  private final Dealing dealing;
-  private final Inbox inbox;
+  private final ControllerLoads controllerLoads;
+  private final HoldAcquisition holdAcquisition;
+  private final PauseDetector standstill;
+  private final RoomAllocation roomAllocation;
+  private final MachineMessages machineMessages;
 
-  private double strangersAt;
+  private double lastSweepAt;
 
-  public Books(ControllerContext context, Caller caller) {
+  public HeldMachines(ControllerContext context, HttpCaller caller) {
     this.settings = context.settings();
     this.membership = context.membership();
     this.holds = context.holds();
@@ -86,21 +86,22 @@
     this.peers = context.peers();
     this.timers = context.timers();
     this.decisionLock = context.decisionLock();
-    this.views = new Views(context, held);
-    this.preemption = new Preemption(context, views);
-    this.reports = new Reports(context);
-    this.listening = new Listening(context, caller, this, reports);
-    this.orders = new Orders(context, caller, this, listening);
-    this.starts = new Starts(context, this, orders, views);
-    this.upkeep = new Upkeep(context);
+    this.viewPublisher = new ViewPublisher(context, held);
+    this.preemption = new Preemption(context, viewPublisher);
+    this.reportApplier = new ReportApplier(context);
+    this.statusChecks = new StatusChecks(context, caller, this, reportApplier);
+    this.workerCommands = new WorkerCommands(context, caller, this, statusChecks);
+    this.startRequests = new StartRequests(context, this, workerCommands, viewPublisher);
+    this.taskTermination = new TaskTermination(context);
     this.holdChanges = new HoldChanges(context, this);
-    this.neighbours = new Neighbours(settings, membership);
-    this.leaving = new Leaving(context, neighbours);
-    this.reception = new Reception(context, neighbours, listening, this);
+    this.controllerLoads = new ControllerLoads(settings, membership);
+    this.workerEvacuation = new WorkerEvacuation(context, controllerLoads);
+    this.holdAcquisition = new HoldAcquisition(context, controllerLoads, statusChecks, this);
     this.standstill = context.standstill();
-    this.dealing = new Dealing(context, neighbours, views);
-    this.inbox = new Inbox(context, this, starts, preemption, reception);
-    standstill.listen(reception::woken);
+    this.roomAllocation = new RoomAllocation(context, controllerLoads, viewPublisher);
+    this.machineMessages =
+        new MachineMessages(context, this, startRequests, preemption, holdAcquisition);
+    standstill.addResumeListener(holdAcquisition::resumedAfterPause);
   }
 
   // ---- reports ----
@@ -110,17 +111,17 @@
    * is known to be current: another controller may hold the worker by now, and an answer under the
    * old token would keep the worker here.
    */
-  public void report(Report r, Answer answer) {
-    standstill.whenCurrent(() -> taken(r, answer));
+  public void report(Report r, Responder answer) {
+    standstill.whenCurrent(() -> dispatchReport(r, answer));
   }
 
-  private void taken(Report r, Answer answer) {
-    leaving.reported(r.host());
+  private void dispatchReport(Report r, Responder answer) {
+    workerEvacuation.reportReceived(r.host());
     Machine m = held.get(r.host());
     if (m != null) {
-      reportOfHeld(m, r, answer);
+      processReport(m, r, answer);
     } else {
-      reception.report(r, answer);
+      holdAcquisition.reportReceived(r, answer);
     }
   }
 
@@ -128,13 +129,13 @@
    * Another controller has reported how many machines it holds and how late its timers run, in
    * seconds.
    */
-  public void load(String node, int machineCount, double lateS) {
-    neighbours.tells(node, machineCount, lateS);
+  public void controllerLoadReceived(String node, int machineCount, double lateS) {
+    controllerLoads.update(node, machineCount, lateS);
   }
 
   /** Whether this controller's timers run late while another controller keeps up. */
   public boolean overloaded() {
-    return neighbours.idler() != null;
+    return controllerLoads.offloadTarget() != null;
   }
 
   /** The machine, if this controller holds it, or null. */
@@ -147,11 +148,11 @@
    * attempts denied then stay denied, because their start requests may still be in transit to this
    * controller.
    */
-  void hold(Machine m) {
+  void addMachine(Machine m) {
     held.put(m.host, m);
-    Map<TaskId, Long> denied = fences.remove(m.host);
+    Map<TaskId, Long> denied = deniedAttemptsByHost.remove(m.host);
     if (denied != null && m.resumed) {
-      m.fence.putAll(denied);
+      m.deniedAttempts.putAll(denied);
     }
     LOG.log(
         Level.INFO,
@@ -159,71 +160,71 @@
         m.host,
         m.typeName,
         m.token,
-        m.holdStamp,
+        m.holdRevision,
         m.session);
   }
 
-  void reportOfHeld(Machine m, Report r, Answer answer) {
+  void processReport(Machine m, Report r, Responder answer) {
     if (r.token() > m.token) {
       // Another controller holds this machine under a higher token.
-      dropHold(m, "its worker has reported a higher token");
+      release(m, "its worker has reported a higher token");
       answer.send(421, null);
       return;
     }
-    Freshness.Worth classification = m.fresh.of(r);
-    if (classification == Freshness.Worth.COPY) {
+    ReportSequence.Classification classification = m.reportSequence.classify(r);
+    if (classification == ReportSequence.Classification.STALE) {
       // The sender no longer waits for this answer, unless the worker has restarted.
       answer.send(503, null, 1);
-      listening.copied(m);
+      statusChecks.staleReportReceived(m);
       return;
     }
-    if (m.lost && r.session() <= m.session) {
+    if (m.leaseExpired && r.session() <= m.session) {
       // Its tasks have been declared ended, so nothing may renew the lease of this session.
       answer.send(503, null, 1);
       return;
     }
-    m.heard = timers.now();
-    if (classification == Freshness.Worth.NEW) {
-      listening.reported(m, r);
+    m.lastContactAt = timers.now();
+    if (classification == ReportSequence.Classification.NEW) {
+      statusChecks.reportReceived(m, r);
     }
-    reports.reported(m, r);
-    String redirectTarget = leaving.whereTo(m, held.values());
+    reportApplier.applyReport(m, r);
+    String redirectTarget = workerEvacuation.redirectTarget(m, held.values());
     if (redirectTarget != null) {
-      dropHold(m, "this controller is isolated; redirecting it to " + redirectTarget);
-      reception.send(m.host, redirectTarget, answer);
+      release(m, "this controller is isolated; redirecting it to " + redirectTarget);
+      holdAcquisition.sendToController(m.host, redirectTarget, answer);
       return;
     }
-    if (m.sendTo == null && held.size() > KEEP) {
-      m.sendTo = neighbours.idler();
+    if (m.redirectTo == null && held.size() > MIN_MACHINES_WHEN_OVERLOADED) {
+      m.redirectTo = controllerLoads.offloadTarget();
     }
-    if (m.sendTo != null) {
-      String target = m.sendTo;
-      m.sendTo = null;
-      if (neighbours.reachable(target)
-          && !m.busy()
+    if (m.redirectTo != null) {
+      String target = m.redirectTo;
+      m.redirectTo = null;
+      if (controllerLoads.reachable(target)
+          && !m.startsInProgress()
           // An unresponsive machine would not receive the redirect and would retry all
           // controllers in turn.
           && m.responsiveness.trusted()
-          && !m.doubt
-          && !m.raising
+          && !m.commandOutcomeUnknown
+          && !m.raisingToken
           && !m.retiring(timers.now())) {
-        dropHold(m, "balancing load; redirecting it to " + target);
-        reception.send(m.host, target, answer);
+        release(m, "balancing load; redirecting it to " + target);
+        holdAcquisition.sendToController(m.host, target, answer);
         return;
       }
     }
-    if (m.doubt) {
-      orders.raise(m);
+    if (m.commandOutcomeUnknown) {
+      workerCommands.raiseToken(m);
     }
-    m.answered = timers.now();
-    answer.send(200, Order.answer(m.token, orders.withAnswer(m)));
-    act(m);
+    m.lastAnsweredAt = timers.now();
+    answer.send(200, WorkerCommand.reportResponse(m.token, workerCommands.clearsForAnswer(m)));
+    reconcile(m);
   }
 
-  void dropHold(Machine m, String reason) {
+  void release(Machine m, String reason) {
     if (held.remove(m.host, m)) {
-      if (!m.fence.isEmpty()) {
-        fences.put(m.host, m.fence);
+      if (!m.deniedAttempts.isEmpty()) {
+        deniedAttemptsByHost.put(m.host, m.deniedAttempts);
       }
       LOG.log(
           Level.INFO,
@@ -231,24 +232,24 @@
           m.host,
           reason,
           m.token,
-          m.holdStamp,
+          m.holdRevision,
           m.session);
-      peers.broadcast(new Message.Unheld(m.host));
+      peers.broadcast(new Message.HoldReleased(m.host));
     }
   }
 
   /** This controller continues under a new incarnation. */
-  public void reborn() {
-    holdChanges.reborn();
-    reception.reborn();
+  public void incarnationChanged() {
+    holdChanges.incarnationChanged();
+    holdAcquisition.incarnationChanged();
   }
 
   /** The hold record of a machine has changed in the replica. */
   public void holdChanged(String host) {
-    holdChanges.changed(host);
+    holdChanges.holdChanged(host);
     if (!held.containsKey(host)) {
       // Any later hold of this machine has a higher token, so the denials are no longer needed.
-      fences.remove(host);
+      deniedAttemptsByHost.remove(host);
     }
   }
 
@@ -257,34 +258,34 @@
    * stopped without a request from its claimant.
    */
   public void jobChanged(String id, JobTable.Entry before, JobTable.Entry entry) {
-    boolean ended = over(entry);
+    boolean ended = jobEnded(entry);
     if (!ended
-        && !over(before)
-        && Objects.equals(before.record().claim(), entry.record().claim())) {
+        && !jobEnded(before)
+        && Objects.equals(before.record().claimant(), entry.record().claimant())) {
       // Most changes only grant tasks, which affects neither the controller that receives the
       // task states nor the size of the tasks.
       return;
     }
     for (Machine m : held.values()) {
       if (ended) {
-        m.book.dropJob(id);
+        m.book.removeJob(id);
       }
-      if (m.has(id)) {
+      if (m.hasTaskOf(id)) {
         if (entry != null && entry.record().status() == JobRecord.Status.CANCELLED) {
-          upkeep.stopJob(m, id);
+          taskTermination.stopJob(m, id);
         }
-        m.dirty = true;
-        act(m);
+        m.viewChanged = true;
+        reconcile(m);
       }
     }
   }
 
   /** A job has been cancelled: stops its running tasks here and refuses its pending starts. */
-  public void cancelled(String id) {
+  public void jobCancelled(String id) {
     for (Machine m : held.values()) {
-      upkeep.stopJob(m, id);
-      m.book.dropJob(id);
-      act(m);
+      taskTermination.stopJob(m, id);
+      m.book.removeJob(id);
+      reconcile(m);
     }
   }
 
@@ -293,36 +294,36 @@
     return held.values();
   }
 
-  static boolean over(JobTable.Entry entry) {
+  static boolean jobEnded(JobTable.Entry entry) {
     return entry == null || entry.record().status() != JobRecord.Status.OPEN;
   }
 
   // ---- messages ----
 
-  public void received(String from, Message message) {
-    if (message instanceof Message.Interest i) {
-      views.interested(from, i.detail());
+  public void messageReceived(String from, Message message) {
+    if (message instanceof Message.ViewSubscription i) {
+      viewPublisher.subscriptionReceived(from, i.detail());
     } else {
-      inbox.received(from, message);
+      machineMessages.messageReceived(from, message);
     }
   }
 
   /** The connection to a controller has closed. Its wants and offers are dropped. */
-  public void gone(String node) {
-    neighbours.gone(node);
-    views.gone(node);
+  public void peerDisconnected(String node) {
+    controllerLoads.remove(node);
+    viewPublisher.peerDisconnected(node);
     for (Machine m : held.values()) {
-      m.book.drop(node);
+      m.book.removeController(node);
       if (m.offers.values().removeIf(o -> o.node().equals(node))) {
-        m.dirty = true;
-        act(m);
+        m.viewChanged = true;
+        reconcile(m);
       }
     }
   }
 
   /** The connection to a controller is open again. It receives the state of every held machine. */
-  public void reached(String node) {
-    views.reached(node);
+  public void peerConnected(String node) {
+    viewPublisher.peerConnected(node);
   }
 
   // ---- allocation ----
@@ -331,42 +332,42 @@
    * Offers free room to wants, sends pending orders and publishes the machine's state if it has
    * changed.
    */
-  void act(Machine m) {
+  void reconcile(Machine m) {
     if (held.get(m.host) != m) {
       return;
     }
-    dealing.deal(m);
-    orders.give(m);
-    if (m.dirty) {
-      m.dirty = false;
-      views.tellSoon(m);
+    roomAllocation.offerRoom(m);
+    workerCommands.sendPending(m);
+    if (m.viewChanged) {
+      m.viewChanged = false;
+      viewPublisher.schedulePublish(m);
     }
   }
 
   // ---- metrics and periodic work ----
 
-  public int heldMachines() {
+  public int machineCount() {
     return held.size();
   }
 
   /** Number of stale reports received since the start of the process. */
-  public int copies() {
-    return listening.copies();
+  public int staleReportCount() {
+    return statusChecks.staleReportCount();
   }
 
   /** Number of times that a machine whose reports arrive has been found unresponsive. */
-  public int deafened() {
-    return listening.deafened();
+  public int unresponsiveCount() {
+    return statusChecks.unresponsiveCount();
   }
 
   /** Number of workers that this controller has redirected because it was isolated. */
-  public int sentAway() {
-    return leaving.sent();
+  public int sentAwayCount() {
+    return workerEvacuation.sentCount();
   }
 
   /** Whether neither the state service nor any other controller is reachable. */
-  public boolean alone() {
-    return leaving.alone();
+  public boolean isolated() {
+    return workerEvacuation.alone();
   }
 
   /**
@@ -375,80 +376,84 @@
    * @param lateS by how much this controller's timers run late, in seconds
    */
   public void tick(double lateS) {
-    neighbours.late(lateS);
-    listening.late(lateS);
+    controllerLoads.setOwnTimerLag(lateS);
+    statusChecks.setTimerLag(lateS);
     double now = timers.now();
     double leaseS = settings.workers().leaseS();
     if (!standstill.current()) {
       return;
     }
     holdChanges.tick();
-    leaving.tick(now);
+    workerEvacuation.tick(now);
     for (Machine m : List.copyOf(held.values())) {
       // A failure on one machine must not keep the others from being processed.
       decisionLock.run(() -> tick(m, now, leaseS));
     }
-    if (now - strangersAt > IDLE_LOOK_S) {
-      strangersAt = now;
-      upkeep.stopWhatIsOver(held.values(), now);
-      reception.forget(now);
+    if (now - lastSweepAt > IDLE_CHECK_INTERVAL_S) {
+      lastSweepAt = now;
+      taskTermination.stopTasksOfEndedJobs(held.values(), now);
+      holdAcquisition.removeExpired(now);
     }
-    dealing.spread(held.values(), now);
+    roomAllocation.rebalance(held.values(), now);
   }
 
   private void tick(Machine m, double now, double leaseS) {
     boolean offerExpired = false;
-    for (Iterator<Machine.Offered> iterator = m.offers.values().iterator(); iterator.hasNext(); ) {
-      if (iterator.next().until() < now) {
+    for (Iterator<Machine.OutstandingOffer> iterator = m.offers.values().iterator();
+        iterator.hasNext(); ) {
+      if (iterator.next().expiresAt() < now) {
         iterator.remove();
         offerExpired = true;
       }
     }
-    m.dirty |= offerExpired;
+    m.viewChanged |= offerExpired;
     if (m.retiringUntil > 0 && !m.retiring(now)) {
       m.retiringUntil = 0;
-      m.dirty = true;
+      m.viewChanged = true;
     }
-    listening.tick(m, now);
-    double leaseCertainlyOverS = leaseS * (1 + DRIFT) + 0.3;
-    if (!m.lost && m.ours && now - m.renewed() > leaseCertainlyOverS) {
+    statusChecks.tick(m, now);
+    double leaseCertainlyOverS = leaseS * (1 + MAX_CLOCK_DRIFT) + 0.3;
+    if (!m.leaseExpired && m.holdAcknowledged && now - m.leaseRenewedAt() > leaseCertainlyOverS) {
       // No report of this session has been answered for longer than its lease lasts. A token
       // raised meanwhile does not change that, since the worker may never receive it: a machine
       // that ended just after the write would otherwise never count as lost, and its jobs would
       // never end.
-      m.lost = true;
-      m.pending.clear();
+      m.leaseExpired = true;
+      m.pendingStarts.clear();
       m.offers.clear();
-      m.dirty = true;
+      m.viewChanged = true;
       LOG.log(
           Level.INFO,
           "no report from {0}; the lease of its session {1} has expired",
           m.host,
           m.session);
     }
-    if (!m.ours && now - m.heard > leaseCertainlyOverS) {
+    if (!m.holdAcknowledged && now - m.lastContactAt > leaseCertainlyOverS) {
       // The worker has not reported a token of this hold, so an expired lease proves nothing
       // here; the report that started the hold may be a late duplicate from a machine that no
       // longer exists. If the machine stayed held, it would be published forever as neither
       // healthy nor lost, and nobody would prove the end of its attempts.
-      dropHold(m, "its reports stopped before its worker had reported the current token");
+      release(m, "its reports stopped before its worker had reported the current token");
       return;
     }
-    if (m.lost && now - m.renewed() > leaseS * FORGET_LEASES) {
+    if (m.leaseExpired && now - m.leaseRenewedAt() > leaseS * RELEASE_AFTER_LEASES) {
       // All its attempts have been declared ended. If its worker reports again, it does so in a
       // later session, and no start request in transit is addressed to that one.
-      m.fence.clear();
-      dropHold(m, "no report for a long time");
+      m.deniedAttempts.clear();
+      release(m, "no report for a long time");
       return;
     }
-    if (m.noticeS != null) {
-      upkeep.clearOut(m, m.noticeS - (now - m.noticeAt), now);
+    if (m.reclaimNoticeS != null) {
+      taskTermination.drainBeforeReclaim(m, m.reclaimNoticeS - (now - m.reclaimNoticeAt), now);
     }
     boolean hasPendingWork =
-        m.dirty || !m.pending.isEmpty() || !m.stops.isEmpty() || !m.clears.isEmpty();
-    if (hasPendingWork || now - m.looked > IDLE_LOOK_S) {
-      m.looked = now;
-      act(m);
+        m.viewChanged
+            || !m.pendingStarts.isEmpty()
+            || !m.pendingStops.isEmpty()
+            || !m.pendingClears.isEmpty();
+    if (hasPendingWork || now - m.lastCheckedAt > IDLE_CHECK_INTERVAL_S) {
+      m.lastCheckedAt = now;
+      reconcile(m);
     }
   }
 }
--- a/src/main/java/dev/dunefront/book/Reception.java
+++ b/src/main/java/dev/dunefront/book/HoldAcquisition.java
@@ -2,16 +2,16 @@
 
 import dev.dunefront.claim.ControllerContext;
 import dev.dunefront.config.Settings;
-import dev.dunefront.fleet.Catalog;
+import dev.dunefront.fleet.MachineCatalog;
 import dev.dunefront.net.DecisionLock;
-import dev.dunefront.net.HttpServer.Answer;
+import dev.dunefront.net.HttpServer.Responder;
 import dev.dunefront.net.Timers;
 import dev.dunefront.peer.Message;
 import dev.dunefront.peer.Peers;
 import dev.dunefront.store.Membership;
-import dev.dunefront.store.Store;
+import dev.dunefront.store.StateStore;
 import dev.dunefront.store.Txn;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.wire.Document;
 import dev.dunefront.wire.Report;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -25,71 +25,75 @@
  * acquires the machine, or redirects the worker to the current holder. No two controllers ever send
  * orders to one machine under the same token.
  */
-final class Reception {
+final class HoldAcquisition {
   /** The fraction of a lease duration for which an unreachable holder is waited for. */
-  private static final double PATIENCE = 0.25;
+  private static final double SILENT_HOLDER_LEASE_FRACTION = 0.25;
 
   /**
    * A machine that comes back within this time after a redirect is acquired instead of redirected
    * again, in seconds.
    */
-  private static final double SENT_S = 20;
+  private static final double REDIRECT_TTL_S = 20;
 
   /**
    * A machine that its holder has released is acquired without a query if it reports within this
    * time, in seconds.
    */
-  private static final double RELEASED_S = 60;
+  private static final double RELEASE_TTL_S = 60;
 
   /** Timeout of a query to the holder of a machine, in seconds. */
-  private static final double ASK_S = 0.5;
+  private static final double HOLD_QUERY_TIMEOUT_S = 0.5;
 
   private final Settings settings;
   private final Membership membership;
-  private final Holds holds;
-  private final Catalog catalog;
-  private final Store store;
+  private final HoldTable holds;
+  private final MachineCatalog catalog;
+  private final StateStore store;
   private final Peers peers;
   private final Timers timers;
   private final DecisionLock decisionLock;
-  private final Neighbours neighbours;
-  private final Listening listening;
-  private final Books books;
+  private final ControllerLoads controllerLoads;
+  private final StatusChecks statusChecks;
+  private final HeldMachines heldMachines;
 
-  private record Waiter(Report report, Answer answer) {}
+  private record PendingReport(Report report, Responder answer) {}
 
   /** Reports that wait for the write of a hold record, by host. */
-  private final Map<String, List<Waiter>> taking = new HashMap<>();
+  private final Map<String, List<PendingReport>> acquiring = new HashMap<>();
 
   /**
    * Reports that wait for the holder to state whether it receives the machine's reports, or for the
    * status of the worker, by host.
    */
-  private final Map<String, List<Waiter>> asking = new HashMap<>();
+  private final Map<String, List<PendingReport>> querying = new HashMap<>();
 
   /** Machines whose status is requested before they are taken over from their holder. */
   private final Set<String> verifying = new HashSet<>();
 
   /** Holders that have not replied to queries, by node. */
-  private final Map<String, Silence> unanswered = new HashMap<>();
+  private final Map<String, SilentHolder> silentHolders = new HashMap<>();
 
   /** An incarnation that does not reply, null if it has no lease, and since when. */
-  private record Silence(String incarnation, double since) {}
+  private record SilentHolder(String incarnation, double since) {}
 
   /** Since when other controllers have had no membership lease, by node. */
-  private final Map<String, Double> deadSince = new HashMap<>();
+  private final Map<String, Double> withoutLeaseSince = new HashMap<>();
 
   /** When a machine was last redirected to another controller, by host. */
-  private final Map<String, Double> sentOn = new HashMap<>();
+  private final Map<String, Double> redirectedAt = new HashMap<>();
 
   /** Machines that other controllers have released, by host. */
   private final Map<String, Release> released = new HashMap<>();
 
   private record Release(String node, double at) {}
 
-  private double begun;
+  private double incarnationStartedAt;
 
-  Reception(ControllerContext context, Neighbours neighbours, Listening listening, Books books) {
+  HoldAcquisition(
+      ControllerContext context,
+      ControllerLoads neighbours,
+      StatusChecks listening,
+      HeldMachines books) {
     this.settings = context.settings();
     this.membership = context.membership();
     this.holds = context.holds();
@@ -98,28 +102,28 @@
     this.peers = context.peers();
     this.timers = context.timers();
     this.decisionLock = context.decisionLock();
-    this.neighbours = neighbours;
-    this.listening = listening;
-    this.books = books;
-    this.begun = timers.now();
+    this.controllerLoads = neighbours;
+    this.statusChecks = listening;
+    this.heldMachines = books;
+    this.incarnationStartedAt = timers.now();
   }
 
   /** This controller continues under a new incarnation. */
-  void reborn() {
-    begun = timers.now();
-    taking
+  void incarnationChanged() {
+    incarnationStartedAt = timers.now();
+    acquiring
         .values()
         .forEach(
             pendingReports -> pendingReports.forEach(pending -> pending.answer.send(503, null, 1)));
-    taking.clear();
+    acquiring.clear();
   }
 
   /**
    * This process was suspended. The time without a reply that its clock shows says nothing about
    * the other controllers.
    */
-  void woken() {
-    unanswered.clear();
+  void resumedAfterPause() {
+    silentHolders.clear();
   }
 
   /** Another controller has released a machine. */
@@ -128,77 +132,77 @@
   }
 
   /** Removes expired entries, so that memory stays bounded while machines come and go. */
-  void forget(double now) {
+  void removeExpired(double now) {
     for (Settings.Peer p : settings.peers()) {
       if (membership.liveNodes().contains(p.node())) {
-        deadSince.remove(p.node());
+        withoutLeaseSince.remove(p.node());
       } else {
-        deadSince.putIfAbsent(p.node(), now);
+        withoutLeaseSince.putIfAbsent(p.node(), now);
       }
     }
-    sentOn.values().removeIf(at -> now - at > SENT_S);
-    released.values().removeIf(r -> now - r.at > RELEASED_S);
+    redirectedAt.values().removeIf(at -> now - at > REDIRECT_TTL_S);
+    released.values().removeIf(r -> now - r.at > RELEASE_TTL_S);
   }
 
   /** A controller has stated whether it receives the reports of a machine. */
-  void answered(String from, Message.HoldSay reply) {
-    unanswered.remove(from);
-    settleAsk(reply.host(), reply);
+  void holdReplyReceived(String from, Message.HoldStatus reply) {
+    silentHolders.remove(from);
+    completeHoldQuery(reply.host(), reply);
   }
 
   /** Redirects a machine to another controller. */
-  void send(String host, String node, Answer answer) {
-    sentOn.put(host, timers.now());
+  void sendToController(String host, String node, Responder answer) {
+    redirectedAt.put(host, timers.now());
     redirect(answer, node);
   }
 
   /** Processes a report of a machine that is not held here. */
-  void report(Report r, Answer answer) {
-    if (taking.containsKey(r.host())) {
-      taking.get(r.host()).add(new Waiter(r, answer));
+  void reportReceived(Report r, Responder answer) {
+    if (acquiring.containsKey(r.host())) {
+      acquiring.get(r.host()).add(new PendingReport(r, answer));
       return;
     }
-    if (asking.containsKey(r.host())) {
-      asking.get(r.host()).add(new Waiter(r, answer));
+    if (querying.containsKey(r.host())) {
+      querying.get(r.host()).add(new PendingReport(r, answer));
       return;
     }
-    Holds.Hold hold = holds.of(r.host(), r.zone());
-    boolean ours = holds.heldBy(settings.node(), hold);
+    HoldTable.Hold hold = holds.holdOf(r.host(), r.zone());
+    boolean ours = holds.isHeldBy(settings.node(), hold);
     if (ours && r.token() <= hold.token()) {
-      resume(hold, r, answer);
-    } else if (membership.self() == null || !catalog.known() || hold == null) {
+      resumeHold(hold, r, answer);
+    } else if (membership.ownIncarnation() == null || !catalog.isLoaded() || hold == null) {
       answer.send(503, null, 1);
-    } else if (hold.dead()) {
+    } else if (hold.machineDeleted()) {
       answer.send(503, null, 5);
     } else if (ours) {
-      take(r, answer);
+      acquire(r, answer);
     } else {
-      reportOfOthers(hold, r, answer);
+      reportOfMachineHeldElsewhere(hold, r, answer);
     }
   }
 
   /** Another controller holds the machine, but the worker reports here. */
-  private void reportOfOthers(Holds.Hold hold, Report r, Answer answer) {
+  private void reportOfMachineHeldElsewhere(HoldTable.Hold hold, Report r, Responder answer) {
     String holder = Membership.nodeOf(hold.holder());
     boolean live = membership.liveNodes().contains(holder);
     Release release = released.get(r.host());
     if (release != null && holder.equals(release.node)) {
-      take(r, answer);
-    } else if (live && hold.natural() && !sentLately(r.host())) {
+      acquire(r, answer);
+    } else if (live && hold.isDefault() && !recentlyRedirected(r.host())) {
       // The worker does not know its default holder yet.
-      send(r.host(), holder, answer);
+      sendToController(r.host(), holder, answer);
     } else if (live) {
-      ask(holder, r, answer);
-    } else if (patient(holder)) {
+      queryHolder(holder, r, answer);
+    } else if (inGracePeriod(holder)) {
       answer.send(503, null, 1);
     } else {
-      takeNear(r, answer);
+      acquireForOwnZone(r, answer);
     }
   }
 
-  private boolean sentLately(String host) {
-    Double redirectTime = sentOn.get(host);
-    return redirectTime != null && timers.now() - redirectTime < SENT_S;
+  private boolean recentlyRedirected(String host) {
+    Double redirectTime = redirectedAt.get(host);
+    return redirectTime != null && timers.now() - redirectTime < REDIRECT_TTL_S;
   }
 
   /**
@@ -206,16 +210,16 @@
    * when the zone is partitioned. A redirected machine that comes back is acquired, since it cannot
    * reach the other controller.
    */
-  private void takeNear(Report r, Answer answer) {
+  private void acquireForOwnZone(Report r, Responder answer) {
     if (!r.zone().equals(settings.zone())) {
-      String target = neighbours.of(r.zone());
-      if (target != null && !sentLately(r.host())) {
-        send(r.host(), target, answer);
+      String target = controllerLoads.assignInZone(r.zone());
+      if (target != null && !recentlyRedirected(r.host())) {
+        sendToController(r.host(), target, answer);
         return;
       }
     }
-    await(r, answer);
-    verify(r.host(), r.endpoint());
+    enqueue(r, answer);
+    verifyWithWorker(r.host(), r.endpoint());
   }
 
   /**
@@ -225,17 +229,17 @@
    * worker lease expires while writes wait for the rate budget. Orders that the earlier incarnation
    * may have sent are in doubt only for tasks that the worker does not report.
    */
-  private void resume(Holds.Hold hold, Report r, Answer answer) {
-    Machine m = new Machine(r, hold.token(), hold.stamp(), timers.now());
+  private void resumeHold(HoldTable.Hold hold, Report r, Responder answer) {
+    Machine m = new Machine(r, hold.token(), hold.revision(), timers.now());
     m.resumed = true;
-    books.hold(m);
-    if (timers.now() - begun > settings.workers().leaseS()) {
+    heldMachines.addMachine(m);
+    if (timers.now() - incarnationStartedAt > settings.workers().leaseS()) {
       // During the first lease duration of an incarnation all machines report here. An unknown
       // machine that reports later is new, or the report is a late duplicate from a machine that
       // no longer exists, so it gets no work until it has responded to a status request.
-      listening.suspect(m, "it was unknown to this controller");
+      statusChecks.suspect(m, "it was unknown to this controller");
     }
-    books.reportOfHeld(m, r, answer);
+    heldMachines.processReport(m, r, answer);
   }
 
   /**
@@ -243,75 +247,82 @@
    * within seconds and keeps its machines. If they were taken over at once, a few remaining
    * controllers would have to write a hold record for each and would end up with all of them.
    */
-  private boolean patient(String holder) {
-    String incarnation = membership.incarnation(holder);
-    Silence silence = unanswered.get(holder);
+  private boolean inGracePeriod(String holder) {
+    String incarnation = membership.liveIncarnation(holder);
+    SilentHolder silence = silentHolders.get(holder);
     if (silence == null || incarnation != null && !incarnation.equals(silence.incarnation)) {
       // A holder whose membership lease expired a while ago is not expected back soon.
       double since =
-          incarnation == null ? deadSince.getOrDefault(holder, timers.now()) : timers.now();
-      silence = new Silence(incarnation, since);
-      unanswered.put(holder, silence);
+          incarnation == null ? withoutLeaseSince.getOrDefault(holder, timers.now()) : timers.now();
+      silence = new SilentHolder(incarnation, since);
+      silentHolders.put(holder, silence);
     }
-    return timers.now() - silence.since < settings.workers().leaseS() * PATIENCE;
+    return timers.now() - silence.since
+        < settings.workers().leaseS() * SILENT_HOLDER_LEASE_FRACTION;
   }
 
-  private void await(Report r, Answer answer) {
-    asking.put(r.host(), new ArrayList<>(List.of(new Waiter(r, answer))));
+  private void enqueue(Report r, Responder answer) {
+    querying.put(r.host(), new ArrayList<>(List.of(new PendingReport(r, answer))));
   }
 
   /**
    * Asks a live holder whether it still receives the machine's reports. The worker may have come
    * here because it got no answer there.
    */
-  private void ask(String holder, Report r, Answer answer) {
-    await(r, answer);
-    peers.send(holder, new Message.HoldAsk(r.host(), r.session(), r.serial(), r.token()));
-    timers.after(ASK_S, () -> decisionLock.run(() -> settleAsk(r.host(), null)));
+  private void queryHolder(String holder, Report r, Responder answer) {
+    enqueue(r, answer);
+    peers.send(holder, new Message.HoldQuery(r.host(), r.session(), r.serial(), r.token()));
+    timers.after(
+        HOLD_QUERY_TIMEOUT_S, () -> decisionLock.run(() -> completeHoldQuery(r.host(), null)));
   }
 
   /** Another controller asks whether this one receives the reports of a machine. */
-  void asked(String from, Message.HoldAsk query) {
+  void holdQueryReceived(String from, Message.HoldQuery query) {
     String host = query.host();
-    Machine m = books.held(host);
+    Machine m = heldMachines.held(host);
     if (m != null) {
-      listening.elsewhere(m, query);
-      m = books.held(host);
+      statusChecks.reportedElsewhere(m, query);
+      m = heldMachines.held(host);
     }
     // For a machine that this controller held before it crashed, the time without a report counts
     // from the start of this incarnation.
-    Holds.Hold record = holds.get(host);
-    boolean ours = m != null || record == null || holds.heldBy(settings.node(), record);
-    double heard = m != null ? m.heard : begun;
-    peers.send(from, new Message.HoldSay(host, ours, timers.now() - heard));
+    HoldTable.Hold record = holds.recordOf(host);
+    boolean ours = m != null || record == null || holds.isHeldBy(settings.node(), record);
+    double heard = m != null ? m.lastContactAt : incarnationStartedAt;
+    peers.send(from, new Message.HoldStatus(host, ours, timers.now() - heard));
   }
 
-  private void settleAsk(String host, Message.HoldSay reply) {
+  private void completeHoldQuery(String host, Message.HoldStatus reply) {
     if (verifying.contains(host)) {
       return;
     }
-    List<Waiter> waiting = asking.get(host);
+    List<PendingReport> waiting = querying.get(host);
     if (waiting == null) {
       return;
     }
-    Holds.Hold hold = holds.of(host, waiting.get(0).report.zone());
+    HoldTable.Hold hold = holds.holdOf(host, waiting.get(0).report.zone());
     boolean heard =
-        reply != null && reply.held() && reply.heardAgoS() < settings.workers().reportS() * 1.5;
-    if (reply == null && hold != null && !hold.dead() && books.held(host) == null) {
-      if (patient(Membership.nodeOf(hold.holder()))) {
-        asking.remove(host);
+        reply != null
+            && reply.held()
+            && reply.lastReportAgeS() < settings.workers().reportS() * 1.5;
+    if (reply == null
+        && hold != null
+        && !hold.machineDeleted()
+        && heldMachines.held(host) == null) {
+      if (inGracePeriod(Membership.nodeOf(hold.holder()))) {
+        querying.remove(host);
         waiting.forEach(pending -> pending.answer.send(503, null, 1));
         return;
       }
     }
     if (heard && hold != null && !hold.holder().isEmpty()) {
-      asking.remove(host);
+      querying.remove(host);
       waiting.forEach(pending -> redirect(pending.answer, Membership.nodeOf(hold.holder())));
-    } else if (books.held(host) != null || taking.containsKey(host)) {
-      asking.remove(host);
-      waiting.forEach(pending -> books.report(pending.report, pending.answer));
+    } else if (heldMachines.held(host) != null || acquiring.containsKey(host)) {
+      querying.remove(host);
+      waiting.forEach(pending -> heldMachines.report(pending.report, pending.answer));
     } else {
-      verify(host, waiting.get(waiting.size() - 1).report.endpoint());
+      verifyWithWorker(host, waiting.get(waiting.size() - 1).report.endpoint());
     }
   }
 
@@ -322,53 +333,54 @@
    * lease has expired: behind a partition, or if only its requests to the state service fail, it
    * may still receive the machine's reports.
    */
-  private void verify(String host, String endpoint) {
+  private void verifyWithWorker(String host, String endpoint) {
     verifying.add(host);
-    listening.ask(
+    statusChecks.requestStatus(
         endpoint,
         status -> {
           verifying.remove(host);
-          List<Waiter> waiting = asking.remove(host);
+          List<PendingReport> waiting = querying.remove(host);
           if (waiting == null) {
             return;
           }
-          for (Waiter pending : waiting) {
-            if (books.held(host) != null || taking.containsKey(host)) {
-              books.report(pending.report, pending.answer);
+          for (PendingReport pending : waiting) {
+            if (heldMachines.held(host) != null || acquiring.containsKey(host)) {
+              heldMachines.report(pending.report, pending.answer);
             } else if (status == null || !status.host().equals(host)) {
               pending.answer.send(503, null, 1);
             } else {
-              take(status, pending.answer);
+              acquire(status, pending.answer);
             }
           }
         });
   }
 
-  private static void redirect(Answer answer, String node) {
-    answer.send(421, Doc.of().put("overseer", node).encode());
+  private static void redirect(Responder answer, String node) {
+    answer.send(421, Document.create().put("overseer", node).encode());
   }
 
   /**
    * Acquires a machine with a hold record whose token is higher than any that its worker has seen.
    */
-  private void take(Report r, Answer answer) {
-    Holds.Hold hold = holds.of(r.host(), r.zone());
-    String self = membership.self();
-    if (store.down() || hold == null || self == null) {
+  private void acquire(Report r, Responder answer) {
+    HoldTable.Hold hold = holds.holdOf(r.host(), r.zone());
+    String self = membership.ownIncarnation();
+    if (store.unavailable() || hold == null || self == null) {
       // The incarnation may have ended while a response was awaited.
       answer.send(503, null, 1);
       return;
     }
     long token = Math.max(r.token(), hold.token()) + 1;
-    String mark = store.newMark();
-    Doc value = Holds.write(self, token, mark);
-    taking.put(r.host(), new ArrayList<>(List.of(new Waiter(r, answer))));
+    String mark = store.newWriteId();
+    Document value = HoldTable.write(self, token, mark);
+    acquiring.put(r.host(), new ArrayList<>(List.of(new PendingReport(r, answer))));
     store.tryTxn(
-        Holds.condition(new Txn(), r.host(), hold.stamp()).put(Holds.key(r.host()), value),
-        Store.Urgency.LEASE,
+        HoldTable.condition(new Txn(), r.host(), hold.revision())
+            .put(HoldTable.key(r.host()), value),
+        StateStore.RequestPriority.LEASE,
         result -> {
-          List<Waiter> waiting = taking.remove(r.host());
-          if (waiting == null || !self.equals(membership.self())) {
+          List<PendingReport> waiting = acquiring.remove(r.host());
+          if (waiting == null || !self.equals(membership.ownIncarnation())) {
             return;
           }
           if (!result.ok()) {
@@ -377,14 +389,14 @@
             waiting.forEach(pending -> pending.answer.send(503, null, 1));
             return;
           }
-          holds.wrote(r.host(), value, result.revision());
+          holds.applyWrite(r.host(), value, result.revision());
           released.remove(r.host());
           Machine m = new Machine(r, token, result.revision(), timers.now());
-          books.hold(m);
+          heldMachines.addMachine(m);
           // Another controller may have acquired the machine since, as the replica may have shown
           // before this response arrived.
-          books.holdChanged(r.host());
-          waiting.forEach(pending -> books.report(pending.report, pending.answer));
+          heldMachines.holdChanged(r.host());
+          waiting.forEach(pending -> heldMachines.report(pending.report, pending.answer));
         });
   }
 }
--- a/src/main/java/dev/dunefront/book/HoldChanges.java
+++ b/src/main/java/dev/dunefront/book/HoldChanges.java
@@ -7,23 +7,23 @@
 /** Updates or releases held machines when hold records or the roster change. */
 final class HoldChanges {
   private final Settings settings;
-  private final Holds holds;
-  private final Books books;
+  private final HoldTable holds;
+  private final HeldMachines heldMachines;
 
   /** Revision of the roster that determines the holders of machines without a record. */
-  private long rosterStamp;
+  private long rosterRevision;
 
-  HoldChanges(ControllerContext context, Books books) {
+  HoldChanges(ControllerContext context, HeldMachines books) {
     this.settings = context.settings();
     this.holds = context.holds();
-    this.books = books;
+    this.heldMachines = books;
   }
 
   /** Checks for a new roster; called several times a second. */
   void tick() {
-    long revision = holds.roster().stamp();
-    if (revision != rosterStamp) {
-      rosterStamp = revision;
+    long revision = holds.roster().revision();
+    if (revision != rosterRevision) {
+      rosterRevision = revision;
       rosterChanged();
     }
   }
@@ -32,27 +32,32 @@
    * This controller continues under a new incarnation. It keeps the machines that no other
    * controller has acquired meanwhile, since their records still name this node.
    */
-  void reborn() {
-    for (Machine m : List.copyOf(books.all())) {
-      Holds.Hold hold = holds.of(m.host, m.zone);
-      if (hold == null || hold.stamp() != m.holdStamp && !m.raising) {
-        books.dropHold(m, "another controller has acquired it");
+  void incarnationChanged() {
+    for (Machine m : List.copyOf(heldMachines.all())) {
+      HoldTable.Hold hold = holds.holdOf(m.host, m.zone);
+      if (hold == null || hold.revision() != m.holdRevision && !m.raisingToken) {
+        heldMachines.release(m, "another controller has acquired it");
       }
     }
   }
 
   /** The hold record of a machine has changed in the replica. */
-  void changed(String host) {
-    Machine m = books.held(host);
-    Holds.Hold hold = holds.get(host);
-    if (m != null && hold == null && m.holdStamp > 0 && !m.raising) {
+  void holdChanged(String host) {
+    Machine m = heldMachines.held(host);
+    HoldTable.Hold hold = holds.recordOf(host);
+    if (m != null && hold == null && m.holdRevision > 0 && !m.raisingToken) {
       // The records of deleted machines are removed after a while. Writes conditional on the
       // removed revision fail.
-      books.dropHold(m, "its hold record has been removed");
-    } else if (m != null && hold != null && hold.stamp() > m.holdStamp && !m.raising) {
-      if (hold.dead() || !holds.heldBy(settings.node(), hold) || hold.token() != m.token) {
-        books.dropHold(
-            m, hold.dead() ? "the machine is deleted" : "another controller has acquired it");
+      heldMachines.release(m, "its hold record has been removed");
+    } else if (m != null && hold != null && hold.revision() > m.holdRevision && !m.raisingToken) {
+      if (hold.machineDeleted()
+          || !holds.isHeldBy(settings.node(), hold)
+          || hold.token() != m.token) {
+        heldMachines.release(
+            m,
+            hold.machineDeleted()
+                ? "the machine is deleted"
+                : "another controller has acquired it");
       }
     }
   }
@@ -64,24 +69,24 @@
    * worker's next report or, as after a raised token, is never carried out.
    */
   private void rosterChanged() {
-    for (Machine m : List.copyOf(books.all())) {
-      if (m.holdStamp > 0 || m.holdStamp == -rosterStamp) {
+    for (Machine m : List.copyOf(heldMachines.all())) {
+      if (m.holdRevision > 0 || m.holdRevision == -rosterRevision) {
         continue;
       }
-      Holds.Hold hold = holds.of(m.host, m.zone);
-      if (m.raising || !holds.heldBy(settings.node(), hold) || !hold.natural()) {
-        books.dropHold(m, "the new roster assigns it to another controller");
+      HoldTable.Hold hold = holds.holdOf(m.host, m.zone);
+      if (m.raisingToken || !holds.isHeldBy(settings.node(), hold) || !hold.isDefault()) {
+        heldMachines.release(m, "the new roster assigns it to another controller");
       } else {
         m.token = hold.token();
-        m.holdStamp = hold.stamp();
-        m.settled = false;
-        m.ours = false;
-        m.doubt = false;
+        m.holdRevision = hold.revision();
+        m.tokenAcknowledged = false;
+        m.holdAcknowledged = false;
+        m.commandOutcomeUnknown = false;
         m.resumed = false;
-        m.fence.clear();
+        m.deniedAttempts.clear();
         m.offers.clear();
-        m.dirty = true;
-        books.act(m);
+        m.viewChanged = true;
+        heldMachines.reconcile(m);
       }
     }
   }
--- a/src/main/java/dev/dunefront/book/Holds.java
+++ b/src/main/java/dev/dunefront/book/HoldTable.java
@@ -3,10 +3,10 @@
 import dev.dunefront.config.Settings;
 import dev.dunefront.store.Membership;
 import dev.dunefront.store.Replica;
-import dev.dunefront.store.Store;
+import dev.dunefront.store.StateStore;
 import dev.dunefront.store.Txn;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import java.lang.System.Logger.Level;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -23,36 +23,43 @@
  * condition that there is none. Hundreds of machines that start at once are therefore held without
  * a write, and never by more than one controller each.
  */
-public final class Holds {
+public final class HoldTable {
   public static final String PREFIX = Replica.PREFIX + "h/";
 
-  private static final System.Logger LOG = System.getLogger(Holds.class.getName());
+  private static final System.Logger LOG = System.getLogger(HoldTable.class.getName());
 
   /** Key of the roster, the controllers that share the machines without a record. */
-  public static final String ROSTER = Replica.PREFIX + "roster";
+  public static final String ROSTER_KEY = Replica.PREFIX + "roster";
 
   /**
    * Which controller holds a machine, and under which fencing token.
    *
    * @param holder incarnation of the controller, empty if there is none
-   * @param dead whether the cloud has confirmed the deletion of the machine
-   * @param deadAtMs wall-clock time of that confirmation in milliseconds, 0 if none was recorded
-   * @param stamp revision of the record; if there is no record, the negated revision of the roster
+   * @param machineDeleted whether the cloud has confirmed the deletion of the machine
+   * @param machineDeletedAtMs wall-clock time of that confirmation in milliseconds, 0 if none was
+   *     recorded
+   * @param revision revision of the record; if there is no record, the negated revision of the
+   *     roster
    */
   public record Hold(
-      String host, String holder, long token, boolean dead, long deadAtMs, long stamp) {
+      String host,
+      String holder,
+      long token,
+      boolean machineDeleted,
+      long machineDeletedAtMs,
+      long revision) {
     /** Whether this is the default hold of a machine without a record. */
-    boolean natural() {
-      return stamp < 0;
+    boolean isDefault() {
+      return revision < 0;
     }
   }
 
-  private final Map<String, Hold> all = new HashMap<>();
+  private final Map<String, Hold> records = new HashMap<>();
 
   /** Records of deleted machines, in the order in which the deletions were seen. */
-  private final Map<String, Hold> dead = new LinkedHashMap<>();
+  private final Map<String, Hold> deletedMachines = new LinkedHashMap<>();
 
-  private final Map<String, String> natural = new HashMap<>();
+  private final Map<String, String> defaultHolders = new HashMap<>();
   private final Replica replica;
   private Roster roster = Roster.NONE;
 
@@ -60,32 +67,32 @@
    * A newer roster, until the replica has caught up with all that was written before it; otherwise
    * null.
    */
-  private Roster coming;
+  private Roster nextRoster;
 
-  private boolean establishing;
+  private boolean creatingRoster;
   private Consumer<String> listener = host -> {};
 
-  public Holds(Replica replica) {
+  public HoldTable(Replica replica) {
     this.replica = replica;
-    replica.listen(
+    replica.addListener(
         PREFIX,
         (host, value, revision) -> {
           Hold hold = value == null ? null : read(host, value, revision);
           if (hold == null) {
-            all.remove(host);
+            records.remove(host);
           } else {
-            all.put(host, hold);
+            records.put(host, hold);
           }
-          if (hold != null && hold.dead) {
-            dead.put(host, hold);
+          if (hold != null && hold.machineDeleted) {
+            deletedMachines.put(host, hold);
           } else {
-            dead.remove(host);
+            deletedMachines.remove(host);
           }
           // Computed again on demand; otherwise entries of removed machines would accumulate.
-          natural.remove(host);
+          defaultHolders.remove(host);
           listener.accept(host);
         });
-    replica.listen(ROSTER, (suffix, value, revision) -> enrol(value, revision));
+    replica.addListener(ROSTER_KEY, (suffix, value, revision) -> rosterChanged(value, revision));
   }
 
   /**
@@ -93,7 +100,7 @@
    * so that the controller to which the worker reports acquires the machine and writes a valid
    * record.
    */
-  private static Hold read(String host, Doc value, long revision) {
+  private static Hold read(String host, Document value, long revision) {
     try {
       return new Hold(
           host,
@@ -102,31 +109,31 @@
           value.flagOr("dead", false),
           value.countOr("at", 0),
           revision);
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       LOG.log(Level.ERROR, "cannot read the hold record of {0}: {1}", host, e.getMessage());
       return new Hold(host, "", 0, false, 0, revision);
     }
   }
 
-  private void enrol(Doc value, long revision) {
+  private void rosterChanged(Document value, long revision) {
     if (value == null) {
       return;
     }
     try {
       Roster next = Roster.read(value, revision);
       if (roster.members().isEmpty()) {
-        adopt(next);
+        useRoster(next);
       } else {
-        coming = next;
+        nextRoster = next;
       }
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       LOG.log(Level.ERROR, "cannot read the roster: {0}", e.getMessage());
     }
   }
 
-  private void adopt(Roster next) {
+  private void useRoster(Roster next) {
     roster = next;
-    natural.clear();
+    defaultHolders.clear();
     LOG.log(Level.INFO, "the roster names {0} controllers", next.members().size());
   }
 
@@ -135,9 +142,9 @@
    * machine that was acquired in the previous epoch must not get a default holder in the next.
    */
   public Roster roster() {
-    if (coming != null && replica.seen() >= coming.stamp()) {
-      adopt(coming);
-      coming = null;
+    if (nextRoster != null && replica.appliedRevision() >= nextRoster.revision()) {
+      useRoster(nextRoster);
+      nextRoster = null;
     }
     return roster;
   }
@@ -148,30 +155,30 @@
    */
   public static Txn condition(Txn txn, String host, long revision) {
     return revision < 0
-        ? txn.when(key(host), 0).when(ROSTER, -revision)
-        : txn.when(key(host), revision);
+        ? txn.requireRevision(key(host), 0).requireRevision(ROSTER_KEY, -revision)
+        : txn.requireRevision(key(host), revision);
   }
 
   /**
    * Writes the initial roster if there is none. The first controller to write it determines it for
    * all.
    */
-  public void establish(Settings settings, Store store) {
-    if (!roster.members().isEmpty() || establishing || !replica.ready()) {
+  public void createRoster(Settings settings, StateStore store) {
+    if (!roster.members().isEmpty() || creatingRoster || !replica.ready()) {
       return;
     }
-    establishing = true;
+    creatingRoster = true;
     List<Roster.Member> members = new ArrayList<>();
     members.add(new Roster.Member(settings.node(), settings.zone()));
     settings.peers().forEach(p -> members.add(new Roster.Member(p.node(), p.zone())));
-    Doc value = new Roster(members, 1, 0).write();
+    Document value = new Roster(members, 1, 0).write();
     store.tryTxn(
-        new Txn().when(ROSTER, 0).put(ROSTER, value),
-        Store.Urgency.LEASE,
+        new Txn().requireRevision(ROSTER_KEY, 0).put(ROSTER_KEY, value),
+        StateStore.RequestPriority.LEASE,
         result -> {
-          establishing = false;
+          creatingRoster = false;
           if (result.ok()) {
-            replica.apply(ROSTER, value, result.revision());
+            replica.apply(ROSTER_KEY, value, result.revision());
           }
         });
   }
@@ -185,40 +192,40 @@
   }
 
   /** The records of deleted machines, oldest first. */
-  public Collection<Hold> dead() {
-    return dead.values();
+  public Collection<Hold> deletedMachines() {
+    return deletedMachines.values();
   }
 
   /** All hold records. */
-  public Collection<Hold> recorded() {
-    return all.values();
+  public Collection<Hold> records() {
+    return records.values();
   }
 
   /** The hold record of a machine, or null if there is none. */
-  public Hold get(String host) {
-    return all.get(host);
+  public Hold recordOf(String host) {
+    return records.get(host);
   }
 
   /** The hold of a machine, by its record or by default; null only while the roster is unknown. */
-  public Hold of(String host, String zone) {
-    Hold recorded = all.get(host);
+  public Hold holdOf(String host, String zone) {
+    Hold recorded = records.get(host);
     if (recorded != null) {
       return recorded;
     }
     Roster current = roster();
-    String holder = natural.computeIfAbsent(host, h -> current.holder(h, zone));
+    String holder = defaultHolders.computeIfAbsent(host, h -> current.defaultHolder(h, zone));
     return holder == null
         ? null
-        : new Hold(host, holder + "#0", current.token(), false, 0, -current.stamp());
+        : new Hold(host, holder + "#0", current.defaultToken(), false, 0, -current.revision());
   }
 
   /**
    * Whether the hold belongs to this node, in any of its incarnations. False for null and for a
    * deleted machine.
    */
-  boolean heldBy(String node, Hold hold) {
+  boolean isHeldBy(String node, Hold hold) {
     return hold != null
-        && !hold.dead()
+        && !hold.machineDeleted()
         && !hold.holder().isEmpty()
         && Membership.nodeOf(hold.holder()).equals(node);
   }
@@ -229,27 +236,30 @@
    * @throws IllegalArgumentException if the holder has no node name, since no controller could
    *     resolve such a record
    */
-  static Doc write(String holder, long token, String mark) {
+  static Document write(String holder, long token, String mark) {
     if (Membership.nodeOf(holder).isEmpty()) {
       throw new IllegalArgumentException("hold record without a holder");
     }
-    return Doc.of().put("holder", holder).put("baton", token).put(Store.MARK, mark);
+    return Document.create()
+        .put("holder", holder)
+        .put("baton", token)
+        .put(StateStore.WRITE_ID_FIELD, mark);
   }
 
   /**
    * Returns the record of a machine whose deletion the cloud has confirmed at the given wall-clock
    * time in milliseconds.
    */
-  public static Doc writeDead(long atMs, String mark) {
-    return Doc.of().put("dead", true).put("at", atMs).put(Store.MARK, mark);
+  public static Document writeDeleted(long atMs, String mark) {
+    return Document.create().put("dead", true).put("at", atMs).put(StateStore.WRITE_ID_FIELD, mark);
   }
 
   /** Adds the replacement of the current roster to a transaction, conditional on its revision. */
-  public static Txn change(Txn txn, Roster current, Roster next) {
-    return txn.when(ROSTER, current.stamp()).put(ROSTER, next.write());
+  public static Txn replaceRoster(Txn txn, Roster current, Roster next) {
+    return txn.requireRevision(ROSTER_KEY, current.revision()).put(ROSTER_KEY, next.write());
   }
 
-  void wrote(String host, Doc value, long revision) {
+  void applyWrite(String host, Document value, long revision) {
     replica.apply(key(host), value, revision);
   }
 }
--- a/src/main/java/dev/dunefront/book/Machine.java
+++ b/src/main/java/dev/dunefront/book/Machine.java
@@ -1,15 +1,15 @@
 package dev.dunefront.book;
 
-import dev.dunefront.evidence.Blame;
-import dev.dunefront.evidence.Freshness;
+import dev.dunefront.evidence.FailureScore;
+import dev.dunefront.evidence.ReportSequence;
 import dev.dunefront.evidence.Responsiveness;
+import dev.dunefront.peer.Message.ExitReason;
+import dev.dunefront.peer.Message.MachineView;
 import dev.dunefront.peer.Message.State;
-import dev.dunefront.peer.Message.TaskState;
-import dev.dunefront.peer.Message.View;
-import dev.dunefront.peer.Message.Why;
+import dev.dunefront.peer.Message.TaskStatus;
 import dev.dunefront.wire.MachineType;
 import dev.dunefront.wire.Report;
-import dev.dunefront.wire.Size;
+import dev.dunefront.wire.Resources;
 import dev.dunefront.wire.TaskId;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -28,19 +28,19 @@
    * A start that the worker has not confirmed yet. {@code sentUnder} is the token under which the
    * order was sent, 0 if it has not been sent.
    */
-  static final class Pending {
+  static final class PendingStart {
     final long attempt;
-    long sentUnder;
+    long sentUnderToken;
 
-    Pending(long attempt) {
+    PendingStart(long attempt) {
       this.attempt = attempt;
     }
   }
 
   /** An offer that is neither taken, declined nor expired. */
-  record Offered(String node, String job, Size size, double until) {
-    Offered until(double later) {
-      return new Offered(node, job, size, later);
+  record OutstandingOffer(String node, String job, Resources size, double expiresAt) {
+    OutstandingOffer expiresAt(double later) {
+      return new OutstandingOffer(node, job, size, later);
     }
   }
 
@@ -48,25 +48,25 @@
    * A stop or clear of an attempt, which is sent repeatedly until the worker's report shows its
    * effect.
    */
-  static final class Wish {
+  static final class RepeatedCommand {
     private static final double NEVER = Double.NEGATIVE_INFINITY;
 
     final long attempt;
     final double graceS;
 
     /** When it was requested; used for clears only. */
-    final double since;
+    final double requestedAt;
 
-    double sentAt = NEVER;
+    double lastSentAt = NEVER;
 
-    Wish(long attempt, double graceS, double since) {
+    RepeatedCommand(long attempt, double graceS, double since) {
       this.attempt = attempt;
       this.graceS = graceS;
-      this.since = since;
+      this.requestedAt = since;
     }
 
     boolean sent() {
-      return sentAt != NEVER;
+      return lastSentAt != NEVER;
     }
   }
 
@@ -76,56 +76,56 @@
   final String zone;
   final boolean spot;
   long token;
-  long holdStamp;
+  long holdRevision;
   long session;
-  double heard;
+  double lastContactAt;
 
   /**
    * When its session was first seen, in a report, in a response or in a message of another
    * controller, or when the worker first reported a token of this hold, if that was later.
    */
-  double begun;
+  double sessionStartedAt;
 
   /** The sequence of reports and responses received so far, which identifies stale reports. */
-  Freshness fresh = Freshness.NONE;
+  ReportSequence reportSequence = ReportSequence.NONE;
 
   /** Whether messages to it arrive. */
-  Responsiveness responsiveness = Responsiveness.GOOD;
+  Responsiveness responsiveness = Responsiveness.INITIAL;
 
   /** A status request is in progress. */
-  boolean questioned;
+  boolean statusCheckPending;
 
   /** When a report of it was last answered. */
-  double answered = Double.NEGATIVE_INFINITY;
+  double lastAnsweredAt = Double.NEGATIVE_INFINITY;
 
   /** Remaining time until the provider reclaims it, as last reported; null without a notice. */
-  Double noticeS;
+  Double reclaimNoticeS;
 
   /** When that was reported. */
-  double noticeAt;
+  double reclaimNoticeAt;
 
   /** When it was last checked for pending work. */
-  double looked;
+  double lastCheckedAt;
 
   /** The worker has reported under the current token. */
-  boolean settled;
+  boolean tokenAcknowledged;
 
   /**
    * The worker has reported under a token of this hold, so no other controller can renew its lease.
    */
-  boolean ours;
+  boolean holdAcknowledged;
 
   /** The lease of its session has expired. */
-  boolean lost;
+  boolean leaseExpired;
 
   /** It is unknown whether a start that was sent has been or will be carried out. */
-  boolean doubt;
+  boolean commandOutcomeUnknown;
 
   /** A write that raises its token is in progress. */
-  boolean raising;
+  boolean raisingToken;
 
   /** A request with orders is in progress. */
-  boolean ordering;
+  boolean commandsInFlight;
 
   /** Until when it is closed because it is to be returned to the provider; 0 if it is not. */
   double retiringUntil;
@@ -137,43 +137,43 @@
   private long idleSinceMs;
 
   /** The controller to which its next report is redirected, or null. */
-  String sendTo;
+  String redirectTo;
 
   /** Orders of an earlier incarnation of this controller may still be in transit to the worker. */
   boolean resumed;
 
   final Map<TaskId, Report.Task> tasks = new LinkedHashMap<>();
-  final Map<TaskId, Pending> pending = new LinkedHashMap<>();
+  final Map<TaskId, PendingStart> pendingStarts = new LinkedHashMap<>();
   final Map<TaskId, Double> startedAt = new HashMap<>();
-  final Map<TaskId, Wish> stops = new HashMap<>();
-  final Map<TaskId, Wish> clears = new HashMap<>();
+  final Map<TaskId, RepeatedCommand> pendingStops = new HashMap<>();
+  final Map<TaskId, RepeatedCommand> pendingClears = new HashMap<>();
 
   /** The highest denied attempt of each task; a start of that or an earlier one is refused. */
-  final Map<TaskId, Long> fence = new HashMap<>();
+  final Map<TaskId, Long> deniedAttempts = new HashMap<>();
 
-  final Map<Long, Offered> offers = new HashMap<>();
+  final Map<Long, OutstandingOffer> offers = new HashMap<>();
 
   /** Evidence from failed tasks that it is faulty, collected since a task last completed on it. */
-  Blame blame = Blame.NONE;
+  FailureScore failureScore = FailureScore.NONE;
 
-  final Set<String> images = new LinkedHashSet<>();
+  final Set<String> cachedImages = new LinkedHashSet<>();
   final WantBook book = new WantBook();
   boolean quarantined;
 
   /** Its state has changed since the last view that was published. */
-  boolean dirty = true;
+  boolean viewChanged = true;
 
   /** Its view is scheduled to be published. */
-  boolean telling;
+  boolean publishScheduled;
 
   /** Its most recent view, without tasks; null before the first. */
-  View latest;
+  MachineView latestView;
 
   /** When that view was built. */
-  double latestAt;
+  double latestViewAt;
 
   /** The view that was last sent to each controller. */
-  final Map<String, View> toldTo = new HashMap<>();
+  final Map<String, MachineView> lastViewByNode = new HashMap<>();
 
   Machine(Report r, long token, long holdStamp, double now) {
     this.host = r.host();
@@ -182,19 +182,19 @@
     this.zone = r.zone();
     this.spot = r.spot();
     this.token = token;
-    this.holdStamp = holdStamp;
-    this.heard = now;
+    this.holdRevision = holdStamp;
+    this.lastContactAt = now;
   }
 
   /** Whether tasks may be placed on it. */
   boolean open() {
-    return settled
-        && !lost
+    return tokenAcknowledged
+        && !leaseExpired
         && !quarantined
-        && !doubt
-        && !raising
+        && !commandOutcomeUnknown
+        && !raisingToken
         && responsiveness.trusted()
-        && noticeS == null
+        && reclaimNoticeS == null
         && retiringUntil == 0;
   }
 
@@ -202,8 +202,8 @@
    * The latest time at which the lease of its session can have been renewed, as far as this
    * controller knows.
    */
-  double renewed() {
-    return Math.max(heard, begun);
+  double leaseRenewedAt() {
+    return Math.max(lastContactAt, sessionStartedAt);
   }
 
   /** Whether it is closed because it is to be returned to the provider. */
@@ -213,7 +213,7 @@
 
   /** Wall-clock time in milliseconds since when it has been idle; 0 while it is not. */
   long idleSince(long nowMs) {
-    if (!unfinished().isEmpty() || !open() && retiringUntil == 0) {
+    if (!unfinishedTasks().isEmpty() || !open() && retiringUntil == 0) {
       idleSinceMs = 0;
     } else if (idleSinceMs == 0) {
       idleSinceMs = nowMs;
@@ -225,19 +225,19 @@
    * Free room on a machine of this type. None if the type is null or the size of any task on it is
    * unknown.
    */
-  Size free(MachineType type, java.util.function.Function<String, Size> sizes) {
+  Resources freeRoom(MachineType type, java.util.function.Function<String, Resources> sizes) {
     if (type == null) {
-      return Size.NONE;
+      return Resources.NONE;
     }
-    Size free = type.size();
-    for (TaskId id : unfinished()) {
-      Size s = sizes.apply(id.job());
+    Resources free = type.resources();
+    for (TaskId id : unfinishedTasks()) {
+      Resources s = sizes.apply(id.job());
       if (s == null) {
-        return Size.NONE;
+        return Resources.NONE;
       }
       free = free.minus(s);
     }
-    for (Offered o : offers.values()) {
+    for (OutstandingOffer o : offers.values()) {
       free = free.minus(o.size());
     }
     return free;
@@ -247,26 +247,26 @@
    * Requests the stop of an attempt with a grace period for its checkpoint, in seconds. A shorter
    * grace period replaces a longer one.
    */
-  void stop(TaskId id, long attempt, double graceS) {
-    Wish old = stops.get(id);
+  void requestStop(TaskId id, long attempt, double graceS) {
+    RepeatedCommand old = pendingStops.get(id);
     if (old == null || old.attempt != attempt || old.graceS > graceS) {
-      stops.put(id, new Wish(attempt, graceS, heard));
+      pendingStops.put(id, new RepeatedCommand(attempt, graceS, lastContactAt));
     }
   }
 
   /** Whether orders, starts or offers are outstanding that a change of the holder would disturb. */
-  boolean busy() {
-    return ordering || !pending.isEmpty() || !offers.isEmpty();
+  boolean startsInProgress() {
+    return commandsInFlight || !pendingStarts.isEmpty() || !offers.isEmpty();
   }
 
   /** Whether a task of the job is on the machine or about to start. */
-  boolean has(String job) {
+  boolean hasTaskOf(String job) {
     for (TaskId id : tasks.keySet()) {
       if (id.job().equals(job)) {
         return true;
       }
     }
-    for (TaskId id : pending.keySet()) {
+    for (TaskId id : pendingStarts.keySet()) {
       if (id.job().equals(job)) {
         return true;
       }
@@ -275,14 +275,14 @@
   }
 
   /** Tasks that occupy room on the machine or are about to start. */
-  List<TaskId> unfinished() {
+  List<TaskId> unfinishedTasks() {
     List<TaskId> all = new ArrayList<>();
     for (Report.Task t : tasks.values()) {
       if (!t.exited()) {
         all.add(t.id());
       }
     }
-    for (TaskId id : pending.keySet()) {
+    for (TaskId id : pendingStarts.keySet()) {
       if (!tasks.containsKey(id) || tasks.get(id).exited()) {
         all.add(id);
       }
@@ -291,8 +291,8 @@
   }
 
   /** The states of its tasks and pending starts, as sent to their claimants. */
-  List<TaskState> states() {
-    List<TaskState> all = new ArrayList<>();
+  List<TaskStatus> taskStates() {
+    List<TaskStatus> all = new ArrayList<>();
     for (Report.Task t : tasks.values()) {
       State state =
           switch (t.state()) {
@@ -301,21 +301,22 @@
             case "exited" -> State.EXITED;
             default -> State.RUNNING;
           };
-      Why why =
-          switch (t.why()) {
-            case "" -> Why.NONE;
-            case "done" -> Why.DONE;
-            case "error" -> Why.FAILED;
-            case "stopped" -> Why.STOPPED;
-            default -> Why.REFUSED;
+      ExitReason why =
+          switch (t.exitReason()) {
+            case "" -> ExitReason.NONE;
+            case "done" -> ExitReason.DONE;
+            case "error" -> ExitReason.FAILED;
+            case "stopped" -> ExitReason.STOPPED;
+            default -> ExitReason.REFUSED;
           };
-      all.add(new TaskState(t.id().job(), t.id().number(), t.attempt(), state, why));
+      all.add(new TaskStatus(t.id().job(), t.id().number(), t.attempt(), state, why));
     }
-    pending.forEach(
+    pendingStarts.forEach(
         (id, p) -> {
           Report.Task t = tasks.get(id);
           if (t == null || t.attempt() != p.attempt) {
-            all.add(new TaskState(id.job(), id.number(), p.attempt, State.PENDING, Why.NONE));
+            all.add(
+                new TaskStatus(id.job(), id.number(), p.attempt, State.PENDING, ExitReason.NONE));
           }
         });
     return all;
--- a/src/main/java/dev/dunefront/book/Preemption.java
+++ b/src/main/java/dev/dunefront/book/Preemption.java
@@ -1,7 +1,7 @@
 package dev.dunefront.book;
 
 import dev.dunefront.claim.ControllerContext;
-import dev.dunefront.fleet.Catalog;
+import dev.dunefront.fleet.MachineCatalog;
 import dev.dunefront.job.JobTable;
 import dev.dunefront.net.Timers;
 import dev.dunefront.peer.Message;
@@ -9,7 +9,7 @@
 import dev.dunefront.wire.MachineType;
 import dev.dunefront.wire.Priority;
 import dev.dunefront.wire.Report;
-import dev.dunefront.wire.Size;
+import dev.dunefront.wire.Resources;
 import java.lang.System.Logger.Level;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -20,17 +20,17 @@
   private static final System.Logger LOG = System.getLogger(Preemption.class.getName());
 
   /** Tasks that have run for less than this may be preempted, in seconds: they lose little work. */
-  static final double YOUNG_S = 20;
+  static final double MAX_PREEMPTIBLE_RUNTIME_S = 20;
 
   /** A preempted task has at most this many times the CPUs of the task that it makes room for. */
-  private static final int MUCH_LARGER = 2;
+  private static final int MAX_SIZE_RATIO = 2;
 
   /**
    * Tasks that checkpoint and may always be preempted run for at least this long first, in seconds.
    * With earlier preemption users would see no start, and fetching and saving would be all that
    * such a task does.
    */
-  private static final double LEAVE_S = 30;
+  private static final double MIN_RUNTIME_S = 30;
 
   /**
    * Grace period for a checkpoint in addition to the time that the job specifies for it, in
@@ -39,28 +39,28 @@
   private static final double SAVE_MARGIN_S = 1;
 
   private final JobTable jobs;
-  private final Catalog catalog;
+  private final MachineCatalog catalog;
   private final Timers timers;
-  private final Views views;
+  private final ViewPublisher viewPublisher;
 
-  Preemption(ControllerContext context, Views views) {
+  Preemption(ControllerContext context, ViewPublisher views) {
     this.jobs = context.jobs();
     this.catalog = context.catalog();
     this.timers = context.timers();
-    this.views = views;
+    this.viewPublisher = views;
   }
 
   /**
    * Stops tasks of lower priority until there is room for the requested tasks: first those that may
    * always be preempted, then the youngest, which lose the least work.
    */
-  void stopYoung(Machine m, Message.Preempt request) {
+  void preempt(Machine m, Message.Preempt request) {
     MachineType type = catalog.type(m.typeName);
     if (type == null || !m.open()) {
       return;
     }
     double now = timers.now();
-    Size room = m.free(type, views::sizeOf);
+    Resources room = m.freeRoom(type, viewPublisher::sizeOf);
     List<Report.Task> victims = new ArrayList<>();
     List<Report.Task> chosen = new ArrayList<>();
     for (Report.Task t : m.tasks.values()) {
@@ -69,35 +69,39 @@
         continue;
       }
       JobSpec spec = e.record().spec();
-      if (m.stops.containsKey(t.id())) {
-        room = room.plus(spec.size());
-      } else if (yields(spec)) {
-        if (spec.priority().ordinal() > request.priority() && ranS(m, t, now) >= LEAVE_S) {
+      if (m.pendingStops.containsKey(t.id())) {
+        room = room.plus(spec.taskResources());
+      } else if (alwaysPreemptible(spec)) {
+        if (spec.priority().ordinal() > request.priority()
+            && runtimeS(m, t, now) >= MIN_RUNTIME_S) {
           chosen.add(t);
         }
       } else if (spec.priority().ordinal() > request.priority()
           && !spec.service()
           // A task is preempted only in its first attempt, so that it completes eventually.
           && t.attempt() == 1
-          && spec.size().cpu() <= MUCH_LARGER * request.size().cpu()
-          && ranS(m, t, now) < YOUNG_S) {
+          && spec.taskResources().cpu() <= MAX_SIZE_RATIO * request.size().cpu()
+          && runtimeS(m, t, now) < MAX_PREEMPTIBLE_RUNTIME_S) {
         victims.add(t);
       }
     }
     victims.sort(Comparator.comparingDouble(t -> -m.startedAt.get(t.id())));
     chosen.addAll(victims);
     for (Report.Task t : chosen) {
-      if (request.size().timesIn(room) >= request.count()) {
+      if (request.size().countFittingIn(room) >= request.count()) {
         break;
       }
       JobSpec spec = jobs.get(t.id().job()).record().spec();
-      room = room.plus(spec.size());
+      room = room.plus(spec.taskResources());
       LOG.log(Level.DEBUG, "preempting {0} on {1} for a task of higher priority", t.id(), m.host);
-      m.stop(t.id(), t.attempt(), yields(spec) ? spec.saveS() + SAVE_MARGIN_S : 0);
+      m.requestStop(
+          t.id(),
+          t.attempt(),
+          alwaysPreemptible(spec) ? spec.checkpointDurationS() + SAVE_MARGIN_S : 0);
     }
   }
 
-  private static double ranS(Machine m, Report.Task t, double now) {
+  private static double runtimeS(Machine m, Report.Task t, double now) {
     return now - m.startedAt.getOrDefault(t.id(), Double.NEGATIVE_INFINITY);
   }
 
@@ -106,7 +110,9 @@
    * of times: they have the lowest priority, which is meant for idle room, and keep their progress
    * through checkpoints.
    */
-  static boolean yields(JobSpec spec) {
-    return spec.priority() == Priority.BEST_EFFORT && spec.checkpointS() > 0 && !spec.service();
+  static boolean alwaysPreemptible(JobSpec spec) {
+    return spec.priority() == Priority.BEST_EFFORT
+        && spec.checkpointIntervalS() > 0
+        && !spec.service();
   }
 }
--- a/src/main/java/dev/dunefront/book/Roster.java
+++ b/src/main/java/dev/dunefront/book/Roster.java
@@ -1,7 +1,7 @@
 package dev.dunefront.book;
 
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -14,10 +14,10 @@
  * from.
  *
  * @param epoch number of the roster, counted from 1
- * @param stamp revision of the roster record. Writes about a machine without a hold record are
+ * @param revision revision of the roster record. Writes about a machine without a hold record are
  *     conditional on it
  */
-public record Roster(List<Member> members, long epoch, long stamp) {
+public record Roster(List<Member> members, long epoch, long revision) {
   /** A controller and its zone. */
   public record Member(String node, String zone) {}
 
@@ -27,27 +27,27 @@
    * Each epoch has two to this power tokens, far more than the number of times a machine's token is
    * raised in it.
    */
-  private static final int EPOCH_BITS = 32;
+  private static final int TOKEN_BITS_PER_EPOCH = 32;
 
   /** The token under which machines without a record are held in this epoch. */
-  long token() {
-    return (epoch - 1 << EPOCH_BITS) + 1;
+  long defaultToken() {
+    return (epoch - 1 << TOKEN_BITS_PER_EPOCH) + 1;
   }
 
-  static Roster read(Doc value, long revision) throws BadMessage {
+  static Roster read(Document value, long revision) throws MalformedMessageException {
     List<Member> members = new ArrayList<>();
     List<String> zones = value.texts("zones");
     for (String node : value.texts("nodes")) {
       if (members.size() == zones.size()) {
-        throw new BadMessage("roster has a controller without a zone");
+        throw new MalformedMessageException("roster has a controller without a zone");
       }
       members.add(new Member(node, zones.get(members.size())));
     }
     return new Roster(members, value.countOr("epoch", 1), revision);
   }
 
-  Doc write() {
-    return Doc.of()
+  Document write() {
+    return Document.create()
         .put("nodes", members.stream().map(Member::node).toList())
         .put("zones", members.stream().map(Member::zone).toList())
         .put("epoch", epoch);
@@ -57,7 +57,7 @@
    * The node that holds a machine without a record, chosen by rendezvous hashing; null if the
    * roster is empty.
    */
-  String holder(String host, String zone) {
+  String defaultHolder(String host, String zone) {
     Member best = null;
     boolean bestInZone = false;
     int bestHash = 0;
@@ -95,23 +95,23 @@
     for (Member m : members) {
       String zone = settled.get(m.node);
       if (zone != null && !zone.equals(m.zone)) {
-        return with(m, new Member(m.node, zone));
+        return replacing(m, new Member(m.node, zone));
       }
     }
     for (String node : settled.keySet().stream().sorted().toList()) {
       if (members.stream().noneMatch(m -> m.node.equals(node))) {
-        return with(null, new Member(node, settled.get(node)));
+        return replacing(null, new Member(node, settled.get(node)));
       }
     }
     for (Member m : members) {
       if (!present.contains(m.node) && !named.contains(m.node) && members.size() > 1) {
-        return with(m, null);
+        return replacing(m, null);
       }
     }
     return null;
   }
 
-  private Roster with(Member removed, Member added) {
+  private Roster replacing(Member removed, Member added) {
     List<Member> next = new ArrayList<>(members);
     next.remove(removed);
     if (added != null) {
--- a/src/main/java/dev/dunefront/book/Interests.java
+++ b/src/main/java/dev/dunefront/book/ViewSubscriptions.java
@@ -1,6 +1,6 @@
 package dev.dunefront.book;
 
-import dev.dunefront.peer.Detail;
+import dev.dunefront.peer.ViewDetail;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -9,35 +9,35 @@
  * current subscription receives everything: a lost, late or outdated subscription may cost extra
  * messages until it is renewed, but it never hides free room permanently.
  */
-final class Interests {
+final class ViewSubscriptions {
   /** Lifetime of a subscription, in seconds. It is renewed several times within that. */
-  static final double LAPSE_S = 10;
+  static final double SUBSCRIPTION_TTL_S = 10;
 
-  private record Declared(Detail detail, double at) {}
+  private record Subscription(ViewDetail detail, double receivedAt) {}
 
-  private final Map<String, Declared> byNode = new HashMap<>();
+  private final Map<String, Subscription> byNode = new HashMap<>();
 
   /**
    * A controller subscribes to a level of detail.
    *
    * @return whether it now receives more than before
    */
-  boolean declared(String node, Detail detail, double now) {
-    Detail before = of(node, now);
-    byNode.put(node, new Declared(detail, now));
+  boolean subscribe(String node, ViewDetail detail, double now) {
+    ViewDetail before = detailFor(node, now);
+    byNode.put(node, new Subscription(detail, now));
     return detail.compareTo(before) > 0;
   }
 
   /** The level of detail that a controller receives at this time. */
-  Detail of(String node, double now) {
-    Declared subscription = byNode.get(node);
-    return subscription == null || now - subscription.at > LAPSE_S
-        ? Detail.LOAD
+  ViewDetail detailFor(String node, double now) {
+    Subscription subscription = byNode.get(node);
+    return subscription == null || now - subscription.receivedAt > SUBSCRIPTION_TTL_S
+        ? ViewDetail.FULL
         : subscription.detail;
   }
 
   /** The connection to a controller has closed. */
-  void gone(String node) {
+  void remove(String node) {
     byNode.remove(node);
   }
 }
--- a/src/main/java/dev/dunefront/book/WantBook.java
+++ b/src/main/java/dev/dunefront/book/WantBook.java
@@ -1,6 +1,6 @@
 package dev.dunefront.book;
 
-import dev.dunefront.wire.Size;
+import dev.dunefront.wire.Resources;
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
@@ -21,17 +21,17 @@
   static final class Want {
     final String node;
     final String job;
-    final double since;
+    final double queuedAt;
     int priority;
     int rank;
-    Size size;
+    Resources size;
     int count;
 
     Want(String node, String job, int priority, double since) {
       this.node = node;
       this.job = job;
       this.priority = priority;
-      this.since = since;
+      this.queuedAt = since;
     }
   }
 
@@ -39,16 +39,16 @@
   private final List<Want> wants = new ArrayList<>();
 
   /** For each priority, the controllers in the order in which they are served next. */
-  private final List<List<String>> rings = new ArrayList<>();
+  private final List<List<String>> rotations = new ArrayList<>();
 
   WantBook() {
     for (int i = 0; i < PRIORITIES; i++) {
-      rings.add(new ArrayList<>());
+      rotations.add(new ArrayList<>());
     }
   }
 
   /** Adds or updates the want of a controller for a job; a count of 0 removes it. */
-  void park(String node, String job, int priority, int rank, Size size, int count, double now) {
+  void put(String node, String job, int priority, int rank, Resources size, int count, double now) {
     Want want = null;
     for (Iterator<Want> iterator = wants.iterator(); iterator.hasNext() && want == null; ) {
       Want existing = iterator.next();
@@ -66,8 +66,8 @@
       want = new Want(node, job, priority, now);
       wants.add(want);
     }
-    if (!rings.get(priority).contains(node)) {
-      rings.get(priority).add(0, node);
+    if (!rotations.get(priority).contains(node)) {
+      rotations.get(priority).add(0, node);
     }
     want.priority = priority;
     want.rank = rank;
@@ -75,12 +75,12 @@
     want.count = count;
   }
 
-  void drop(String node) {
+  void removeController(String node) {
     wants.removeIf(w -> w.node.equals(node));
-    rings.forEach(r -> r.remove(node));
+    rotations.forEach(r -> r.remove(node));
   }
 
-  void dropJob(String job) {
+  void removeJob(String job) {
     wants.removeIf(w -> w.job.equals(job));
   }
 
@@ -96,30 +96,30 @@
    * @param room free room of the machine
    * @param whole total room of the machine
    */
-  Want take(Size room, Size whole, double reserveBefore) {
+  Want take(Resources room, Resources whole, double reserveBefore) {
     Want best = null;
     int bestTurn = 0;
     Want reserving = null;
     for (Want w : wants) {
-      if (best != null && level(w) > level(best)) {
+      if (best != null && servingOrder(w) > servingOrder(best)) {
         continue;
       }
-      if (w.size.fits(room)) {
-        int turn = rings.get(w.priority).indexOf(w.node);
-        if (best == null || level(w) < level(best) || turn < bestTurn) {
+      if (w.size.fitsIn(room)) {
+        int turn = rotations.get(w.priority).indexOf(w.node);
+        if (best == null || servingOrder(w) < servingOrder(best) || turn < bestTurn) {
           best = w;
           bestTurn = turn;
         }
-      } else if (w.since < reserveBefore
-          && w.size.fits(whole)
-          && (reserving == null || level(w) < level(reserving))) {
+      } else if (w.queuedAt < reserveBefore
+          && w.size.fitsIn(whole)
+          && (reserving == null || servingOrder(w) < servingOrder(reserving))) {
         reserving = w;
       }
     }
-    if (best == null || reserving != null && level(reserving) < level(best)) {
+    if (best == null || reserving != null && servingOrder(reserving) < servingOrder(best)) {
       return null;
     }
-    List<String> ring = rings.get(best.priority);
+    List<String> ring = rotations.get(best.priority);
     ring.add(ring.remove(bestTurn));
     if (--best.count <= 0) {
       wants.remove(best);
@@ -128,7 +128,7 @@
   }
 
   /** Position of a want's priority and rank in the serving order; lower ones are served first. */
-  private static int level(Want w) {
+  private static int servingOrder(Want w) {
     return w.priority * RANKS + w.rank;
   }
 }
--- /dev/null
+++ b/src/main/java/dev/dunefront/book/WorkerCommands.java
@@ -0,0 +1,262 @@
+package dev.dunefront.book;
+
+import dev.dunefront.claim.ControllerContext;
+import dev.dunefront.evidence.ReportSequence;
+import dev.dunefront.net.DecisionLock;
+import dev.dunefront.net.HttpCaller;
+import dev.dunefront.net.Timers;
+import dev.dunefront.store.Membership;
+import dev.dunefront.store.PauseDetector;
+import dev.dunefront.store.StateStore;
+import dev.dunefront.store.Txn;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
+import dev.dunefront.wire.Report;
+import dev.dunefront.wire.TaskId;
+import dev.dunefront.wire.WorkerCommand;
+import java.lang.System.Logger.Level;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Sends orders to workers. If it is unknown whether a start was carried out, the machine's fencing
+ * token is raised, so that the worker refuses whatever is still in transit.
+ */
+final class WorkerCommands {
+  private static final System.Logger LOG = System.getLogger(WorkerCommands.class.getName());
+
+  /** Timeout of a request with orders, in seconds. */
+  private static final double COMMAND_TIMEOUT_S = 3.0;
+
+  /** Interval after which a stop or clear without effect is sent again, in seconds. */
+  private static final double RESEND_INTERVAL_S = 2.0;
+
+  private static final int MAX_COMMANDS_PER_REQUEST = 200;
+
+  /** A worker reports within this many report intervals at the latest. */
+  private static final double MAX_REPORT_DELAY_FACTOR = 1.5;
+
+  private final Membership membership;
+  private final HoldTable holds;
+  private final StateStore store;
+  private final HttpCaller caller;
+  private final Timers timers;
+  private final DecisionLock decisionLock;
+  private final HeldMachines heldMachines;
+  private final StatusChecks statusChecks;
+  private final PauseDetector standstill;
+
+  /** Time after which a clear is sent in a request of its own, in seconds. */
+  private final double standaloneClearDelayS;
+
+  WorkerCommands(
+      ControllerContext context, HttpCaller caller, HeldMachines books, StatusChecks listening) {
+    this.statusChecks = listening;
+    this.membership = context.membership();
+    this.holds = context.holds();
+    this.store = context.store();
+    this.caller = caller;
+    this.timers = context.timers();
+    this.decisionLock = context.decisionLock();
+    this.heldMachines = books;
+    this.standstill = context.standstill();
+    this.standaloneClearDelayS = context.settings().workers().reportS() * MAX_REPORT_DELAY_FACTOR;
+  }
+
+  /** Raises the token, so that the worker refuses earlier orders of unknown outcome from now on. */
+  void raiseToken(Machine m) {
+    // A controller without an incarnation writes nothing: a hold record that names no incarnation
+    // has no holder.
+    String self = membership.ownIncarnation();
+    if (m.raisingToken || store.unavailable() || self == null) {
+      return;
+    }
+    m.raisingToken = true;
+    m.offers.clear();
+    long token = m.token + 1;
+    String mark = store.newWriteId();
+    Document value = HoldTable.write(self, token, mark);
+    store.commit(
+        HoldTable.condition(new Txn(), m.host, m.holdRevision).put(HoldTable.key(m.host), value),
+        mark,
+        result -> {
+          m.raisingToken = false;
+          if (heldMachines.held(m.host) != m) {
+            return;
+          }
+          if (!result.ok()) {
+            heldMachines.release(m, "another controller has acquired it");
+            return;
+          }
+          m.token = token;
+          m.holdRevision = result.revision();
+          m.tokenAcknowledged = false;
+          m.commandOutcomeUnknown = false;
+          m.resumed = false;
+          m.deniedAttempts.clear();
+          m.viewChanged = true;
+          holds.applyWrite(m.host, value, result.revision());
+          // Another controller may have acquired the machine since, and the replica may have
+          // shown that before this response arrived. Without this check of the record the machine
+          // would stay held here forever.
+          heldMachines.holdChanged(m.host);
+          if (heldMachines.held(m.host) != m) {
+            return;
+          }
+          LOG.log(Level.DEBUG, "raised the token of {0} to {1}", m.host, token);
+          announceToken(m);
+        });
+  }
+
+  /** Sends the new token to the worker at once, in a request without orders. */
+  private void announceToken(Machine m) {
+    send(m, List.of());
+  }
+
+  /**
+   * Sends the pending orders. While the outcome of a start is unknown or the token is being raised,
+   * starts and clears are held back. Stops are still sent: a stop names an attempt and has no
+   * effect if the worker does not have it. If the start in transit arrives after the stop, the next
+   * report shows the attempt and the stop is repeated. If stops were held back, too, they would
+   * wait for the write that raises the token, and tasks of cancelled jobs would run on for the
+   * whole of a state service outage.
+   *
+   * <p>No stop is sent before the worker has reported a token of this hold. It may still be
+   * reporting to its previous holder and would ignore that one's answers after an order under the
+   * new token, until its lease expires.
+   */
+  void sendPending(Machine m) {
+    if (m.commandsInFlight || m.leaseExpired || m.endpoint.isEmpty() || !standstill.current()) {
+      return;
+    }
+    double now = timers.now();
+    boolean allowed = startsAndClearsAllowed(m);
+    List<WorkerCommand> orders = new ArrayList<>();
+    for (var e : m.pendingStarts.entrySet()) {
+      if (allowed && e.getValue().sentUnderToken == 0 && orders.size() < MAX_COMMANDS_PER_REQUEST) {
+        e.getValue().sentUnderToken = m.token;
+        orders.add(new WorkerCommand.Run(e.getKey(), e.getValue().attempt));
+      }
+    }
+    for (var e : m.pendingStops.entrySet()) {
+      if (m.holdAcknowledged
+          && now - e.getValue().lastSentAt >= RESEND_INTERVAL_S
+          && orders.size() < MAX_COMMANDS_PER_REQUEST) {
+        e.getValue().lastSentAt = now;
+        orders.add(new WorkerCommand.Stop(e.getKey(), e.getValue().attempt, e.getValue().graceS));
+      }
+    }
+    if (allowed && (!orders.isEmpty() || clearsOverdue(m, now))) {
+      // The worker executes clears first, since a task may be placed again on the machine on
+      // which its previous attempt ended.
+      orders.addAll(0, dueClears(m, now, MAX_COMMANDS_PER_REQUEST - orders.size()));
+    }
+    if (!orders.isEmpty()) {
+      send(m, orders);
+    }
+  }
+
+  private static boolean startsAndClearsAllowed(Machine m) {
+    return m.tokenAcknowledged && !m.commandOutcomeUnknown && !m.raisingToken;
+  }
+
+  /**
+   * The orders that are sent with the answer to a report. Clears are not urgent and there is one
+   * for each task that ends, so they are sent with an answer or with other orders instead of a
+   * request of their own.
+   */
+  List<WorkerCommand> clearsForAnswer(Machine m) {
+    return startsAndClearsAllowed(m) && !m.commandsInFlight
+        ? dueClears(m, timers.now(), MAX_COMMANDS_PER_REQUEST)
+        : List.of();
+  }
+
+  /** Clears that have not been sent, or not within the resend interval. */
+  private static List<WorkerCommand> dueClears(Machine m, double now, int limit) {
+    List<WorkerCommand> clears = new ArrayList<>();
+    for (var e : m.pendingClears.entrySet()) {
+      if (now - e.getValue().lastSentAt >= RESEND_INTERVAL_S && clears.size() < limit) {
+        e.getValue().lastSentAt = now;
+        clears.add(new WorkerCommand.Clear(e.getKey(), e.getValue().attempt));
+      }
+    }
+    return clears;
+  }
+
+  /**
+   * Whether a clear has waited for longer than the longest report interval without an answer or
+   * order to be sent with, or has been sent without effect, since an answer to a report may have
+   * been lost.
+   */
+  private boolean clearsOverdue(Machine m, double now) {
+    for (Machine.RepeatedCommand clear : m.pendingClears.values()) {
+      if (clear.sent()
+          ? now - clear.lastSentAt >= RESEND_INTERVAL_S
+          : now - clear.requestedAt >= standaloneClearDelayS) {
+        return true;
+      }
+    }
+    return false;
+  }
+
+  private void send(Machine m, List<WorkerCommand> orders) {
+    m.commandsInFlight = true;
+    byte[] body = WorkerCommand.directRequest(m.token, m.session, orders);
+    List<TaskId> runs = new ArrayList<>();
+    for (WorkerCommand o : orders) {
+      if (o instanceof WorkerCommand.Run r) {
+        runs.add(r.task());
+      }
+    }
+    String endpoint = m.endpoint;
+    ReportSequence known = m.reportSequence;
+    decisionLock.defer(
+        () ->
+            caller.call(
+                endpoint,
+                "POST",
+                "/orders",
+                body,
+                COMMAND_TIMEOUT_S,
+                reply -> decisionLock.run(() -> replyReceived(m, known, runs, reply))));
+  }
+
+  private void replyReceived(
+      Machine m, ReportSequence known, List<TaskId> runs, HttpCaller.Response reply) {
+    m.commandsInFlight = false;
+    if (heldMachines.held(m.host) != m) {
+      return;
+    }
+    if (reply.status() == 200 || reply.status() == 409) {
+      try {
+        Report r = Report.fromDocument(Document.decode(reply.body()));
+        if (reply.status() == 409) {
+          // The worker has carried out nothing of this request, so its starts may be sent again
+          // if they are still wanted. Starts of earlier requests may yet be carried out and are
+          // not sent again.
+          for (TaskId id : runs) {
+            Machine.PendingStart p = m.pendingStarts.get(id);
+            if (p != null) {
+              p.sentUnderToken = 0;
+            }
+          }
+        }
+        if (!statusChecks.replyReceived(m, known, r)) {
+          return;
+        }
+      } catch (MalformedMessageException e) {
+        LOG.log(
+            Level.INFO, "cannot read the response of {0} to orders: {1}", m.host, e.getMessage());
+        m.commandOutcomeUnknown |= !runs.isEmpty();
+      }
+    } else {
+      if (!runs.isEmpty()) {
+        // The start may be carried out now, minutes later or never.
+        m.commandOutcomeUnknown = true;
+        m.viewChanged = true;
+      }
+      statusChecks.suspect(m, "a request with orders got no valid response");
+    }
+    heldMachines.reconcile(m);
+  }
+}
--- a/src/main/java/dev/dunefront/book/Leaving.java
+++ b/src/main/java/dev/dunefront/book/WorkerEvacuation.java
@@ -4,7 +4,7 @@
 import dev.dunefront.config.Settings;
 import dev.dunefront.evidence.Isolation;
 import dev.dunefront.net.Timers;
-import dev.dunefront.store.Store;
+import dev.dunefront.store.StateStore;
 import java.lang.System.Logger.Level;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -16,66 +16,66 @@
  * another controller in time. The hold record still names this controller, so a worker that comes
  * back is held again without a write.
  */
-final class Leaving {
-  private static final System.Logger LOG = System.getLogger(Leaving.class.getName());
+final class WorkerEvacuation {
+  private static final System.Logger LOG = System.getLogger(WorkerEvacuation.class.getName());
 
   /**
    * All workers are redirected within this fraction of the lease duration. They are spread out
    * because each controller that acquires one has to write a record.
    */
-  private static final double SPAN = 0.5;
+  private static final double EVACUATION_LEASE_FRACTION = 0.5;
 
   private final Settings settings;
-  private final Store store;
+  private final StateStore store;
   private final Timers timers;
-  private final Neighbours neighbours;
-  private final List<String> others = new ArrayList<>();
-  private Isolation alone = Isolation.NOT;
-  private int turn;
-  private double next;
-  private int sent;
+  private final ControllerLoads controllerLoads;
+  private final List<String> otherNodes = new ArrayList<>();
+  private Isolation alone = Isolation.NOT_ISOLATED;
+  private int nextTargetIndex;
+  private double nextSendAt;
+  private int sentCount;
 
-  Leaving(ControllerContext context, Neighbours neighbours) {
+  WorkerEvacuation(ControllerContext context, ControllerLoads neighbours) {
     this.settings = context.settings();
     this.store = context.store();
     this.timers = context.timers();
-    this.neighbours = neighbours;
+    this.controllerLoads = neighbours;
     // Controllers of this zone come first: they can still reach its machines if the zone is
     // partitioned.
     settings.peers().stream()
         .sorted(
             (a, b) ->
                 Boolean.compare(b.zone().equals(settings.zone()), a.zone().equals(settings.zone())))
-        .forEach(p -> others.add(p.node()));
+        .forEach(p -> otherNodes.add(p.node()));
   }
 
   /** Whether neither the state service nor any other controller is reachable. */
   boolean alone() {
-    return store.down() && neighbours.none() && !others.isEmpty();
+    return store.unavailable() && controllerLoads.noneReachable() && !otherNodes.isEmpty();
   }
 
   /** Number of workers redirected so far. */
-  int sent() {
-    return sent;
+  int sentCount() {
+    return sentCount;
   }
 
   /** Advances the state machine; called several times a second. */
   void tick(double now) {
-    Isolation.Step before = alone.step();
-    alone = alone.passed(now, alone(), others.size(), settings.workers().leaseS());
-    if (alone.step() != before && alone.step() == Isolation.Step.GO) {
+    Isolation.Phase before = alone.phase();
+    alone = alone.advance(now, alone(), otherNodes.size(), settings.workers().leaseS());
+    if (alone.phase() != before && alone.phase() == Isolation.Phase.EVACUATE) {
       LOG.log(
           Level.INFO,
           "isolated, and trial worker {0} has not come back; redirecting the other workers",
-          alone.trial());
+          alone.trialHost());
     }
   }
 
   /** A report of a machine has arrived. */
-  void reported(String host) {
-    Isolation.Step before = alone.step();
-    alone = alone.reported(host, timers.now());
-    if (before != alone.step()) {
+  void reportReceived(String host) {
+    Isolation.Phase before = alone.phase();
+    alone = alone.reportReceived(host, timers.now());
+    if (before != alone.phase()) {
       LOG.log(Level.INFO, "isolated, and worker {0} came back; keeping the workers here", host);
     }
   }
@@ -84,30 +84,31 @@
    * The controller to which a machine that has just reported is redirected, or null if it stays.
    * The trial machine is one without tasks if there is any.
    */
-  String whereTo(Machine m, Collection<Machine> held) {
+  String redirectTarget(Machine m, Collection<Machine> held) {
     double now = timers.now();
-    boolean trial = alone.step() == Isolation.Step.TRY;
-    if (!trial && (alone.step() != Isolation.Step.GO || now < next)) {
+    boolean trial = alone.phase() == Isolation.Phase.SEND_TRIAL;
+    if (!trial && (alone.phase() != Isolation.Phase.EVACUATE || now < nextSendAt)) {
       return null;
     }
-    if (trial && !m.unfinished().isEmpty() && anyIdle(held)) {
+    if (trial && !m.unfinishedTasks().isEmpty() && anyIdle(held)) {
       return null;
     }
     if (trial) {
-      alone = alone.sent(m.host, now);
+      alone = alone.trialSent(m.host, now);
       LOG.log(
           Level.INFO,
           "isolated from the state service and all controllers; redirecting {0} as a trial",
           m.host);
     }
-    next = now + settings.workers().leaseS() * SPAN / Math.max(1, held.size());
-    sent++;
-    return others.get(turn++ % others.size());
+    nextSendAt =
+        now + settings.workers().leaseS() * EVACUATION_LEASE_FRACTION / Math.max(1, held.size());
+    sentCount++;
+    return otherNodes.get(nextTargetIndex++ % otherNodes.size());
   }
 
   private static boolean anyIdle(Collection<Machine> held) {
     for (Machine m : held) {
-      if (!m.lost && m.unfinished().isEmpty()) {
+      if (!m.leaseExpired && m.unfinishedTasks().isEmpty()) {
         return true;
       }
     }
--- a/src/main/java/dev/dunefront/cleanup/Cleanup.java
+++ b/src/main/java/dev/dunefront/cleanup/MachineRecordCleanup.java
@@ -1,9 +1,9 @@
 package dev.dunefront.cleanup;
 
-import dev.dunefront.book.Holds;
+import dev.dunefront.book.HoldTable;
 import dev.dunefront.claim.ControllerContext;
 import dev.dunefront.duty.Duty;
-import dev.dunefront.store.Store;
+import dev.dunefront.store.StateStore;
 import dev.dunefront.store.Txn;
 import java.lang.System.Logger.Level;
 import java.util.List;
@@ -19,27 +19,29 @@
  * to be expected. Should one come all the same it costs time and breaks no rule: the machine is
  * held once more, found silent, and proven gone once more.
  */
-public final class Cleanup {
-  private static final System.Logger LOG = System.getLogger(Cleanup.class.getName());
+public final class MachineRecordCleanup {
+  private static final System.Logger LOG = System.getLogger(MachineRecordCleanup.class.getName());
 
   /** How often some records are removed. */
-  private static final double EVERY_S = 2;
+  private static final double INTERVAL_S = 2;
 
   /** The part of the state service's changes that this may take. */
-  private static final double BUDGET_PART = 0.03;
+  private static final double WRITE_BUDGET_FRACTION = 0.03;
 
   private final ControllerContext context;
-  private final int most;
-  private double next;
+  private final int maxPerTransaction;
+  private double nextRunAt;
   private long term;
-  private double since;
-  private boolean writing;
-  private int removed;
+  private double termStartedAt;
+  private boolean writeInProgress;
+  private int removedCount;
 
-  public Cleanup(ControllerContext context) {
+  public MachineRecordCleanup(ControllerContext context) {
     this.context = context;
-    double changes = context.settings().stateLimits().writeRps() * BUDGET_PART * EVERY_S;
-    this.most = Math.max(1, Math.min(context.settings().stateLimits().txnOps(), (int) changes));
+    double changes =
+        context.settings().stateLimits().writeRps() * WRITE_BUDGET_FRACTION * INTERVAL_S;
+    this.maxPerTransaction =
+        Math.max(1, Math.min(context.settings().stateLimits().txnOps(), (int) changes));
   }
 
   /** Called several times a second. */
@@ -48,57 +50,58 @@
     double now = context.timers().now();
     if (mine != term) {
       term = mine;
-      since = now;
-      writing = false;
+      termStartedAt = now;
+      writeInProgress = false;
     }
-    if (mine == 0 || writing || now < next || context.store().down()) {
+    if (mine == 0 || writeInProgress || now < nextRunAt || context.store().unavailable()) {
       return;
     }
-    next = now + EVERY_S;
+    nextRunAt = now + INTERVAL_S;
     if (context.store().writeDelayS() > 0) {
       return;
     }
-    long nowMs = context.timers().timeOfDayMs();
+    long nowMs = context.timers().wallClockMs();
     double keepMs = context.tunables().burialS() * 1000;
-    boolean watched = now - since > context.tunables().burialS();
-    List<Holds.Hold> old =
-        context.holds().dead().stream()
+    boolean watched = now - termStartedAt > context.tunables().burialS();
+    List<HoldTable.Hold> old =
+        context.holds().deletedMachines().stream()
             // A record of an earlier version has no time: it is old once it was seen for so long.
-            .filter(h -> h.deadAtMs() > 0 ? nowMs - h.deadAtMs() > keepMs : watched)
-            .limit(most)
+            .filter(
+                h -> h.machineDeletedAtMs() > 0 ? nowMs - h.machineDeletedAtMs() > keepMs : watched)
+            .limit(maxPerTransaction)
             .toList();
     if (!old.isEmpty()) {
       remove(old, mine);
     }
   }
 
-  private void remove(List<Holds.Hold> old, long inTerm) {
+  private void remove(List<HoldTable.Hold> old, long inTerm) {
     Txn txn = context.duties().guard(Duty.CLEANUP, inTerm, new Txn());
-    for (Holds.Hold h : old) {
-      txn.when(Holds.key(h.host()), h.stamp()).remove(Holds.key(h.host()));
+    for (HoldTable.Hold h : old) {
+      txn.requireRevision(HoldTable.key(h.host()), h.revision()).remove(HoldTable.key(h.host()));
     }
-    writing = true;
+    writeInProgress = true;
     context
         .store()
         .tryTxn(
             txn,
-            Store.Urgency.BACKGROUND,
+            StateStore.RequestPriority.BACKGROUND,
             done -> {
               if (term != inTerm) {
                 return;
               }
-              writing = false;
+              writeInProgress = false;
               if (done.ok()) {
-                removed += old.size();
+                removedCount += old.size();
                 LOG.log(Level.DEBUG, "forgets {0} machines that are gone", old.size());
                 old.forEach(
-                    h -> context.replica().apply(Holds.key(h.host()), null, done.revision()));
+                    h -> context.replica().apply(HoldTable.key(h.host()), null, done.revision()));
               }
             });
   }
 
   /** How many records this controller has removed. */
-  public int removed() {
-    return removed;
+  public int removedCount() {
+    return removedCount;
   }
 }
--- a/src/main/java/dev/dunefront/duty/Duties.java
+++ b/src/main/java/dev/dunefront/duty/Duties.java
@@ -5,11 +5,11 @@
 import dev.dunefront.peer.Message;
 import dev.dunefront.peer.Peers;
 import dev.dunefront.store.Membership;
+import dev.dunefront.store.PauseDetector;
 import dev.dunefront.store.Replica;
-import dev.dunefront.store.Standstill;
-import dev.dunefront.store.Store;
+import dev.dunefront.store.StateStore;
 import dev.dunefront.store.Txn;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.wire.Document;
 import java.lang.System.Logger.Level;
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -26,54 +26,54 @@
   private static final System.Logger LOG = System.getLogger(Duties.class.getName());
 
   /** How long after a write for a duty's record the next is tried. */
-  private static final double PAUSE_S = 0.5;
+  private static final double WRITE_INTERVAL_S = 0.5;
 
   private final String node;
-  private final Store store;
+  private final StateStore store;
   private final Replica replica;
   private final Membership membership;
   private final Peers peers;
   private final Timers timers;
   private final DecisionLock decisionLock;
-  private final Standstill standstill;
-  private final Map<Duty, Seat> seats = new EnumMap<>(Duty.class);
+  private final PauseDetector standstill;
+  private final Map<Duty, DutyState> states = new EnumMap<>(Duty.class);
 
   /** By how much the timers of controllers within reach are late, as they tell. */
-  private final Map<String, Double> lags = new HashMap<>();
+  private final Map<String, Double> timerLagByNode = new HashMap<>();
 
-  private double lagS;
+  private double ownTimerLagS;
 
   /** What is known of one duty here. */
-  private static final class Seat {
-    DutyRecord post = DutyRecord.VACANT;
+  private static final class DutyState {
+    DutyRecord record = DutyRecord.VACANT;
 
     /** The highest term that anybody has named; above that of the record while that lags. */
-    long highest;
+    long highestTerm;
 
     double vacantSince = Double.NaN;
     double heldSince;
     double unfitSince = Double.NaN;
-    boolean unable;
-    boolean asking;
+    boolean incapable;
+    boolean writePending;
 
     /** Whom the write under way names. */
-    String givenTo;
+    String pendingHolder;
 
-    int refused;
-    int taken;
-    int handed;
-    double longestGapS;
+    int refusals;
+    int acquisitions;
+    int handovers;
+    double longestVacancyS;
   }
 
   public Duties(
       String node,
-      Store store,
+      StateStore store,
       Replica replica,
       Membership membership,
       Peers peers,
       Timers timers,
       DecisionLock decisionLock,
-      Standstill standstill) {
+      PauseDetector standstill) {
     this.node = node;
     this.store = store;
     this.replica = replica;
@@ -83,30 +83,31 @@
     this.decisionLock = decisionLock;
     this.standstill = standstill;
     for (Duty d : Duty.values()) {
-      seats.put(d, new Seat());
-      replica.listen(d.key(), (rest, value, stamp) -> shown(d, DutyRecord.read(value, stamp)));
+      states.put(d, new DutyState());
+      replica.addListener(
+          d.key(), (rest, value, stamp) -> recordChanged(d, DutyRecord.read(value, stamp)));
     }
   }
 
-  private void shown(Duty duty, DutyRecord post) {
-    Seat seat = seats.get(duty);
-    boolean before = seat.post.heldBy(membership.self());
+  private void recordChanged(Duty duty, DutyRecord post) {
+    DutyState seat = states.get(duty);
+    boolean before = seat.record.heldBy(membership.ownIncarnation());
     double now = timers.now();
     if (post.vacant()) {
       seat.vacantSince = now;
     } else {
       if (!Double.isNaN(seat.vacantSince)) {
-        seat.longestGapS = Math.max(seat.longestGapS, now - seat.vacantSince);
+        seat.longestVacancyS = Math.max(seat.longestVacancyS, now - seat.vacantSince);
       }
       seat.vacantSince = Double.NaN;
     }
-    seat.post = post;
-    seat.highest = Math.max(seat.highest, post.term());
-    boolean after = post.heldBy(membership.self());
+    seat.record = post;
+    seat.highestTerm = Math.max(seat.highestTerm, post.term());
+    boolean after = post.heldBy(membership.ownIncarnation());
     if (after) {
       seat.heldSince = now;
       seat.unfitSince = Double.NaN;
-      seat.taken++;
+      seat.acquisitions++;
       LOG.log(Level.INFO, "has the duty {0} in term {1}", duty.label(), post.term());
     } else if (before) {
       LOG.log(Level.INFO, "no longer has the duty {0}", duty.label());
@@ -117,18 +118,18 @@
 
   /** The node that has the duty, or null. */
   public String holder(Duty duty) {
-    DutyRecord post = seats.get(duty).post;
+    DutyRecord post = states.get(duty).record;
     return post.vacant() ? null : Membership.nodeOf(post.holder());
   }
 
   /** The term in which this controller may act for the duty now, or 0. */
   public long term(Duty duty) {
-    Seat seat = seats.get(duty);
+    DutyState seat = states.get(duty);
     boolean mine =
-        seat.post.heldBy(membership.self())
-            && seat.post.term() >= seat.highest
+        seat.record.heldBy(membership.ownIncarnation())
+            && seat.record.term() >= seat.highestTerm
             && standstill.current();
-    return mine ? seat.post.term() : 0;
+    return mine ? seat.record.term() : 0;
   }
 
   /** Whether this controller may still act in that term. */
@@ -138,7 +139,7 @@
 
   /** Makes a write conditional on the duty: it fails once the duty has changed hands. */
   public Txn guard(Duty duty, long term, Txn txn) {
-    return txn.when(duty.key(), term);
+    return txn.requireRevision(duty.key(), term);
   }
 
   // ---- what others do for it ----
@@ -147,98 +148,98 @@
    * Whether an act that another controller asks for in a term is to be done; if a higher term is
    * known the sender is told so.
    */
-  public boolean admits(Duty duty, long term, String from) {
-    Seat seat = seats.get(duty);
-    if (term < seat.highest) {
-      seat.refused++;
+  public boolean accepts(Duty duty, long term, String from) {
+    DutyState seat = states.get(duty);
+    if (term < seat.highestTerm) {
+      seat.refusals++;
       LOG.log(
           Level.INFO,
           "refuses {0} what it asks for the duty {1} in term {2}: term {3} is known",
           from,
           duty.label(),
           term,
-          seat.highest);
-      peers.send(from, new Message.DutyTerm(duty.label(), seat.highest));
+          seat.highestTerm);
+      peers.send(from, new Message.DutyTerm(duty.label(), seat.highestTerm));
       return false;
     }
-    seat.highest = term;
+    seat.highestTerm = term;
     return true;
   }
 
   /** Another controller has seen this term: whoever acts in a lower one was replaced. */
-  public void received(Message.DutyTerm m) {
-    Duty duty = Duty.of(m.duty());
+  public void receive(Message.DutyTerm m) {
+    Duty duty = Duty.ofLabel(m.duty());
     if (duty != null) {
-      Seat seat = seats.get(duty);
-      seat.highest = Math.max(seat.highest, m.term());
+      DutyState seat = states.get(duty);
+      seat.highestTerm = Math.max(seat.highestTerm, m.term());
     }
   }
 
   // ---- who shall have it ----
 
   /** A controller within reach tells by how much its timers are late. */
-  public void load(String from, double lateS) {
-    lags.put(from, lateS);
+  public void recordTimerLag(String from, double lateS) {
+    timerLagByNode.put(from, lateS);
   }
 
-  public void gone(String from) {
-    lags.remove(from);
+  public void peerDisconnected(String from) {
+    timerLagByNode.remove(from);
   }
 
   /**
    * Whether this controller can do the duty at present, as far as the duty itself goes: while it
    * cannot it takes none, and gives away what it has.
    */
-  public void able(Duty duty, boolean able) {
-    seats.get(duty).unable = !able;
+  public void setCapable(Duty duty, boolean able) {
+    states.get(duty).incapable = !able;
   }
 
   /** Called several times a second. */
   public void tick(double lateS) {
-    lagS = lateS;
-    if (!standstill.current() || !replica.ready() || store.down()) {
+    ownTimerLagS = lateS;
+    if (!standstill.current() || !replica.ready() || store.unavailable()) {
       return;
     }
-    String self = membership.self();
+    String self = membership.ownIncarnation();
     // The least urgent first: it is what a controller with too many gives away.
     for (int i = Duty.values().length - 1; i >= 0; i--) {
       Duty duty = Duty.values()[i];
-      Seat seat = seats.get(duty);
-      if (seat.asking) {
+      DutyState seat = states.get(duty);
+      if (seat.writePending) {
         continue;
       }
-      List<Election.Candidate> live = candidates();
+      List<ElectionPolicy.Candidate> live = candidates();
       double now = timers.now();
-      boolean vacant = vacant(seat.post);
+      boolean vacant = vacant(seat.record);
       if (vacant && Double.isNaN(seat.vacantSince)) {
         seat.vacantSince = now;
       }
-      if (!seat.unable && lagS < Election.UNFIT_LAG_S) {
+      if (!seat.incapable && ownTimerLagS < ElectionPolicy.UNFIT_TIMER_LAG_S) {
         seat.unfitSince = Double.NaN;
       } else if (Double.isNaN(seat.unfitSince)) {
         seat.unfitSince = now;
       }
-      Election.Step step =
-          Election.next(
-              new Election.Sight(
+      ElectionPolicy.Decision step =
+          ElectionPolicy.decide(
+              new ElectionPolicy.Observation(
                   duty,
-                  vacant ? DutyRecord.VACANT : seat.post,
+                  vacant ? DutyRecord.VACANT : seat.record,
                   self,
                   live,
-                  since(seat.vacantSince, now),
+                  elapsed(seat.vacantSince, now),
                   now - seat.heldSince,
-                  since(seat.unfitSince, now)));
+                  elapsed(seat.unfitSince, now)));
       switch (step.kind()) {
         case TAKE -> {
-          if (!seat.unable) {
-            write(duty, self);
+          if (!seat.incapable) {
+            writeHolder(duty, self);
           }
         }
         case HAND_OVER -> {
-          seat.handed++;
+          seat.handovers++;
 
-          LOG.log(Level.INFO, "hands the duty {0} to {1}", duty.label(), step.to());
-          write(duty, step.to());
+          LOG.log(Level.INFO, "hands the duty {0} to {1}", duty.label(), step.newHolder());
+          writeHolder(duty, step.newHolder());
         }
         case WAIT -> {}
       }
@@ -253,26 +254,28 @@
     if (post.vacant()) {
       return true;
     }
-    String now = membership.incarnation(Membership.nodeOf(post.holder()));
+    String now = membership.liveIncarnation(Membership.nodeOf(post.holder()));
     return now != null && !now.equals(post.holder());
   }
 
-  private static double since(double at, double now) {
+  private static double elapsed(double at, double now) {
     return Double.isNaN(at) ? 0 : now - at;
   }
 
-  private List<Election.Candidate> candidates() {
-    List<Election.Candidate> all = new ArrayList<>();
+  private List<ElectionPolicy.Candidate> candidates() {
+    List<ElectionPolicy.Candidate> all = new ArrayList<>();
     for (String name : membership.liveNodes()) {
-      String incarnation = membership.incarnation(name);
+      String incarnation = membership.liveIncarnation(name);
       int duties = 0;
-      for (Seat seat : seats.values()) {
-        String holder = seat.asking ? seat.givenTo : seat.post.holder();
+      for (DutyState seat : states.values()) {
+        String holder = seat.writePending ? seat.pendingHolder : seat.record.holder();
         duties += incarnation.equals(holder) ? 1 : 0;
       }
       boolean own = name.equals(node);
-      double late = own ? lagS : lags.getOrDefault(name, 0.0);
-      all.add(new Election.Candidate(incarnation, duties, late, own || lags.containsKey(name)));
+      double late = own ? ownTimerLagS : timerLagByNode.getOrDefault(name, 0.0);
+      all.add(
+          new ElectionPolicy.Candidate(
+              incarnation, duties, late, own || timerLagByNode.containsKey(name)));
     }
     return all;
   }
@@ -281,22 +284,22 @@
    * Names an incarnation as holder, itself or another: on the condition of what is recorded now, be
    * it nothing, under the lease of the one named. If that lease has ended nothing is written.
    */
-  private void write(Duty duty, String incarnation) {
-    Seat seat = seats.get(duty);
-    seat.asking = true;
-    seat.givenTo = incarnation;
-    long term = seat.post.term();
-    Doc value = DutyRecord.write(incarnation, store.newMark());
-    long lease = Membership.leaseOf(incarnation);
+  private void writeHolder(Duty duty, String incarnation) {
+    DutyState seat = states.get(duty);
+    seat.writePending = true;
+    seat.pendingHolder = incarnation;
+    long term = seat.record.term();
+    Document value = DutyRecord.write(incarnation, store.newWriteId());
+    long lease = Membership.leaseIdOf(incarnation);
     store.tryTxn(
-        new Txn().when(duty.key(), term).put(duty.key(), value, lease),
+        new Txn().requireRevision(duty.key(), term).put(duty.key(), value, lease),
         // One small write on which much waits; it goes out once for each change of hands.
-        Store.Urgency.USER,
+        StateStore.RequestPriority.USER,
         done -> {
           if (done.ok()) {
             replica.apply(duty.key(), value, done.revision());
           }
-          timers.after(PAUSE_S, () -> decisionLock.run(() -> seat.asking = false));
+          timers.after(WRITE_INTERVAL_S, () -> decisionLock.run(() -> seat.writePending = false));
         });
   }
 
@@ -306,32 +309,32 @@
    *
    * @param then runs when the state service has answered
    */
-  public void leave(Runnable then) {
-    String self = membership.self();
-    List<Election.Candidate> live = candidates();
+  public void releaseAll(Runnable then) {
+    String self = membership.ownIncarnation();
+    List<ElectionPolicy.Candidate> live = candidates();
     Txn txn = new Txn();
     for (Duty duty : Duty.values()) {
-      Seat seat = seats.get(duty);
-      if (seat.post.heldBy(self)) {
-        seat.asking = true;
-        seat.highest++;
-        txn.when(duty.key(), seat.post.term());
-        Election.Candidate to = Election.best(duty, live, self);
+      DutyState seat = states.get(duty);
+      if (seat.record.heldBy(self)) {
+        seat.writePending = true;
+        seat.highestTerm++;
+        txn.requireRevision(duty.key(), seat.record.term());
+        ElectionPolicy.Candidate to = ElectionPolicy.bestSuccessor(duty, live, self);
         if (to == null) {
           txn.remove(duty.key());
         } else {
-          String mark = store.newMark();
+          String mark = store.newWriteId();
           txn.put(
               duty.key(),
               DutyRecord.write(to.incarnation(), mark),
-              Membership.leaseOf(to.incarnation()));
+              Membership.leaseIdOf(to.incarnation()));
         }
       }
     }
-    if (txn.changes() == 0) {
+    if (txn.writeCount() == 0) {
       then.run();
     } else {
-      store.tryTxn(txn, Store.Urgency.USER, done -> then.run());
+      store.tryTxn(txn, StateStore.RequestPriority.USER, done -> then.run());
     }
   }
 
@@ -343,22 +346,22 @@
   }
 
   /** How often this controller was given or took the duty. */
-  public int taken(Duty duty) {
-    return seats.get(duty).taken;
+  public int acquisitions(Duty duty) {
+    return states.get(duty).acquisitions;
   }
 
   /** How often it handed the duty over for want of fitness or because it had too many. */
-  public int handed(Duty duty) {
-    return seats.get(duty).handed;
+  public int handovers(Duty duty) {
+    return states.get(duty).handovers;
   }
 
   /** Acts that were refused here because a higher term was known. */
-  public int refused(Duty duty) {
-    return seats.get(duty).refused;
+  public int refusals(Duty duty) {
+    return states.get(duty).refusals;
   }
 
   /** The longest time in milliseconds for which nobody was seen to have the duty. */
-  public int longestGapMs(Duty duty) {
-    return (int) Math.min(Integer.MAX_VALUE, Math.round(seats.get(duty).longestGapS * 1000));
+  public int longestVacancyMs(Duty duty) {
+    return (int) Math.min(Integer.MAX_VALUE, Math.round(states.get(duty).longestVacancyS * 1000));
   }
 }
--- a/src/main/java/dev/dunefront/evidence/EndProof.java
+++ b/src/main/java/dev/dunefront/evidence/EndProof.java
@@ -1,8 +1,8 @@
 package dev.dunefront.evidence;
 
-import dev.dunefront.peer.Message.TaskState;
-import dev.dunefront.peer.Message.View;
-import dev.dunefront.peer.Message.Why;
+import dev.dunefront.peer.Message.ExitReason;
+import dev.dunefront.peer.Message.MachineView;
+import dev.dunefront.peer.Message.TaskStatus;
 
 /**
  * A proof that an attempt of a task has ended, and the evidence for it. A task may be placed again
@@ -10,10 +10,11 @@
  * only here.
  *
  * @param kind the kind of evidence
- * @param why why the attempt exited; {@link Why#NONE} for every kind but {@link Kind#EXITED}
+ * @param exitReason why the attempt exited; {@link ExitReason#NONE} for every kind but {@link
+ *     Kind#EXITED}
  * @param basis the source and age of the evidence
  */
-public record EndProof(Kind kind, Why why, Basis basis) {
+public record EndProof(Kind kind, ExitReason exitReason, Basis basis) {
   /** The evidence that an attempt has ended. */
   public enum Kind {
     /** The worker has reported that the attempt has exited. */
@@ -54,15 +55,15 @@
    * @param holder controller that held the machine
    * @param token fencing token of that hold
    * @param session session of the worker to which the evidence refers
-   * @param holdStamp revision of the hold record, as known to the holder
+   * @param holdRevision revision of the hold record, as known to the holder
    * @param ageS seconds since the evidence was received here
    */
-  public record Basis(String holder, long token, long session, long holdStamp, double ageS) {
+  public record Basis(String holder, long token, long session, long holdRevision, double ageS) {
     private static final Basis NONE = new Basis("", 0, 0, 0, 0);
 
     /** The basis of evidence from a holder's view that was received this many seconds ago. */
-    public static Basis of(String holder, View view, double ageS) {
-      return new Basis(holder, view.token(), view.session(), view.holdStamp(), ageS);
+    public static Basis of(String holder, MachineView view, double ageS) {
+      return new Basis(holder, view.token(), view.session(), view.holdRevision(), ageS);
     }
   }
 
@@ -72,31 +73,31 @@
    * @param shown the attempt's state in the view, or null if the view does not show it
    * @return the proof, or null if the view proves nothing about this attempt
    */
-  public static EndProof find(Attempt attempt, TaskState shown, View view, Basis basis) {
+  public static EndProof find(Attempt attempt, TaskStatus shown, MachineView view, Basis basis) {
     if (basis.session > attempt.session) {
-      return new EndProof(Kind.LATER_SESSION, Why.NONE, basis);
+      return new EndProof(Kind.LATER_SESSION, ExitReason.NONE, basis);
     }
     if (shown != null && shown.exited()) {
-      return new EndProof(Kind.EXITED, shown.why(), basis);
+      return new EndProof(Kind.EXITED, shown.exitReason(), basis);
     }
-    if (view.lost() && basis.session == attempt.session) {
+    if (view.leaseExpired() && basis.session == attempt.session) {
       // The last report may still show the task, but the lease of its session has certainly
       // expired. An expired lease of an earlier session proves nothing: the holder offers room as
       // soon as a new session begins and publishes the session later, so an attempt placed in the
       // new session may be compared with a view of the old one.
-      return new EndProof(Kind.LEASE_OVER, Why.NONE, basis);
+      return new EndProof(Kind.LEASE_OVER, ExitReason.NONE, basis);
     }
     return null;
   }
 
   /** The proof that the holder has denied the attempt, which it refuses to start from then on. */
   public static EndProof denied(Basis basis) {
-    return new EndProof(Kind.DENIED, Why.NONE, basis);
+    return new EndProof(Kind.DENIED, ExitReason.NONE, basis);
   }
 
   /** The proof that the machine's deletion is recorded. */
   public static EndProof machineDeleted() {
-    return new EndProof(Kind.MACHINE_DELETED, Why.NONE, Basis.NONE);
+    return new EndProof(Kind.MACHINE_DELETED, ExitReason.NONE, Basis.NONE);
   }
 
   /**
@@ -111,7 +112,7 @@
    * Whether the evidence is valid for this attempt: it refers to the session in which the attempt
    * was placed, or to a later one for {@link Kind#LATER_SESSION}.
    */
-  public boolean concerns(Attempt attempt) {
+  public boolean appliesTo(Attempt attempt) {
     return switch (kind) {
       case MACHINE_DELETED -> true;
       case LATER_SESSION -> basis.session > attempt.session;
@@ -133,7 +134,7 @@
         + ", session "
         + basis.session
         + ", hold revision "
-        + basis.holdStamp
+        + basis.holdRevision
         + ", "
         + Math.round(basis.ageS * 1000)
         + " ms old)";
--- a/src/main/java/dev/dunefront/evidence/Blame.java
+++ b/src/main/java/dev/dunefront/evidence/FailureScore.java
@@ -13,41 +13,41 @@
  * machine. Several faulty jobs at the same time therefore do not quarantine a healthy machine, and
  * a machine on which everything fails is still detected among them.
  *
- * @param weights weight of the evidence by job, as in {@link Message.Blame}
+ * @param weightsByJob weight of the evidence by job, as in {@link Message.FailureReport}
  */
-public record Blame(Map<String, Integer> weights) {
+public record FailureScore(Map<String, Integer> weightsByJob) {
   /** No task has failed. */
-  public static final Blame NONE = new Blame(Map.of());
+  public static final FailureScore NONE = new FailureScore(Map.of());
 
   /**
    * The score of a faulty machine: two jobs that run on other machines, or four of which no task
    * has completed yet.
    */
-  private static final int FAULTY = 2 * Message.Blame.PROVEN;
+  private static final int FAULTY_SCORE = 2 * Message.FailureReport.PROVEN;
 
-  public Blame {
-    weights = Map.copyOf(weights);
+  public FailureScore {
+    weightsByJob = Map.copyOf(weightsByJob);
   }
 
   /**
    * Returns the score after a task of the job has failed on this machine, or after the weight of
    * the job has changed.
    */
-  public Blame by(String job, int weight) {
-    Map<String, Integer> next = new HashMap<>(weights);
-    if (weight == Message.Blame.WITHDRAWN) {
+  public FailureScore withFailure(String job, int weight) {
+    Map<String, Integer> next = new HashMap<>(weightsByJob);
+    if (weight == Message.FailureReport.WITHDRAWN) {
       next.remove(job);
     } else {
       next.merge(job, weight, Math::max);
     }
-    return new Blame(next);
+    return new FailureScore(next);
   }
 
-  public Set<String> jobs() {
-    return weights.keySet();
+  public Set<String> failedJobs() {
+    return weightsByJob.keySet();
   }
 
   public boolean faulty() {
-    return weights.values().stream().mapToInt(Integer::intValue).sum() >= FAULTY;
+    return weightsByJob.values().stream().mapToInt(Integer::intValue).sum() >= FAULTY_SCORE;
   }
 }
--- a/src/main/java/dev/dunefront/evidence/Freshness.java
+++ b/src/main/java/dev/dunefront/evidence/ReportSequence.java
@@ -9,18 +9,19 @@
  * state.
  *
  * @param session the latest session of the worker
- * @param serial the highest serial number received in that session, in a report or a response
+ * @param highestSerial the highest serial number received in that session, in a report or a
+ *     response
  * @param reported the highest serial number received in that session in a report; -1 before the
  *     first
- * @param token the highest token that the worker has reported; a worker keeps the highest token
- *     until it restarts
+ * @param highestToken the highest token that the worker has reported; a worker keeps the highest
+ *     token until it restarts
  */
-public record Freshness(long session, long serial, long reported, long token) {
+public record ReportSequence(long session, long highestSerial, long reported, long highestToken) {
   /** Nothing has been received. */
-  public static final Freshness NONE = new Freshness(0, -1, -1, 0);
+  public static final ReportSequence NONE = new ReportSequence(0, -1, -1, 0);
 
   /** The classes of reports. */
-  public enum Worth {
+  public enum Classification {
     /** It carries new information. */
     NEW,
     /**
@@ -32,40 +33,43 @@
      * A duplicate, or sent before a report that was already received. The sender does not wait for
      * its answer.
      */
-    COPY
+    STALE
   }
 
-  public Worth of(Report r) {
-    return of(r.session(), r.serial(), r.token());
+  public Classification classify(Report r) {
+    return classify(r.session(), r.serial(), r.token());
   }
 
   /** Classifies a report by its session, its serial number and the token in it. */
-  public Worth of(long reportSession, long reportSerial, long reportToken) {
-    if (reportToken < token) {
-      return Worth.COPY;
+  public Classification classify(long reportSession, long reportSerial, long reportToken) {
+    if (reportToken < highestToken) {
+      return Classification.STALE;
     }
-    if (reportSession > session || reportSession == session && reportSerial > serial) {
-      return Worth.NEW;
+    if (reportSession > session || reportSession == session && reportSerial > highestSerial) {
+      return Classification.NEW;
     }
     // A worker sends one report at a time, so its reports arrive in the order of their serial
     // numbers.
-    return reportSession == session && reportSerial > reported ? Worth.OVERTAKEN : Worth.COPY;
+    return reportSession == session && reportSerial > reported
+        ? Classification.OVERTAKEN
+        : Classification.STALE;
   }
 
   /** Returns the state after a report that is not stale. */
-  public Freshness reported(Report r) {
-    Freshness next = answered(r);
-    return new Freshness(
-        next.session, next.serial, Math.max(r.serial(), next.reported), next.token);
+  public ReportSequence reported(Report r) {
+    ReportSequence next = afterReply(r);
+    return new ReportSequence(
+        next.session, next.highestSerial, Math.max(r.serial(), next.reported), next.highestToken);
   }
 
   /** Returns the state after a response to orders or to a status request. */
-  public Freshness answered(Report r) {
-    long shown = Math.max(token, r.token());
-    if (!r.newerThan(session, serial)) {
-      return new Freshness(session, serial, reported, shown);
+  public ReportSequence afterReply(Report r) {
+    long shown = Math.max(highestToken, r.token());
+    if (!r.newerThan(session, highestSerial)) {
+      return new ReportSequence(session, highestSerial, reported, shown);
     }
-    return new Freshness(r.session(), r.serial(), r.session() > session ? -1 : reported, shown);
+    return new ReportSequence(
+        r.session(), r.serial(), r.session() > session ? -1 : reported, shown);
   }
 
   /**
@@ -74,10 +78,10 @@
    * earlier. A late duplicate cannot look like that, since it is not the response to a request sent
    * now.
    */
-  public boolean begunAnew(Report answer) {
+  public boolean provesRestart(Report answer) {
     return session > 0
-        && (answer.token() < token
+        && (answer.token() < highestToken
             || answer.session() < session
-            || answer.session() == session && answer.serial() <= serial);
+            || answer.session() == session && answer.serial() <= highestSerial);
   }
 }
--- a/src/main/java/dev/dunefront/evidence/Responsiveness.java
+++ b/src/main/java/dev/dunefront/evidence/Responsiveness.java
@@ -8,66 +8,67 @@
  * gets no response. A status request then decides.
  *
  * @param state current state
- * @param lapses number of recent times that the machine was found unresponsive
+ * @param failures number of recent times that the machine was found unresponsive
  * @param since when the state was entered
- * @param nextAsk earliest time of the next status request
- * @param pauseS pause after the next status request without a response, in seconds
+ * @param nextCheckAt earliest time of the next status request
+ * @param retryPauseS pause after the next status request without a response, in seconds
  */
-public record Responsiveness(State state, int lapses, double since, double nextAsk, double pauseS) {
+public record Responsiveness(
+    State state, int failures, double since, double nextCheckAt, double retryPauseS) {
   /** Whether a machine is known to receive messages. */
   public enum State {
-    HEARS,
+    RESPONSIVE,
     /** There is evidence that it is unresponsive; a status request is in progress or due. */
     SUSPECT,
     /** A status request got no response although reports arrive. */
-    DEAF,
+    UNRESPONSIVE,
     /** It responds again, but gets no work yet. */
     PROBATION
   }
 
-  private static final double FIRST_PAUSE_S = 1;
-  private static final double LONGEST_PAUSE_S = 8;
-  private static final int MOST_DOUBLINGS = 5;
+  private static final double INITIAL_PAUSE_S = 1;
+  private static final double MAX_PAUSE_S = 8;
+  private static final int MAX_DOUBLINGS = 5;
 
   /** The state of a machine without recent failures. */
-  public static final Responsiveness GOOD =
-      new Responsiveness(State.HEARS, 0, Double.NEGATIVE_INFINITY, 0, FIRST_PAUSE_S);
+  public static final Responsiveness INITIAL =
+      new Responsiveness(State.RESPONSIVE, 0, Double.NEGATIVE_INFINITY, 0, INITIAL_PAUSE_S);
 
   /** Whether tasks may be placed on the machine. */
   public boolean trusted() {
-    return state == State.HEARS;
+    return state == State.RESPONSIVE;
   }
 
-  public boolean deaf() {
-    return state == State.DEAF;
+  public boolean unresponsive() {
+    return state == State.UNRESPONSIVE;
   }
 
   /** Returns the state after evidence that the machine is unresponsive. */
   public Responsiveness suspected(double now) {
-    return state == State.HEARS || state == State.PROBATION
-        ? new Responsiveness(State.SUSPECT, lapses, now, now, FIRST_PAUSE_S)
+    return state == State.RESPONSIVE || state == State.PROBATION
+        ? new Responsiveness(State.SUSPECT, failures, now, now, INITIAL_PAUSE_S)
         : this;
   }
 
   /** Whether a status request is due. */
-  public boolean asks(double now) {
-    return (state == State.SUSPECT || state == State.DEAF) && now >= nextAsk;
+  public boolean checkDue(double now) {
+    return (state == State.SUSPECT || state == State.UNRESPONSIVE) && now >= nextCheckAt;
   }
 
   /**
    * Returns the state after a status request has been sent. The next one is due after its response
    * or its timeout.
    */
-  public Responsiveness asked(double now, double deadlineS) {
-    return new Responsiveness(state, lapses, since, now + deadlineS, pauseS);
+  public Responsiveness checkSent(double now, double deadlineS) {
+    return new Responsiveness(state, failures, since, now + deadlineS, retryPauseS);
   }
 
   /** Returns the state after a status request without a response. */
   public Responsiveness unanswered(double now) {
-    double next = Math.min(LONGEST_PAUSE_S, pauseS * 2);
-    return state == State.DEAF
-        ? new Responsiveness(state, lapses, since, now + pauseS, next)
-        : new Responsiveness(State.DEAF, lapses + 1, now, now + pauseS, next);
+    double next = Math.min(MAX_PAUSE_S, retryPauseS * 2);
+    return state == State.UNRESPONSIVE
+        ? new Responsiveness(state, failures, since, now + retryPauseS, next)
+        : new Responsiveness(State.UNRESPONSIVE, failures + 1, now, now + retryPauseS, next);
   }
 
   /**
@@ -77,9 +78,9 @@
    */
   public Responsiveness answered(double now) {
     return switch (state) {
-      case HEARS, PROBATION -> this;
-      case SUSPECT -> new Responsiveness(State.HEARS, lapses, now, 0, FIRST_PAUSE_S);
-      case DEAF -> new Responsiveness(State.PROBATION, lapses, now, 0, FIRST_PAUSE_S);
+      case RESPONSIVE, PROBATION -> this;
+      case SUSPECT -> new Responsiveness(State.RESPONSIVE, failures, now, 0, INITIAL_PAUSE_S);
+      case UNRESPONSIVE -> new Responsiveness(State.PROBATION, failures, now, 0, INITIAL_PAUSE_S);
     };
   }
 
@@ -91,13 +92,13 @@
    * @param leaseS the lease duration of the workers in seconds; after ten of them without a failure
    *     all earlier failures are forgotten
    */
-  public Responsiveness passed(double now, double reportS, double leaseS) {
+  public Responsiveness advance(double now, double reportS, double leaseS) {
     if (state == State.PROBATION) {
-      double wait = reportS * Math.pow(2, Math.min(MOST_DOUBLINGS, lapses - 1));
+      double wait = reportS * Math.pow(2, Math.min(MAX_DOUBLINGS, failures - 1));
       return now - since >= wait
-          ? new Responsiveness(State.HEARS, lapses, now, 0, FIRST_PAUSE_S)
+          ? new Responsiveness(State.RESPONSIVE, failures, now, 0, INITIAL_PAUSE_S)
           : this;
     }
-    return state == State.HEARS && lapses > 0 && now - since > 10 * leaseS ? GOOD : this;
+    return state == State.RESPONSIVE && failures > 0 && now - since > 10 * leaseS ? INITIAL : this;
   }
 }
--- a/src/main/java/dev/dunefront/fleet/Cloud.java
+++ b/src/main/java/dev/dunefront/fleet/CloudClient.java
@@ -1,30 +1,30 @@
 package dev.dunefront.fleet;
 
 import dev.dunefront.config.Settings;
-import dev.dunefront.net.Caller;
 import dev.dunefront.net.DecisionLock;
+import dev.dunefront.net.HttpCaller;
 import dev.dunefront.net.Timers;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import java.lang.System.Logger.Level;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
 
 /** The cloud's interface for machines, asked one call at a time and no faster than its rate. */
-final class Cloud {
-  private static final System.Logger LOG = System.getLogger(Cloud.class.getName());
-  private static final double CALL_S = 4;
-  private static final int PAGE = 500;
+final class CloudClient {
+  private static final System.Logger LOG = System.getLogger(CloudClient.class.getName());
+  private static final double CALL_TIMEOUT_S = 4;
+  private static final int PAGE_SIZE = 500;
 
   /** After so many calls in a row without an answer the cloud cannot be reached from here. */
-  private static final int CUT_OFF = 2;
+  private static final int MAX_UNANSWERED_CALLS = 2;
 
   /** The part of the cloud's rate that is used, for a former leader's calls may still count. */
-  private static final double RATE_PART = 0.9;
+  private static final double RATE_FRACTION = 0.9;
 
   /** A machine as the cloud lists it, with the steady time at which it was first listed. */
-  record Listed(String host, Kind kind, String status, double since) {
+  record ListedMachine(String host, MachineKind kind, String status, double statusSince) {
     boolean failed() {
       return status.equals("failed");
     }
@@ -39,123 +39,130 @@
   }
 
   /** A request for machines; its name is never used again. */
-  record Hire(String name, Kind kind, int count) {}
+  record RentRequest(String name, MachineKind kind, int count) {}
 
   /** What came of a request; TOO_FAST and UNCLEAR leave it open to be made again. */
   enum Outcome {
     RENTED,
     REFUSED,
-    TOO_FAST,
-    UNCLEAR
+    RATE_LIMITED,
+    UNKNOWN
   }
 
   /** The machines rented, perhaps fewer than asked for. */
-  record Rented(Outcome outcome, List<String> hosts) {}
+  record RentResult(Outcome outcome, List<String> hosts) {}
 
   private final Settings settings;
-  private final Caller caller;
+  private final HttpCaller caller;
   private final Timers timers;
   private final DecisionLock decisionLock;
-  private final Runnable ready;
-  private boolean calling;
-  private double nextCall;
-  private double calls = 1;
-  private double callsAt;
-  private int unanswered;
+  private final Runnable onCallFinished;
+  private boolean callInProgress;
+  private double nextCallAt;
+  private double availableCalls = 1;
+  private double availableCallsAt;
+  private int unansweredCalls;
 
   /** {@code ready} runs whenever a call is over, so that the next need not wait for a tick. */
-  Cloud(
-      Settings settings, Caller caller, Timers timers, DecisionLock decisionLock, Runnable ready) {
+  CloudClient(
+      Settings settings,
+      HttpCaller caller,
+      Timers timers,
+      DecisionLock decisionLock,
+      Runnable ready) {
     this.settings = settings;
     this.caller = caller;
     this.timers = timers;
     this.decisionLock = decisionLock;
-    this.ready = ready;
-    this.callsAt = timers.now();
+    this.onCallFinished = ready;
+    this.availableCallsAt = timers.now();
   }
 
   /** Whether a call may be made now: none is under way, and short bursts keep to the rate. */
-  boolean free() {
+  boolean canCall() {
     double now = timers.now();
-    if (calling || now < nextCall) {
+    if (callInProgress || now < nextCallAt) {
       return false;
     }
     double rps = settings.cloudLimits().rps();
-    calls = Math.min(Math.max(1, rps), calls + (now - callsAt) * rps * RATE_PART);
-    callsAt = now;
-    return calls >= 1;
+    availableCalls =
+        Math.min(Math.max(1, rps), availableCalls + (now - availableCallsAt) * rps * RATE_FRACTION);
+    availableCallsAt = now;
+    return availableCalls >= 1;
   }
 
   /** A term begins: what was not answered in an earlier one says nothing of now. */
-  void begin() {
-    unanswered = 0;
+  void resetReachability() {
+    unansweredCalls = 0;
   }
 
   /** Whether the cloud can be reached from here, as far as the last calls tell. */
   boolean reachable() {
-    return unanswered < CUT_OFF;
+    return unansweredCalls < MAX_UNANSWERED_CALLS;
   }
 
-  private void call(String method, String path, Doc body, Consumer<Caller.Reply> then) {
-    calling = true;
-    calls -= 1;
-    decisionLock.then(
+  private void call(String method, String path, Document body, Consumer<HttpCaller.Response> then) {
+    callInProgress = true;
+    availableCalls -= 1;
+    decisionLock.defer(
         () ->
             caller.call(
                 settings.cloud(),
                 method,
                 path,
                 body == null ? null : body.encode(),
-                CALL_S,
+                CALL_TIMEOUT_S,
                 reply ->
                     decisionLock.run(
                         () -> {
-                          calling = false;
-                          unanswered = reply.status() == 0 ? unanswered + 1 : 0;
+                          callInProgress = false;
+                          unansweredCalls = reply.status() == 0 ? unansweredCalls + 1 : 0;
                           if (reply.status() == 503 || reply.status() == 429) {
-                            nextCall = Math.max(nextCall, timers.now() + 1);
+                            nextCallAt = Math.max(nextCallAt, timers.now() + 1);
                           }
                           then.accept(reply);
-                          ready.run();
+                          onCallFinished.run();
                         })));
   }
 
   /** Lists all machines; nothing is heard of a list that does not come whole. */
-  void list(Consumer<List<Listed>> then) {
-    list("", new ArrayList<>(), then);
+  void listMachines(Consumer<List<ListedMachine>> then) {
+    listMachines("", new ArrayList<>(), then);
   }
 
-  private void list(String from, List<Listed> all, Consumer<List<Listed>> then) {
+  private void listMachines(
+      String from, List<ListedMachine> all, Consumer<List<ListedMachine>> then) {
     call(
         "GET",
-        "/machines?" + (from.isEmpty() ? "" : "from=" + from + "&") + "page=" + PAGE,
+        "/machines?" + (from.isEmpty() ? "" : "from=" + from + "&") + "page=" + PAGE_SIZE,
         null,
         reply -> {
           if (!reply.ok()) {
             return;
           }
           try {
-            Doc d = Doc.decode(reply.body());
+            Document d = Document.decode(reply.body());
             String last = from;
-            for (Doc m : d.docs("hosts")) {
+            for (Document m : d.documents("hosts")) {
               last = m.text("id");
-              Kind kind =
-                  new Kind(m.text("flavor"), m.textOr("site", ""), m.flagOr("loaners", false));
-              all.add(new Listed(last, kind, m.text("status"), timers.now()));
+              MachineKind kind =
+                  new MachineKind(
+                      m.text("flavor"), m.textOr("site", ""), m.flagOr("loaners", false));
+              all.add(new ListedMachine(last, kind, m.text("status"), timers.now()));
             }
             if (d.flagOr("more", false) && !last.equals(from)) {
-              list(last, all, then);
+              listMachines(last, all, then);
             } else {
               then.accept(all);
             }
-          } catch (BadMessage e) {
+          } catch (MalformedMessageException e) {
             LOG.log(Level.INFO, "the machine list cannot be read: {0}", e.getMessage());
           }
         });
   }
 
   /** Asks for the catalog with its current prices; nothing is heard of one that does not come. */
-  void catalog(Consumer<Doc> then) {
+  void fetchCatalog(Consumer<Document> then) {
     call(
         "GET",
         "/catalog",
@@ -163,8 +170,8 @@
         reply -> {
           if (reply.ok()) {
             try {
-              then.accept(Doc.decode(reply.body()));
-            } catch (BadMessage e) {
+              then.accept(Document.decode(reply.body()));
+            } catch (MalformedMessageException e) {
               LOG.log(Level.INFO, "the catalog cannot be read: {0}", e.getMessage());
             }
           }
@@ -172,30 +179,32 @@
   }
 
   /** What came of a deletion; REFUSED means that nothing was deleted. */
-  enum Deletion {
+  enum DeletionResult {
     CONFIRMED,
     REFUSED,
-    UNCLEAR
+    UNKNOWN
   }
 
   /** Deletes machines. */
-  void delete(List<String> hosts, Consumer<Deletion> then) {
+  void deleteMachines(List<String> hosts, Consumer<DeletionResult> then) {
     call(
         "POST",
         "/machines/delete",
-        Doc.of().put("hosts", hosts),
+        Document.create().put("hosts", hosts),
         reply ->
             then.accept(
                 reply.ok()
-                    ? Deletion.CONFIRMED
-                    : outcome(reply) == Outcome.UNCLEAR ? Deletion.UNCLEAR : Deletion.REFUSED));
+                    ? DeletionResult.CONFIRMED
+                    : outcome(reply) == Outcome.UNKNOWN
+                        ? DeletionResult.UNKNOWN
+                        : DeletionResult.REFUSED));
   }
 
-  void hire(Hire h, Consumer<Rented> then) {
+  void rent(RentRequest h, Consumer<RentResult> then) {
     call(
         "POST",
         "/machines",
-        Doc.of()
+        Document.create()
             .put("hire", h.name)
             .put("flavor", h.kind.type())
             .put("site", h.kind.zone())
@@ -205,23 +214,23 @@
           List<String> hosts = List.of();
           if (reply.ok()) {
             try {
-              hosts = Doc.decode(reply.body()).texts("hosts");
-            } catch (BadMessage e) {
+              hosts = Document.decode(reply.body()).texts("hosts");
+            } catch (MalformedMessageException e) {
               LOG.log(Level.INFO, "the answer to a hire cannot be read: {0}", e.getMessage());
             }
           }
-          then.accept(new Rented(outcome(reply), hosts));
+          then.accept(new RentResult(outcome(reply), hosts));
         });
   }
 
-  private static Outcome outcome(Caller.Reply reply) {
+  private static Outcome outcome(HttpCaller.Response reply) {
     if (reply.ok()) {
       return Outcome.RENTED;
     }
     return switch (reply.status()) {
       case 503, 400 -> Outcome.REFUSED;
-      case 429 -> Outcome.TOO_FAST;
-      default -> Outcome.UNCLEAR;
+      case 429 -> Outcome.RATE_LIMITED;
+      default -> Outcome.UNKNOWN;
     };
   }
 }
--- a/src/main/java/dev/dunefront/fleet/Idle.java
+++ b/src/main/java/dev/dunefront/fleet/IdlePolicy.java
@@ -13,24 +13,27 @@
  * waiting could use, and that are not part of the room kept ready. Idling costs as much as a new
  * machine's boot after about as long as that takes.
  */
-final class Idle {
+final class IdlePolicy {
   /** A machine on which nothing runs, and for how long that has been so. */
-  record Machine(String host, Kind kind, double idleS) {}
+  record IdleMachine(String host, MachineKind kind, double idleS) {}
 
-  private Idle() {}
+  private IdlePolicy() {}
 
   /**
    * @param spare room beyond what is to be kept ready, in machines by kind
    * @param wanted kinds that something waiting could use
    * @param holdS how long a machine of a kind is kept
    */
-  static List<String> toReturn(
-      List<Machine> idle, Map<Kind, Double> spare, Set<Kind> wanted, ToDoubleFunction<Kind> holdS) {
-    Map<Kind, Double> left = new HashMap<>(spare);
-    List<Machine> longest = new ArrayList<>(idle);
+  static List<String> selectForReturn(
+      List<IdleMachine> idle,
+      Map<MachineKind, Double> spare,
+      Set<MachineKind> wanted,
+      ToDoubleFunction<MachineKind> holdS) {
+    Map<MachineKind, Double> left = new HashMap<>(spare);
+    List<IdleMachine> longest = new ArrayList<>(idle);
     longest.sort(Comparator.comparingDouble(m -> -m.idleS));
     List<String> all = new ArrayList<>();
-    for (Machine m : longest) {
+    for (IdleMachine m : longest) {
       if (m.idleS >= holdS.applyAsDouble(m.kind)
           && !wanted.contains(m.kind)
           && left.getOrDefault(m.kind, 0.0) >= 1) {
--- a/src/main/java/dev/dunefront/fleet/Catalog.java
+++ b/src/main/java/dev/dunefront/fleet/MachineCatalog.java
@@ -1,15 +1,15 @@
 package dev.dunefront.fleet;
 
-import dev.dunefront.net.Caller;
 import dev.dunefront.net.DecisionLock;
+import dev.dunefront.net.HttpCaller;
 import dev.dunefront.net.Timers;
-import dev.dunefront.store.Store;
+import dev.dunefront.store.StateStore;
 import dev.dunefront.store.Txn;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.wire.Document;
 import dev.dunefront.wire.JobSpec;
 import dev.dunefront.wire.MachineType;
-import dev.dunefront.wire.Size;
+import dev.dunefront.wire.MalformedMessageException;
+import dev.dunefront.wire.Resources;
 import java.util.Collection;
 import java.util.Collections;
 import java.util.HashSet;
@@ -22,47 +22,47 @@
  * The machine types. The first controller ever asks the cloud and leaves a copy in the state
  * service, so that a restart need not wait for the cloud.
  */
-public final class Catalog {
+public final class MachineCatalog {
   private static final String KEY = "c/catalog";
-  private static final double ASK_AGAIN_S = 2;
-  private static final int MAX_SIZES = 100;
+  private static final double RETRY_S = 2;
+  private static final int MAX_SEEN_SIZES = 100;
 
   /** A type is dear to a replica if it costs this many times as much there as on the cheapest. */
-  private static final double DEAR = 1.2;
+  private static final double EXPENSIVE_PRICE_RATIO = 1.2;
 
-  private final String cloud;
-  private final Caller caller;
-  private final Store store;
+  private final String cloudAddress;
+  private final HttpCaller caller;
+  private final StateStore store;
   private final Timers timers;
   private final DecisionLock decisionLock;
   private Map<String, MachineType> types = Map.of();
   private Set<String> zones = Set.of();
 
   /** The sizes of tasks that have been seen; users have few of them. */
-  private final Set<Size> sizes =
+  private final Set<Resources> seenSizes =
       Collections.newSetFromMap(
           new LinkedHashMap<>() {
             @Override
-            protected boolean removeEldestEntry(Map.Entry<Size, Boolean> eldest) {
-              return size() > MAX_SIZES;
+            protected boolean removeEldestEntry(Map.Entry<Resources, Boolean> eldest) {
+              return size() > MAX_SEEN_SIZES;
             }
           });
 
   /** A job of each class of urgent arrays that has been seen. */
-  private final Map<String, JobSpec> urgentArrays = new LinkedHashMap<>();
+  private final Map<String, JobSpec> urgentArraysByClass = new LinkedHashMap<>();
 
-  private final Set<String> urgentHomes = new HashSet<>();
+  private final Set<String> cheapestUrgentTypes = new HashSet<>();
 
-  public Catalog(
-      String cloud, Caller caller, Store store, Timers timers, DecisionLock decisionLock) {
-    this.cloud = cloud;
+  public MachineCatalog(
+      String cloud, HttpCaller caller, StateStore store, Timers timers, DecisionLock decisionLock) {
+    this.cloudAddress = cloud;
     this.caller = caller;
     this.store = store;
     this.timers = timers;
     this.decisionLock = decisionLock;
   }
 
-  public boolean known() {
+  public boolean isLoaded() {
     return !types.isEmpty();
   }
 
@@ -75,7 +75,7 @@
   }
 
   /** From this many tasks on, a machine is larger than a task needs. */
-  public static final int OVERSIZE = 8;
+  public static final int OVERSIZE_TASKS = 8;
 
   /** All zones in which there are machines. */
   public Set<String> zones() {
@@ -83,17 +83,17 @@
   }
 
   /** A job has been seen: what it needs is remembered, for others leave room to it. */
-  public void seen(JobSpec spec) {
-    sizes.add(spec.size());
+  public void observe(JobSpec spec) {
+    seenSizes.add(spec.taskResources());
     if (!spec.priority().urgent()) {
       return;
     }
-    if (!spec.service() && urgentArrays.size() < MAX_SIZES) {
-      urgentArrays.putIfAbsent(spec.jobClass(), spec);
+    if (!spec.service() && urgentArraysByClass.size() < MAX_SEEN_SIZES) {
+      urgentArraysByClass.putIfAbsent(spec.jobClass(), spec);
     }
-    MachineType home = home(spec);
+    MachineType home = cheapestType(spec);
     if (home != null) {
-      urgentHomes.add(home.name());
+      cheapestUrgentTypes.add(home.name());
     }
   }
 
@@ -101,12 +101,12 @@
    * Whether urgent arrays may use machines of the kind. They come and go in bursts, and whether
    * they start in time is a matter of images that a machine has or has not.
    */
-  boolean servesUrgentArrays(Kind kind) {
+  boolean servesUrgentArrays(MachineKind kind) {
     MachineType t = types.get(kind.type());
-    for (JobSpec spec : urgentArrays.values()) {
+    for (JobSpec spec : urgentArraysByClass.values()) {
       if (t != null
           && spec.allows(kind.type(), kind.zone(), kind.spot())
-          && spec.size().fits(t.size())) {
+          && spec.taskResources().fitsIn(t.resources())) {
         return true;
       }
     }
@@ -117,11 +117,11 @@
    * The type on which a task costs least, for work that may not run on spot machines; null for work
    * that may.
    */
-  public MachineType home(JobSpec spec) {
+  public MachineType cheapestType(JobSpec spec) {
     MachineType home = null;
     for (MachineType t : types()) {
-      if (!spec.spot()
-          && allows(spec, t)
+      if (!spec.spotAllowed()
+          && allowsType(spec, t)
           && (home == null || taskPrice(spec, t) < taskPrice(spec, home))) {
         home = t;
       }
@@ -131,44 +131,45 @@
 
   /** What a task costs on an ordinary machine of a type, if the machine is full. */
   private static double taskPrice(JobSpec spec, MachineType t) {
-    return t.price() / Math.max(1, spec.size().timesIn(t.size()));
+    return t.price() / Math.max(1, spec.taskResources().countFittingIn(t.resources()));
   }
 
   /** Whether there is urgent work that may not run on spot machines. */
-  public boolean ordinaryNeeded() {
-    return !urgentHomes.isEmpty();
+  public boolean needsOnDemand() {
+    return !cheapestUrgentTypes.isEmpty();
   }
 
   /** Whether urgent work that may not run on spot machines is at home on the type. */
-  public boolean urgentHome(String type) {
-    return urgentHomes.contains(type);
+  public boolean isCheapestForUrgent(String type) {
+    return cheapestUrgentTypes.contains(type);
   }
 
-  private static boolean allows(JobSpec spec, MachineType t) {
-    return (spec.types() == null || spec.types().contains(t.name())) && spec.size().fits(t.size());
+  private static boolean allowsType(JobSpec spec, MachineType t) {
+    return (spec.machineTypes() == null || spec.machineTypes().contains(t.name()))
+        && spec.taskResources().fitsIn(t.resources());
   }
 
   /**
    * Whether a replica should wait for another type: it stays where it starts, and costs clearly
    * less there.
    */
-  public boolean dear(JobSpec spec, MachineType type) {
-    MachineType home = spec.service() ? home(spec) : null;
-    return home != null && taskPrice(spec, type) > DEAR * taskPrice(spec, home);
+  public boolean isExpensive(JobSpec spec, MachineType type) {
+    MachineType home = spec.service() ? cheapestType(spec) : null;
+    return home != null && taskPrice(spec, type) > EXPENSIVE_PRICE_RATIO * taskPrice(spec, home);
   }
 
   /**
    * Whether machines on which the job's tasks would be lost in space should be left to others:
    * there is an allowed type that is not too large for it, and work that fits on no such type.
    */
-  public boolean leavesLarge(JobSpec spec) {
+  public boolean avoidsOversized(JobSpec spec) {
     boolean smallerServes = false;
-    Set<Size> needLarge = new HashSet<>(sizes);
+    Set<Resources> needLarge = new HashSet<>(seenSizes);
     for (MachineType t : types()) {
-      int times = spec.size().timesIn(t.size());
-      if (times > 0 && times < OVERSIZE) {
-        smallerServes |= spec.types() == null || spec.types().contains(t.name());
-        needLarge.removeIf(s -> s.fits(t.size()));
+      int times = spec.taskResources().countFittingIn(t.resources());
+      if (times > 0 && times < OVERSIZE_TASKS) {
+        smallerServes |= spec.machineTypes() == null || spec.machineTypes().contains(t.name());
+        needLarge.removeIf(s -> s.fitsIn(t.resources()));
       }
     }
     return smallerServes && !needLarge.isEmpty();
@@ -177,20 +178,20 @@
   public void start() {
     store.get(
         KEY,
-        Store.Urgency.CORE,
+        StateStore.RequestPriority.CORE,
         got -> {
-          if (got.outcome() == Store.Outcome.OK && take(got.value())) {
+          if (got.outcome() == StateStore.Outcome.OK && load(got.value())) {
             return;
           }
-          ask(got.outcome() == Store.Outcome.MISSING);
+          fetch(got.outcome() == StateStore.Outcome.NOT_FOUND);
         });
   }
 
-  private void ask(boolean keep) {
-    decisionLock.then(
+  private void fetch(boolean keep) {
+    decisionLock.defer(
         () ->
             caller.call(
-                cloud,
+                cloudAddress,
                 "GET",
                 "/catalog",
                 null,
@@ -198,32 +199,34 @@
                 reply ->
                     decisionLock.run(
                         () -> {
-                          Doc doc = null;
+                          Document doc = null;
                           if (reply.ok()) {
                             try {
-                              doc = Doc.decode(reply.body());
-                            } catch (BadMessage e) {
+                              doc = Document.decode(reply.body());
+                            } catch (MalformedMessageException e) {
                               // asked again below
                             }
                           }
-                          if (doc == null || !take(doc)) {
-                            timers.after(ASK_AGAIN_S, () -> decisionLock.run(this::start));
+                          if (doc == null || !load(doc)) {
+                            timers.after(RETRY_S, () -> decisionLock.run(this::start));
                           } else if (keep) {
                             store.tryTxn(
-                                new Txn().put(KEY, doc), Store.Urgency.BACKGROUND, done -> {});
+                                new Txn().put(KEY, doc),
+                                StateStore.RequestPriority.BACKGROUND,
+                                done -> {});
                           }
                         })));
   }
 
   /** Takes a catalog as the cloud gives it; false if it cannot be read. */
-  boolean take(Doc doc) {
+  boolean load(Document doc) {
     Map<String, MachineType> read = new LinkedHashMap<>();
     try {
-      for (Doc d : doc.docs("flavors")) {
-        MachineType t = MachineType.read(d);
+      for (Document d : doc.documents("flavors")) {
+        MachineType t = MachineType.fromDocument(d);
         read.put(t.name(), t);
       }
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       return false;
     }
     if (read.isEmpty()) {
--- a/src/main/java/dev/dunefront/fleet/Health.java
+++ b/src/main/java/dev/dunefront/fleet/MachineHealth.java
@@ -1,9 +1,9 @@
 package dev.dunefront.fleet;
 
-import dev.dunefront.book.Holds;
-import dev.dunefront.claim.Room;
+import dev.dunefront.book.HoldTable;
+import dev.dunefront.claim.MachineTable;
 import dev.dunefront.config.Settings;
-import dev.dunefront.fleet.Cloud.Listed;
+import dev.dunefront.fleet.CloudClient.ListedMachine;
 import dev.dunefront.store.Membership;
 import dev.dunefront.wire.MachineType;
 import java.util.HashMap;
@@ -12,39 +12,39 @@
 import java.util.Set;
 
 /** Which machines are to be deleted because they are of no use any more, and why. */
-final class Health {
+final class MachineHealth {
   /** A zone with at least so many silent machines, and this part of all, is cut off. */
-  private static final int CUT_LEAST = 4;
+  private static final int PARTITION_MIN_SILENT = 4;
 
-  private static final double CUT_PART = 0.3;
+  private static final double PARTITION_SILENT_FRACTION = 0.3;
 
   /** How often records are looked through for machines that are gone. */
-  private static final double STRAYS_S = 10;
+  private static final double STRAY_SCAN_INTERVAL_S = 10;
 
   /** How many leases long machines in a cut zone are waited for. */
-  private static final double CUT_LEASES = 10;
+  private static final double PARTITION_TIMEOUT_LEASES = 10;
 
   private final Settings settings;
   private final Membership membership;
-  private final Holds holds;
-  private final Room room;
-  private final Catalog catalog;
+  private final HoldTable holds;
+  private final MachineTable room;
+  private final MachineCatalog catalog;
   private final Inventory inventory;
   private final Map<String, Double> silentSince = new HashMap<>();
   private final Map<String, Double> unlistedSince = new HashMap<>();
-  private final Map<String, Double> deafSince = new HashMap<>();
+  private final Map<String, Double> unresponsiveSince = new HashMap<>();
 
   /** Machines on record that are neither heard nor listed, as of the last look. */
   private Set<String> strays = Set.of();
 
-  private double straysAt = Double.NEGATIVE_INFINITY;
+  private double straysScannedAt = Double.NEGATIVE_INFINITY;
 
-  Health(
+  MachineHealth(
       Settings settings,
       Membership membership,
-      Holds holds,
-      Room room,
-      Catalog catalog,
+      HoldTable holds,
+      MachineTable room,
+      MachineCatalog catalog,
       Inventory inventory) {
     this.settings = settings;
     this.membership = membership;
@@ -55,9 +55,9 @@
   }
 
   /** Begins with what a former holder of the duty has noted: times of day, now being one. */
-  void begin(Intents left, double now, long nowMs) {
-    restore(left.silent, silentSince, now, nowMs);
-    restore(left.unlisted, unlistedSince, now, nowMs);
+  void startTerm(Intents left, double now, long nowMs) {
+    restore(left.silentSinceMs, silentSince, now, nowMs);
+    restore(left.unlistedSinceMs, unlistedSince, now, nowMs);
   }
 
   private static void restore(
@@ -67,17 +67,17 @@
   }
 
   /** Notes since when machines are silent; says whether that has changed. */
-  boolean note(Intents into, double now, long nowMs) {
-    boolean changed = !into.silent.keySet().equals(silentSince.keySet());
-    changed |= !into.unlisted.keySet().equals(unlistedSince.keySet());
+  boolean saveTo(Intents into, double now, long nowMs) {
+    boolean changed = !into.silentSinceMs.keySet().equals(silentSince.keySet());
+    changed |= !into.unlistedSinceMs.keySet().equals(unlistedSince.keySet());
     if (changed) {
-      keep(silentSince, into.silent, now, nowMs);
-      keep(unlistedSince, into.unlisted, now, nowMs);
+      save(silentSince, into.silentSinceMs, now, nowMs);
+      save(unlistedSince, into.unlistedSinceMs, now, nowMs);
     }
     return changed;
   }
 
-  private static void keep(
+  private static void save(
       Map<String, Double> from, Map<String, Long> into, double now, long nowMs) {
     into.clear();
     from.forEach((host, since) -> into.put(host, nowMs - Math.round((now - since) * 1000)));
@@ -98,25 +98,27 @@
       Map<String, ReturnReason> why) {
     double lease = settings.workers().leaseS();
     Set<String> silent = silentHosts(heardFrom);
-    Set<String> cut = cutZones(silent);
+    Set<String> cut = partitionedZones(silent);
     // What a former holder has noted counts, but this one must have listened for a lease as well.
     boolean listened = watchedS > lease;
     Set<String> running = new HashSet<>();
-    for (Listed l : inventory.listed()) {
-      Room.Seen seen = room.get(l.host());
+    for (ListedMachine l : inventory.listed()) {
+      MachineTable.Entry seen = room.get(l.host());
       MachineType type = catalog.type(l.kind().type());
       if (l.failed()) {
         why.put(l.host(), ReturnReason.FAILED);
       } else if (l.booting()) {
         double patience = 30 + 4 * (type == null ? 30 : type.bootS());
-        if (seen == null && now - l.since() > patience) {
+        if (seen == null && now - l.statusSince() > patience) {
           why.put(l.host(), ReturnReason.NOT_BOOTING);
         }
       } else if (silent.contains(l.host())) {
         running.add(l.host());
         double since = silentSince.computeIfAbsent(l.host(), h -> now);
         double patience =
-            cut.contains(l.kind().zone()) ? CUT_LEASES * lease : patience(type, lease);
+            cut.contains(l.kind().zone())
+                ? PARTITION_TIMEOUT_LEASES * lease
+                : silenceTimeoutS(type, lease);
         if (now - since > patience && listened) {
           why.put(l.host(), ReturnReason.SILENT);
         }
@@ -126,13 +128,13 @@
       }
     }
     silentSince.keySet().retainAll(running);
-    deaf(now, lease, listened, why);
-    if (now - straysAt > STRAYS_S) {
-      straysAt = now;
+    checkUnresponsive(now, lease, listened, why);
+    if (now - straysScannedAt > STRAY_SCAN_INTERVAL_S) {
+      straysScannedAt = now;
       strays = strays();
     }
     unheard.addAll(strays);
-    unlisted(now, listened && watchedS > 2 * settings.cloudLimits().listLagS(), unheard, why);
+    checkUnlisted(now, listened && watchedS > 2 * settings.cloudLimits().listLagS(), unheard, why);
   }
 
   /**
@@ -140,20 +142,21 @@
    * as long; but they say nothing of their zone, which is heard. How long that has been so is not
    * handed over: whoever has the duty next waits anew.
    */
-  private void deaf(double now, double lease, boolean listened, Map<String, ReturnReason> why) {
+  private void checkUnresponsive(
+      double now, double lease, boolean listened, Map<String, ReturnReason> why) {
     Set<String> deaf = new HashSet<>();
-    for (Room.Seen seen : room.all()) {
-      if (seen.view().deaf()) {
+    for (MachineTable.Entry seen : room.all()) {
+      if (seen.view().unresponsive()) {
         String host = seen.view().host();
         deaf.add(host);
-        double since = deafSince.computeIfAbsent(host, h -> now);
-        double patience = patience(catalog.type(seen.view().type()), lease);
+        double since = unresponsiveSince.computeIfAbsent(host, h -> now);
+        double patience = silenceTimeoutS(catalog.type(seen.view().type()), lease);
         if (now - since > patience && listened) {
           why.put(host, ReturnReason.DEAF);
         }
       }
     }
-    deafSince.keySet().retainAll(deaf);
+    unresponsiveSince.keySet().retainAll(deaf);
   }
 
   /**
@@ -162,9 +165,10 @@
    * it. Only the cloud's answer to a deletion proves those tasks gone; without it they would wait
    * for ever.
    */
-  private void unlisted(
+  private void checkUnlisted(
       double now, boolean watched, Set<String> unheard, Map<String, ReturnReason> why) {
-    unheard.removeIf(h -> inventory.isListed(h) || inventory.isDeleted(h) || heard(room.get(h)));
+    unheard.removeIf(
+        h -> inventory.isListed(h) || inventory.isDeleted(h) || isReporting(room.get(h)));
     unlistedSince.keySet().retainAll(unheard);
     // A new machine is listed within twice the lag, and listed until it is gone.
     double patience = 2 * settings.workers().leaseS() + 3 * settings.cloudLimits().listLagS();
@@ -182,10 +186,13 @@
    */
   private Set<String> strays() {
     Set<String> found = new HashSet<>();
-    for (Holds.Hold h : holds.recorded()) {
-      Room.Seen seen = room.get(h.host());
-      boolean held = seen != null && !seen.view().lost();
-      if (!h.dead() && !held && !inventory.isListed(h.host()) && !inventory.isExpected(h.host())) {
+    for (HoldTable.Hold h : holds.records()) {
+      MachineTable.Entry seen = room.get(h.host());
+      boolean held = seen != null && !seen.view().leaseExpired();
+      if (!h.machineDeleted()
+          && !held
+          && !inventory.isListed(h.host())
+          && !inventory.isExpected(h.host())) {
         found.add(h.host());
       }
     }
@@ -197,7 +204,7 @@
    * fails the cloud itself lists as failed; what is silent mostly hangs or is cut off, and is back
    * with its images before another has them.
    */
-  private double patience(MachineType type, double lease) {
+  private double silenceTimeoutS(MachineType type, double lease) {
     double boot = type == null ? 30 : type.bootS();
     return 2 * lease + 1.5 * boot + settings.cloudLimits().listLagS();
   }
@@ -206,9 +213,9 @@
    * Zones of which so much is silent at once that the zone must be cut off, not its machines
    * broken. Inside, they may well be heard and run their tasks.
    */
-  private Set<String> cutZones(Set<String> silent) {
+  private Set<String> partitionedZones(Set<String> silent) {
     Map<String, int[]> zones = new HashMap<>();
-    for (Listed l : inventory.listed()) {
+    for (ListedMachine l : inventory.listed()) {
       if (l.running()) {
         int[] counts = zones.computeIfAbsent(l.kind().zone(), z -> new int[2]);
         counts[0]++;
@@ -218,22 +225,23 @@
     Set<String> cut = new HashSet<>();
     zones.forEach(
         (zone, counts) -> {
-          if (counts[1] >= CUT_LEAST && counts[1] > counts[0] * CUT_PART) {
+          if (counts[1] >= PARTITION_MIN_SILENT
+              && counts[1] > counts[0] * PARTITION_SILENT_FRACTION) {
             cut.add(zone);
           }
         });
     return cut;
   }
 
-  private static boolean heard(Room.Seen seen) {
-    return seen != null && seen.view().settled() && !seen.view().lost();
+  private static boolean isReporting(MachineTable.Entry seen) {
+    return seen != null && seen.view().tokenAcknowledged() && !seen.view().leaseExpired();
   }
 
   /** Listed machines that should be heard and are not. */
   private Set<String> silentHosts(Set<String> heardFrom) {
     Set<String> silent = new HashSet<>();
-    for (Listed l : inventory.listed()) {
-      if (!l.failed() && !l.booting() && silent(l, room.get(l.host()), heardFrom)) {
+    for (ListedMachine l : inventory.listed()) {
+      if (!l.failed() && !l.booting() && isSilent(l, room.get(l.host()), heardFrom)) {
         silent.add(l.host());
       }
     }
@@ -241,12 +249,12 @@
   }
 
   /** Nobody hears the machine, as far as can be told here. */
-  private boolean silent(Listed l, Room.Seen seen, Set<String> heardFrom) {
+  private boolean isSilent(ListedMachine l, MachineTable.Entry seen, Set<String> heardFrom) {
     if (seen != null) {
-      return seen.view().lost();
+      return seen.view().leaseExpired();
     }
-    Holds.Hold hold = holds.of(l.host(), l.kind().zone());
-    if (hold == null || hold.dead()) {
+    HoldTable.Hold hold = holds.holdOf(l.host(), l.kind().zone());
+    if (hold == null || hold.machineDeleted()) {
       return hold != null;
     }
     // A live holder that can be heard would have told of the machine if it heard it itself.
--- a/src/main/java/dev/dunefront/fleet/ReturnReason.java
+++ b/src/main/java/dev/dunefront/fleet/ReturnReason.java
@@ -1,6 +1,6 @@
 package dev.dunefront.fleet;
 
-import dev.dunefront.peer.Message.View;
+import dev.dunefront.peer.Message.MachineView;
 
 /** Why a machine is returned, and what its successor does with a return that has no answer yet. */
 enum ReturnReason {
@@ -12,15 +12,15 @@
   QUARANTINED("tasks fail on it"),
   UNLISTED("it is neither heard nor listed");
 
-  private final String reason;
+  private final String description;
 
   ReturnReason(String reason) {
-    this.reason = reason;
+    this.description = reason;
   }
 
   /** As operators read it. */
-  String reason() {
-    return reason;
+  String description() {
+    return description;
   }
 
   /** A reason that a later version has written is as good as one that says least. */
@@ -37,8 +37,8 @@
    * Whether the deletion may stand before long: nobody holds the machine yet, or its holder has yet
    * to close it.
    */
-  boolean mayStand(View view) {
-    return this == IDLE && (view == null || view.idle() && !stands(view));
+  boolean mayApplyLater(MachineView view) {
+    return this == IDLE && (view == null || view.idle() && !stillApplies(view));
   }
 
   /**
@@ -48,12 +48,12 @@
    *
    * @param view what its holder shows, or null if nobody holds it
    */
-  boolean stands(View view) {
+  boolean stillApplies(MachineView view) {
     if (view == null) {
       // Whoever held it may hold it on in a moment, with what was placed there since.
       return this != IDLE;
     }
-    if (view.lost()) {
+    if (view.leaseExpired()) {
       return true;
     }
     return switch (this) {
@@ -61,8 +61,8 @@
       case QUARANTINED -> view.quarantined();
       // The cloud itself says so, and lists nothing that still runs as failed.
       case FAILED -> true;
-      case UNLISTED -> !view.settled();
-      case DEAF -> view.deaf();
+      case UNLISTED -> !view.tokenAcknowledged();
+      case DEAF -> view.unresponsive();
       case NOT_BOOTING, SILENT -> false;
     };
   }
--- a/src/test/java/dev/dunefront/book/InterestsTest.java
+++ b/src/test/java/dev/dunefront/book/InterestsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dev.dunefront.peer.Detail;
+import dev.dunefront.peer.ViewDetail;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -12,37 +12,39 @@
  * recently subscribed to less.
  */
 class InterestsTest {
-  private final Interests interests = new Interests();
+  private final ViewSubscriptions interests = new ViewSubscriptions();
 
   @Test
   void aControllerWithoutASubscriptionReceivesEverything() {
-    assertEquals(Detail.LOAD, interests.of("node-1", 5));
+    assertEquals(ViewDetail.FULL, interests.detailFor("node-1", 5));
     assertFalse(
-        interests.declared("node-1", Detail.STANDING, 5),
+        interests.subscribe("node-1", ViewDetail.STATUS, 5),
         "a lower level leaves no changes to be sent");
-    assertEquals(Detail.STANDING, interests.of("node-1", 5));
+    assertEquals(ViewDetail.STATUS, interests.detailFor("node-1", 5));
   }
 
   @Test
   void aSubscriptionThatIsNotRenewedExpires() {
-    interests.declared("node-1", Detail.STANDING, 5);
-    assertEquals(Detail.STANDING, interests.of("node-1", 5 + Interests.LAPSE_S));
-    assertEquals(Detail.LOAD, interests.of("node-1", 5.1 + Interests.LAPSE_S));
+    interests.subscribe("node-1", ViewDetail.STATUS, 5);
+    assertEquals(
+        ViewDetail.STATUS, interests.detailFor("node-1", 5 + ViewSubscriptions.SUBSCRIPTION_TTL_S));
+    assertEquals(
+        ViewDetail.FULL, interests.detailFor("node-1", 5.1 + ViewSubscriptions.SUBSCRIPTION_TTL_S));
   }
 
   @Test
   void aHigherLevelIsReportedOnceHoweverOftenItIsRenewed() {
-    interests.declared("node-1", Detail.STANDING, 5);
-    assertTrue(interests.declared("node-1", Detail.ROOM, 6));
-    assertFalse(interests.declared("node-1", Detail.ROOM, 6));
-    assertFalse(interests.declared("node-1", Detail.STANDING, 7));
-    assertEquals(Detail.STANDING, interests.of("node-1", 7));
+    interests.subscribe("node-1", ViewDetail.STATUS, 5);
+    assertTrue(interests.subscribe("node-1", ViewDetail.CAPACITY, 6));
+    assertFalse(interests.subscribe("node-1", ViewDetail.CAPACITY, 6));
+    assertFalse(interests.subscribe("node-1", ViewDetail.STATUS, 7));
+    assertEquals(ViewDetail.STATUS, interests.detailFor("node-1", 7));
   }
 
   @Test
   void aReconnectedControllerReceivesEverything() {
-    interests.declared("node-1", Detail.STANDING, 5);
-    interests.gone("node-1");
-    assertEquals(Detail.LOAD, interests.of("node-1", 5));
+    interests.subscribe("node-1", ViewDetail.STATUS, 5);
+    interests.remove("node-1");
+    assertEquals(ViewDetail.FULL, interests.detailFor("node-1", 5));
   }
 }
--- a/src/test/java/dev/dunefront/book/RosterTest.java
+++ b/src/test/java/dev/dunefront/book/RosterTest.java
@@ -6,8 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dev.dunefront.book.Roster.Member;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -20,13 +20,15 @@
           List.of(new Member("n-0", "a"), new Member("n-1", "b"), new Member("n-2", "a")), 4, 77);
 
   @Test
-  void isReadBackAsWrittenAndARecordWithoutAnEpochIsInTheFirst() throws BadMessage {
-    assertEquals(THREE, Roster.read(Doc.decode(THREE.write().encode()), 77));
-    Doc withoutEpoch = Doc.of().put("nodes", List.of("n-0")).put("zones", List.of("a"));
+  void isReadBackAsWrittenAndARecordWithoutAnEpochIsInTheFirst() throws MalformedMessageException {
+    assertEquals(THREE, Roster.read(Document.decode(THREE.write().encode()), 77));
+    Document withoutEpoch =
+        Document.create().put("nodes", List.of("n-0")).put("zones", List.of("a"));
     assertEquals(1, Roster.read(withoutEpoch, 5).epoch());
-    assertEquals(1, Roster.read(withoutEpoch, 5).token());
-    Doc withoutZone = Doc.of().put("nodes", List.of("n-0", "n-1")).put("zones", List.of("a"));
-    assertThrows(BadMessage.class, () -> Roster.read(withoutZone, 5));
+    assertEquals(1, Roster.read(withoutEpoch, 5).defaultToken());
+    Document withoutZone =
+        Document.create().put("nodes", List.of("n-0", "n-1")).put("zones", List.of("a"));
+    assertThrows(MalformedMessageException.class, () -> Roster.read(withoutZone, 5));
   }
 
   /**
@@ -35,8 +37,8 @@
    */
   @Test
   void tokensOfAnEpochAreAboveAllOfTheOneBefore() {
-    long raisedOften = new Roster(THREE.members(), 4, 1).token() + Integer.MAX_VALUE;
-    assertTrue(new Roster(THREE.members(), 5, 1).token() > raisedOften);
+    long raisedOften = new Roster(THREE.members(), 4, 1).defaultToken() + Integer.MAX_VALUE;
+    assertTrue(new Roster(THREE.members(), 5, 1).defaultToken() > raisedOften);
   }
 
   @Test
@@ -46,8 +48,8 @@
     int moved = 0;
     int machines = 1000;
     for (int i = 0; i < machines; i++) {
-      String before = THREE.holder("host-" + i, i % 2 == 0 ? "a" : "b");
-      String after = more.holder("host-" + i, i % 2 == 0 ? "a" : "b");
+      String before = THREE.defaultHolder("host-" + i, i % 2 == 0 ? "a" : "b");
+      String after = more.defaultHolder("host-" + i, i % 2 == 0 ? "a" : "b");
       if (!before.equals(after)) {
         moved++;
         assertEquals("n-3", after, "machines move to the new member only");
