--- a/src/main/java/dev/dunefront/book/ControllerLoads.java
+++ b/src/main/java/dev/dunefront/book/ControllerLoads.java
@@ -48,12 +48,12 @@
   }
 
   /** Records the load that a controller has reported. */
-  void update(String node, int machineCount, double lateS) {
+  void update(String node, int machineCount, double timerLagS) {
     machineCounts.put(node, machineCount);
-    timerLagsS.put(node, lateS);
+    timerLagsS.put(node, timerLagS);
   }
 
-  /** The connection to a controller has closed. */
+  /** Removes a controller whose connection has closed. */
   void remove(String node) {
     machineCounts.remove(node);
     timerLagsS.remove(node);
@@ -113,10 +113,10 @@
   /**
    * The controller that should hold a machine of the given zone instead of this one, or null.
    *
-   * @param farBelow the result of {@link #lessLoadedInOwnZone}
+   * @param lessLoaded the result of {@link #lessLoadedInOwnZone}
    */
-  String preferredHolder(String zone, String farBelow) {
-    return zone.equals(settings.zone()) || !zones.contains(zone) ? farBelow : assignInZone(zone);
+  String preferredHolder(String zone, String lessLoaded) {
+    return zone.equals(settings.zone()) || !zones.contains(zone) ? lessLoaded : assignInZone(zone);
   }
 
   /**
--- a/src/main/java/dev/dunefront/book/HeldMachines.java
+++ b/src/main/java/dev/dunefront/book/HeldMachines.java
@@ -25,10 +25,10 @@
 import java.util.Objects;
 
 /**
- * The machines that this controller holds, meaning that it alone sends them orders and offers their
- * room. Dispatches worker reports, keeps the want book of each machine and drives periodic work.
- * {@link HoldAcquisition} processes reports of machines not held here, {@link WorkerCommands} sends
- * orders to workers, {@link ViewPublisher} publishes machine state to the controllers.
+ * The machines that this controller holds, meaning that it alone sends them commands and offers
+ * their room. Dispatches worker reports, keeps the want book of each machine and drives periodic
+ * work. {@link HoldAcquisition} processes reports of machines not held here, {@link WorkerCommands}
+ * sends commands to workers, {@link ViewPublisher} publishes machine state to the controllers.
  */
 public final class HeldMachines {
   private static final System.Logger LOG = System.getLogger(HeldMachines.class.getName());
@@ -52,7 +52,7 @@
   private final Peers peers;
   private final Timers timers;
   private final DecisionLock decisionLock;
-  private final Map<String, Machine> held = new HashMap<>();
+  private final Map<String, Machine> machines = new HashMap<>();
 
   /**
    * Attempts denied on machines that were released since, by host; see {@link #addMachine}. Removed
@@ -72,7 +72,7 @@
   private final HoldChanges holdChanges;
   private final ControllerLoads controllerLoads;
   private final HoldAcquisition holdAcquisition;
-  private final PauseDetector standstill;
+  private final PauseDetector pauseDetector;
   private final RoomAllocation roomAllocation;
   private final MachineMessages machineMessages;
 
@@ -86,7 +86,7 @@
     this.peers = context.peers();
     this.timers = context.timers();
     this.decisionLock = context.decisionLock();
-    this.viewPublisher = new ViewPublisher(context, held);
+    this.viewPublisher = new ViewPublisher(context, machines);
     this.preemption = new Preemption(context, viewPublisher);
     this.reportApplier = new ReportApplier(context);
     this.statusChecks = new StatusChecks(context, caller, this, reportApplier);
@@ -97,11 +97,11 @@
     this.controllerLoads = new ControllerLoads(settings, membership);
     this.workerEvacuation = new WorkerEvacuation(context, controllerLoads);
     this.holdAcquisition = new HoldAcquisition(context, controllerLoads, statusChecks, this);
-    this.standstill = context.standstill();
+    this.pauseDetector = context.standstill();
     this.roomAllocation = new RoomAllocation(context, controllerLoads, viewPublisher);
     this.machineMessages =
         new MachineMessages(context, this, startRequests, preemption, holdAcquisition);
-    standstill.addResumeListener(holdAcquisition::resumedAfterPause);
+    pauseDetector.addResumeListener(holdAcquisition::resumedAfterPause);
   }
 
   // ---- reports ----
@@ -112,12 +112,12 @@
    * old token would keep the worker here.
    */
   public void report(Report r, Responder answer) {
-    standstill.whenCurrent(() -> dispatchReport(r, answer));
+    pauseDetector.whenCurrent(() -> dispatchReport(r, answer));
   }
 
   private void dispatchReport(Report r, Responder answer) {
     workerEvacuation.reportReceived(r.host());
-    Machine m = held.get(r.host());
+    Machine m = machines.get(r.host());
     if (m != null) {
       processReport(m, r, answer);
     } else {
@@ -129,8 +129,8 @@
    * Another controller has reported how many machines it holds and how late its timers run, in
    * seconds.
    */
-  public void controllerLoadReceived(String node, int machineCount, double lateS) {
-    controllerLoads.update(node, machineCount, lateS);
+  public void controllerLoadReceived(String node, int machineCount, double timerLagS) {
+    controllerLoads.update(node, machineCount, timerLagS);
   }
 
   /** Whether this controller's timers run late while another controller keeps up. */
@@ -139,8 +139,8 @@
   }
 
   /** The machine, if this controller holds it, or null. */
-  Machine held(String host) {
-    return held.get(host);
+  Machine get(String host) {
+    return machines.get(host);
   }
 
   /**
@@ -149,7 +149,7 @@
    * controller.
    */
   void addMachine(Machine m) {
-    held.put(m.host, m);
+    machines.put(m.host, m);
     Map<TaskId, Long> denied = deniedAttemptsByHost.remove(m.host);
     if (denied != null && m.resumed) {
       m.deniedAttempts.putAll(denied);
@@ -164,6 +164,7 @@
         m.session);
   }
 
+  /** Processes a report of a machine that is held here. */
   void processReport(Machine m, Report r, Responder answer) {
     if (r.token() > m.token) {
       // Another controller holds this machine under a higher token.
@@ -188,13 +189,13 @@
       statusChecks.reportReceived(m, r);
     }
     reportApplier.applyReport(m, r);
-    String redirectTarget = workerEvacuation.redirectTarget(m, held.values());
+    String redirectTarget = workerEvacuation.redirectTarget(m, machines.values());
     if (redirectTarget != null) {
       release(m, "this controller is isolated; redirecting it to " + redirectTarget);
       holdAcquisition.sendToController(m.host, redirectTarget, answer);
       return;
     }
-    if (m.redirectTo == null && held.size() > MIN_MACHINES_WHEN_OVERLOADED) {
+    if (m.redirectTo == null && machines.size() > MIN_MACHINES_WHEN_OVERLOADED) {
       m.redirectTo = controllerLoads.offloadTarget();
     }
     if (m.redirectTo != null) {
@@ -221,8 +222,9 @@
     reconcile(m);
   }
 
+  /** Stops holding the machine and notifies the other controllers. The reason is logged. */
   void release(Machine m, String reason) {
-    if (held.remove(m.host, m)) {
+    if (machines.remove(m.host, m)) {
       if (!m.deniedAttempts.isEmpty()) {
         deniedAttemptsByHost.put(m.host, m.deniedAttempts);
       }
@@ -247,7 +249,7 @@
   /** The hold record of a machine has changed in the replica. */
   public void holdChanged(String host) {
     holdChanges.holdChanged(host);
-    if (!held.containsKey(host)) {
+    if (!machines.containsKey(host)) {
       // Any later hold of this machine has a higher token, so the denials are no longer needed.
       deniedAttemptsByHost.remove(host);
     }
@@ -266,7 +268,7 @@
       // task states nor the size of the tasks.
       return;
     }
-    for (Machine m : held.values()) {
+    for (Machine m : machines.values()) {
       if (ended) {
         m.book.removeJob(id);
       }
@@ -282,7 +284,7 @@
 
   /** A job has been cancelled: stops its running tasks here and refuses its pending starts. */
   public void jobCancelled(String id) {
-    for (Machine m : held.values()) {
+    for (Machine m : machines.values()) {
       taskTermination.stopJob(m, id);
       m.book.removeJob(id);
       reconcile(m);
@@ -291,7 +293,7 @@
 
   /** All machines that this controller holds. */
   Collection<Machine> all() {
-    return held.values();
+    return machines.values();
   }
 
   static boolean jobEnded(JobTable.Entry entry) {
@@ -300,9 +302,10 @@
 
   // ---- messages ----
 
+  /** Processes a message of another controller that concerns machines. */
   public void messageReceived(String from, Message message) {
-    if (message instanceof Message.ViewSubscription i) {
-      viewPublisher.subscriptionReceived(from, i.detail());
+    if (message instanceof Message.ViewSubscription subscription) {
+      viewPublisher.subscriptionReceived(from, subscription.detail());
     } else {
       machineMessages.messageReceived(from, message);
     }
@@ -312,7 +315,7 @@
   public void peerDisconnected(String node) {
     controllerLoads.remove(node);
     viewPublisher.peerDisconnected(node);
-    for (Machine m : held.values()) {
+    for (Machine m : machines.values()) {
       m.book.removeController(node);
       if (m.offers.values().removeIf(o -> o.node().equals(node))) {
         m.viewChanged = true;
@@ -329,11 +332,11 @@
   // ---- allocation ----
 
   /**
-   * Offers free room to wants, sends pending orders and publishes the machine's state if it has
+   * Offers free room to wants, sends pending commands and publishes the machine's state if it has
    * changed.
    */
   void reconcile(Machine m) {
-    if (held.get(m.host) != m) {
+    if (machines.get(m.host) != m) {
       return;
     }
     roomAllocation.offerRoom(m);
@@ -347,7 +350,7 @@
   // ---- metrics and periodic work ----
 
   public int machineCount() {
-    return held.size();
+    return machines.size();
   }
 
   /** Number of stale reports received since the start of the process. */
@@ -367,34 +370,34 @@
 
   /** Whether neither the state service nor any other controller is reachable. */
   public boolean isolated() {
-    return workerEvacuation.alone();
+    return workerEvacuation.isolated();
   }
 
   /**
    * Periodic work, called several times a second.
    *
-   * @param lateS by how much this controller's timers run late, in seconds
+   * @param timerLagS by how much this controller's timers run late, in seconds
    */
-  public void tick(double lateS) {
-    controllerLoads.setOwnTimerLag(lateS);
-    statusChecks.setTimerLag(lateS);
+  public void tick(double timerLagS) {
+    controllerLoads.setOwnTimerLag(timerLagS);
+    statusChecks.setTimerLag(timerLagS);
     double now = timers.now();
     double leaseS = settings.workers().leaseS();
-    if (!standstill.current()) {
+    if (!pauseDetector.current()) {
       return;
     }
     holdChanges.tick();
     workerEvacuation.tick(now);
-    for (Machine m : List.copyOf(held.values())) {
+    for (Machine m : List.copyOf(machines.values())) {
       // A failure on one machine must not keep the others from being processed.
       decisionLock.run(() -> tick(m, now, leaseS));
     }
     if (now - lastSweepAt > IDLE_CHECK_INTERVAL_S) {
       lastSweepAt = now;
-      taskTermination.stopTasksOfEndedJobs(held.values(), now);
+      taskTermination.stopTasksOfEndedJobs(machines.values(), now);
       holdAcquisition.removeExpired(now);
     }
-    roomAllocation.rebalance(held.values(), now);
+    roomAllocation.rebalance(machines.values(), now);
   }
 
   private void tick(Machine m, double now, double leaseS) {
--- a/src/main/java/dev/dunefront/book/HoldAcquisition.java
+++ b/src/main/java/dev/dunefront/book/HoldAcquisition.java
@@ -23,7 +23,7 @@
 /**
  * Processes reports of machines that this controller does not hold yet: it resumes an earlier hold,
  * acquires the machine, or redirects the worker to the current holder. No two controllers ever send
- * orders to one machine under the same token.
+ * commands to one machine under the same token.
  */
 final class HoldAcquisition {
   /** The fraction of a lease duration for which an unreachable holder is waited for. */
@@ -83,17 +83,17 @@
   private final Map<String, Double> redirectedAt = new HashMap<>();
 
   /** Machines that other controllers have released, by host. */
-  private final Map<String, Release> released = new HashMap<>();
+  private final Map<String, Release> releases = new HashMap<>();
 
-  private record Release(String node, double at) {}
+  private record Release(String node, double receivedAt) {}
 
   private double incarnationStartedAt;
 
   HoldAcquisition(
       ControllerContext context,
-      ControllerLoads neighbours,
-      StatusChecks listening,
-      HeldMachines books) {
+      ControllerLoads controllerLoads,
+      StatusChecks statusChecks,
+      HeldMachines heldMachines) {
     this.settings = context.settings();
     this.membership = context.membership();
     this.holds = context.holds();
@@ -102,9 +102,9 @@
     this.peers = context.peers();
     this.timers = context.timers();
     this.decisionLock = context.decisionLock();
-    this.controllerLoads = neighbours;
-    this.statusChecks = listening;
-    this.heldMachines = books;
+    this.controllerLoads = controllerLoads;
+    this.statusChecks = statusChecks;
+    this.heldMachines = heldMachines;
     this.incarnationStartedAt = timers.now();
   }
 
@@ -127,8 +127,8 @@
   }
 
   /** Another controller has released a machine. */
-  void released(String host, String from) {
-    released.put(host, new Release(from, timers.now()));
+  void holderReleased(String host, String from) {
+    releases.put(host, new Release(from, timers.now()));
   }
 
   /** Removes expired entries, so that memory stays bounded while machines come and go. */
@@ -141,13 +141,13 @@
       }
     }
     redirectedAt.values().removeIf(at -> now - at > REDIRECT_TTL_S);
-    released.values().removeIf(r -> now - r.at > RELEASE_TTL_S);
+    releases.values().removeIf(r -> now - r.receivedAt > RELEASE_TTL_S);
   }
 
   /** A controller has stated whether it receives the reports of a machine. */
-  void holdReplyReceived(String from, Message.HoldStatus reply) {
+  void holdStatusReceived(String from, Message.HoldStatus status) {
     silentHolders.remove(from);
-    completeHoldQuery(reply.host(), reply);
+    completeHoldQuery(status.host(), status);
   }
 
   /** Redirects a machine to another controller. */
@@ -167,14 +167,14 @@
       return;
     }
     HoldTable.Hold hold = holds.holdOf(r.host(), r.zone());
-    boolean ours = holds.isHeldBy(settings.node(), hold);
-    if (ours && r.token() <= hold.token()) {
+    boolean heldHere = holds.isHeldBy(settings.node(), hold);
+    if (heldHere && r.token() <= hold.token()) {
       resumeHold(hold, r, answer);
     } else if (membership.ownIncarnation() == null || !catalog.isLoaded() || hold == null) {
       answer.send(503, null, 1);
     } else if (hold.machineDeleted()) {
       answer.send(503, null, 5);
-    } else if (ours) {
+    } else if (heldHere) {
       acquire(r, answer);
     } else {
       reportOfMachineHeldElsewhere(hold, r, answer);
@@ -185,7 +185,7 @@
   private void reportOfMachineHeldElsewhere(HoldTable.Hold hold, Report r, Responder answer) {
     String holder = Membership.nodeOf(hold.holder());
     boolean live = membership.liveNodes().contains(holder);
-    Release release = released.get(r.host());
+    Release release = releases.get(r.host());
     if (release != null && holder.equals(release.node)) {
       acquire(r, answer);
     } else if (live && hold.isDefault() && !recentlyRedirected(r.host())) {
@@ -226,8 +226,8 @@
    * Holds a machine without a write, because this controller is its default holder, or because an
    * earlier incarnation held it and no other controller has acquired it since. The arrival of many
    * machines or the restart of many controllers therefore costs no write for each machine, and no
-   * worker lease expires while writes wait for the rate budget. Orders that the earlier incarnation
-   * may have sent are in doubt only for tasks that the worker does not report.
+   * worker lease expires while writes wait for the rate budget. Commands that the earlier
+   * incarnation may have sent are in doubt only for tasks that the worker does not report.
    */
   private void resumeHold(HoldTable.Hold hold, Report r, Responder answer) {
     Machine m = new Machine(r, hold.token(), hold.revision(), timers.now());
@@ -279,50 +279,50 @@
   /** Another controller asks whether this one receives the reports of a machine. */
   void holdQueryReceived(String from, Message.HoldQuery query) {
     String host = query.host();
-    Machine m = heldMachines.held(host);
+    Machine m = heldMachines.get(host);
     if (m != null) {
       statusChecks.reportedElsewhere(m, query);
-      m = heldMachines.held(host);
+      m = heldMachines.get(host);
     }
     // For a machine that this controller held before it crashed, the time without a report counts
     // from the start of this incarnation.
     HoldTable.Hold record = holds.recordOf(host);
-    boolean ours = m != null || record == null || holds.isHeldBy(settings.node(), record);
-    double heard = m != null ? m.lastContactAt : incarnationStartedAt;
-    peers.send(from, new Message.HoldStatus(host, ours, timers.now() - heard));
+    boolean heldHere = m != null || record == null || holds.isHeldBy(settings.node(), record);
+    double lastContactAt = m != null ? m.lastContactAt : incarnationStartedAt;
+    peers.send(from, new Message.HoldStatus(host, heldHere, timers.now() - lastContactAt));
   }
 
-  private void completeHoldQuery(String host, Message.HoldStatus reply) {
+  private void completeHoldQuery(String host, Message.HoldStatus status) {
     if (verifying.contains(host)) {
       return;
     }
-    List<PendingReport> waiting = querying.get(host);
-    if (waiting == null) {
+    List<PendingReport> pendingReports = querying.get(host);
+    if (pendingReports == null) {
       return;
     }
-    HoldTable.Hold hold = holds.holdOf(host, waiting.get(0).report.zone());
-    boolean heard =
-        reply != null
-            && reply.held()
-            && reply.lastReportAgeS() < settings.workers().reportS() * 1.5;
-    if (reply == null
+    HoldTable.Hold hold = holds.holdOf(host, pendingReports.get(0).report.zone());
+    boolean receivedRecently =
+        status != null
+            && status.held()
+            && status.lastReportAgeS() < settings.workers().reportS() * 1.5;
+    if (status == null
         && hold != null
         && !hold.machineDeleted()
-        && heldMachines.held(host) == null) {
+        && heldMachines.get(host) == null) {
       if (inGracePeriod(Membership.nodeOf(hold.holder()))) {
         querying.remove(host);
-        waiting.forEach(pending -> pending.answer.send(503, null, 1));
+        pendingReports.forEach(pending -> pending.answer.send(503, null, 1));
         return;
       }
     }
-    if (heard && hold != null && !hold.holder().isEmpty()) {
+    if (receivedRecently && hold != null && !hold.holder().isEmpty()) {
       querying.remove(host);
-      waiting.forEach(pending -> redirect(pending.answer, Membership.nodeOf(hold.holder())));
-    } else if (heldMachines.held(host) != null || acquiring.containsKey(host)) {
+      pendingReports.forEach(pending -> redirect(pending.answer, Membership.nodeOf(hold.holder())));
+    } else if (heldMachines.get(host) != null || acquiring.containsKey(host)) {
       querying.remove(host);
-      waiting.forEach(pending -> heldMachines.report(pending.report, pending.answer));
+      pendingReports.forEach(pending -> heldMachines.report(pending.report, pending.answer));
     } else {
-      verifyWithWorker(host, waiting.get(waiting.size() - 1).report.endpoint());
+      verifyWithWorker(host, pendingReports.get(pendingReports.size() - 1).report.endpoint());
     }
   }
 
@@ -339,12 +339,12 @@
         endpoint,
         status -> {
           verifying.remove(host);
-          List<PendingReport> waiting = querying.remove(host);
-          if (waiting == null) {
+          List<PendingReport> pendingReports = querying.remove(host);
+          if (pendingReports == null) {
             return;
           }
-          for (PendingReport pending : waiting) {
-            if (heldMachines.held(host) != null || acquiring.containsKey(host)) {
+          for (PendingReport pending : pendingReports) {
+            if (heldMachines.get(host) != null || acquiring.containsKey(host)) {
               heldMachines.report(pending.report, pending.answer);
             } else if (status == null || !status.host().equals(host)) {
               pending.answer.send(503, null, 1);
@@ -371,32 +371,32 @@
       return;
     }
     long token = Math.max(r.token(), hold.token()) + 1;
-    String mark = store.newWriteId();
-    Document value = HoldTable.write(self, token, mark);
+    String writeId = store.newWriteId();
+    Document value = HoldTable.write(self, token, writeId);
     acquiring.put(r.host(), new ArrayList<>(List.of(new PendingReport(r, answer))));
     store.tryTxn(
         HoldTable.condition(new Txn(), r.host(), hold.revision())
             .put(HoldTable.key(r.host()), value),
         StateStore.RequestPriority.LEASE,
         result -> {
-          List<PendingReport> waiting = acquiring.remove(r.host());
-          if (waiting == null || !self.equals(membership.ownIncarnation())) {
+          List<PendingReport> pendingReports = acquiring.remove(r.host());
+          if (pendingReports == null || !self.equals(membership.ownIncarnation())) {
             return;
           }
           if (!result.ok()) {
             // A write of unknown outcome may have succeeded; then the replica shows it by the
             // worker's next report.
-            waiting.forEach(pending -> pending.answer.send(503, null, 1));
+            pendingReports.forEach(pending -> pending.answer.send(503, null, 1));
             return;
           }
           holds.applyWrite(r.host(), value, result.revision());
-          released.remove(r.host());
+          releases.remove(r.host());
           Machine m = new Machine(r, token, result.revision(), timers.now());
           heldMachines.addMachine(m);
           // Another controller may have acquired the machine since, as the replica may have shown
           // before this response arrived.
           heldMachines.holdChanged(r.host());
-          waiting.forEach(pending -> heldMachines.report(pending.report, pending.answer));
+          pendingReports.forEach(pending -> heldMachines.report(pending.report, pending.answer));
         });
   }
 }
--- a/src/main/java/dev/dunefront/book/HoldChanges.java
+++ b/src/main/java/dev/dunefront/book/HoldChanges.java
@@ -13,10 +13,10 @@
   /** Revision of the roster that determines the holders of machines without a record. */
   private long rosterRevision;
 
-  HoldChanges(ControllerContext context, HeldMachines books) {
+  HoldChanges(ControllerContext context, HeldMachines heldMachines) {
     this.settings = context.settings();
     this.holds = context.holds();
-    this.heldMachines = books;
+    this.heldMachines = heldMachines;
   }
 
   /** Checks for a new roster; called several times a second. */
@@ -43,7 +43,7 @@
 
   /** The hold record of a machine has changed in the replica. */
   void holdChanged(String host) {
-    Machine m = heldMachines.held(host);
+    Machine m = heldMachines.get(host);
     HoldTable.Hold hold = holds.recordOf(host);
     if (m != null && hold == null && m.holdRevision > 0 && !m.raisingToken) {
       // The records of deleted machines are removed after a while. Writes conditional on the
--- a/src/main/java/dev/dunefront/book/HoldTable.java
+++ b/src/main/java/dev/dunefront/book/HoldTable.java
@@ -236,22 +236,25 @@
    * @throws IllegalArgumentException if the holder has no node name, since no controller could
    *     resolve such a record
    */
-  static Document write(String holder, long token, String mark) {
+  static Document write(String holder, long token, String writeId) {
     if (Membership.nodeOf(holder).isEmpty()) {
       throw new IllegalArgumentException("hold record without a holder");
     }
     return Document.create()
         .put("holder", holder)
         .put("baton", token)
-        .put(StateStore.WRITE_ID_FIELD, mark);
+        .put(StateStore.WRITE_ID_FIELD, writeId);
   }
 
   /**
    * Returns the record of a machine whose deletion the cloud has confirmed at the given wall-clock
    * time in milliseconds.
    */
-  public static Document writeDeleted(long atMs, String mark) {
-    return Document.create().put("dead", true).put("at", atMs).put(StateStore.WRITE_ID_FIELD, mark);
+  public static Document writeDeleted(long deletedAtMs, String writeId) {
+    return Document.create()
+        .put("dead", true)
+        .put("at", deletedAtMs)
+        .put(StateStore.WRITE_ID_FIELD, writeId);
   }
 
   /** Adds the replacement of the current roster to a transaction, conditional on its revision. */
--- a/src/main/java/dev/dunefront/book/Machine.java
+++ b/src/main/java/dev/dunefront/book/Machine.java
@@ -20,13 +20,13 @@
 import java.util.Set;
 
 /**
- * A machine that this controller holds: what its worker has reported, and the orders and offers
+ * A machine that this controller holds: what its worker has reported, and the commands and offers
  * that are outstanding. Times are seconds of the monotonic clock unless stated otherwise.
  */
 final class Machine {
   /**
-   * A start that the worker has not confirmed yet. {@code sentUnder} is the token under which the
-   * order was sent, 0 if it has not been sent.
+   * A start that the worker has not confirmed yet. {@code sentUnderToken} is the token under which
+   * the command was sent, 0 if it has not been sent.
    */
   static final class PendingStart {
     final long attempt;
@@ -39,8 +39,8 @@
 
   /** An offer that is neither taken, declined nor expired. */
   record OutstandingOffer(String node, String job, Resources size, double expiresAt) {
-    OutstandingOffer expiresAt(double later) {
-      return new OutstandingOffer(node, job, size, later);
+    OutstandingOffer expiresAt(double newExpiry) {
+      return new OutstandingOffer(node, job, size, newExpiry);
     }
   }
 
@@ -59,10 +59,10 @@
 
     double lastSentAt = NEVER;
 
-    RepeatedCommand(long attempt, double graceS, double since) {
+    RepeatedCommand(long attempt, double graceS, double requestedAt) {
       this.attempt = attempt;
       this.graceS = graceS;
-      this.requestedAt = since;
+      this.requestedAt = requestedAt;
     }
 
     boolean sent() {
@@ -124,22 +124,24 @@
   /** A write that raises its token is in progress. */
   boolean raisingToken;
 
-  /** A request with orders is in progress. */
+  /** A request with commands is in progress. */
   boolean commandsInFlight;
 
   /** Until when it is closed because it is to be returned to the provider; 0 if it is not. */
   double retiringUntil;
 
   /**
-   * Wall-clock time in milliseconds since when it has been open without a task; 0 while that is not
-   * the case.
+   * Wall-clock time in milliseconds since when it has had no task while tasks may be placed on it;
+   * 0 while that is not the case.
    */
   private long idleSinceMs;
 
   /** The controller to which its next report is redirected, or null. */
   String redirectTo;
 
-  /** Orders of an earlier incarnation of this controller may still be in transit to the worker. */
+  /**
+   * Commands of an earlier incarnation of this controller may still be in transit to the worker.
+   */
   boolean resumed;
 
   final Map<TaskId, Report.Task> tasks = new LinkedHashMap<>();
@@ -175,19 +177,19 @@
   /** The view that was last sent to each controller. */
   final Map<String, MachineView> lastViewByNode = new HashMap<>();
 
-  Machine(Report r, long token, long holdStamp, double now) {
+  Machine(Report r, long token, long holdRevision, double now) {
     this.host = r.host();
     this.endpoint = r.endpoint();
     this.typeName = r.type();
     this.zone = r.zone();
     this.spot = r.spot();
     this.token = token;
-    this.holdRevision = holdStamp;
+    this.holdRevision = holdRevision;
     this.lastContactAt = now;
   }
 
   /** Whether tasks may be placed on it. */
-  boolean open() {
+  boolean schedulable() {
     return tokenAcknowledged
         && !leaseExpired
         && !quarantined
@@ -213,7 +215,7 @@
 
   /** Wall-clock time in milliseconds since when it has been idle; 0 while it is not. */
   long idleSince(long nowMs) {
-    if (!unfinishedTasks().isEmpty() || !open() && retiringUntil == 0) {
+    if (!unfinishedTasks().isEmpty() || !schedulable() && retiringUntil == 0) {
       idleSinceMs = 0;
     } else if (idleSinceMs == 0) {
       idleSinceMs = nowMs;
@@ -231,14 +233,14 @@
     }
     Resources free = type.resources();
     for (TaskId id : unfinishedTasks()) {
-      Resources s = sizes.apply(id.job());
-      if (s == null) {
+      Resources size = sizes.apply(id.job());
+      if (size == null) {
         return Resources.NONE;
       }
-      free = free.minus(s);
+      free = free.minus(size);
     }
-    for (OutstandingOffer o : offers.values()) {
-      free = free.minus(o.size());
+    for (OutstandingOffer offer : offers.values()) {
+      free = free.minus(offer.size());
     }
     return free;
   }
@@ -248,13 +250,15 @@
    * grace period replaces a longer one.
    */
   void requestStop(TaskId id, long attempt, double graceS) {
-    RepeatedCommand old = pendingStops.get(id);
-    if (old == null || old.attempt != attempt || old.graceS > graceS) {
+    RepeatedCommand current = pendingStops.get(id);
+    if (current == null || current.attempt != attempt || current.graceS > graceS) {
       pendingStops.put(id, new RepeatedCommand(attempt, graceS, lastContactAt));
     }
   }
 
-  /** Whether orders, starts or offers are outstanding that a change of the holder would disturb. */
+  /**
+   * Whether commands, starts or offers are outstanding that a change of the holder would disturb.
+   */
   boolean startsInProgress() {
     return commandsInFlight || !pendingStarts.isEmpty() || !offers.isEmpty();
   }
@@ -301,7 +305,7 @@
             case "exited" -> State.EXITED;
             default -> State.RUNNING;
           };
-      ExitReason why =
+      ExitReason exitReason =
           switch (t.exitReason()) {
             case "" -> ExitReason.NONE;
             case "done" -> ExitReason.DONE;
@@ -309,14 +313,15 @@
             case "stopped" -> ExitReason.STOPPED;
             default -> ExitReason.REFUSED;
           };
-      all.add(new TaskStatus(t.id().job(), t.id().number(), t.attempt(), state, why));
+      all.add(new TaskStatus(t.id().job(), t.id().number(), t.attempt(), state, exitReason));
     }
     pendingStarts.forEach(
-        (id, p) -> {
+        (id, start) -> {
           Report.Task t = tasks.get(id);
-          if (t == null || t.attempt() != p.attempt) {
+          if (t == null || t.attempt() != start.attempt) {
             all.add(
-                new TaskStatus(id.job(), id.number(), p.attempt, State.PENDING, ExitReason.NONE));
+                new TaskStatus(
+                    id.job(), id.number(), start.attempt, State.PENDING, ExitReason.NONE));
           }
         });
     return all;
--- a/src/main/java/dev/dunefront/book/MachineMessages.java
+++ b/src/main/java/dev/dunefront/book/MachineMessages.java
@@ -34,23 +34,23 @@
 
   MachineMessages(
       ControllerContext context,
-      HeldMachines books,
-      StartRequests starts,
+      HeldMachines heldMachines,
+      StartRequests startRequests,
       Preemption preemption,
-      HoldAcquisition reception) {
+      HoldAcquisition holdAcquisition) {
     this.settings = context.settings();
     this.jobs = context.jobs();
     this.timers = context.timers();
     this.duties = context.duties();
-    this.heldMachines = books;
-    this.startRequests = starts;
+    this.heldMachines = heldMachines;
+    this.startRequests = startRequests;
     this.preemption = preemption;
-    this.holdAcquisition = reception;
+    this.holdAcquisition = holdAcquisition;
   }
 
   void messageReceived(String from, Message message) {
     if (message instanceof Message.Want w) {
-      Machine m = heldMachines.held(w.host());
+      Machine m = heldMachines.get(w.host());
       if (m != null) {
         JobTable.Entry job = jobs.get(w.job());
         boolean ended = job != null && HeldMachines.jobEnded(job);
@@ -60,13 +60,13 @@
         heldMachines.reconcile(m);
       }
     } else if (message instanceof Message.DeclineOffer d) {
-      Machine m = heldMachines.held(d.host());
+      Machine m = heldMachines.get(d.host());
       if (m != null && m.offers.remove(d.offerId()) != null) {
         m.viewChanged = true;
         heldMachines.reconcile(m);
       }
     } else if (message instanceof Message.ReserveOffer t) {
-      Machine m = heldMachines.held(t.host());
+      Machine m = heldMachines.get(t.host());
       if (m != null) {
         m.offers.computeIfPresent(
             t.offerId(), (k, o) -> o.expiresAt(timers.now() + ACCEPTED_OFFER_TTL_S));
@@ -74,15 +74,15 @@
     } else if (message instanceof Message.StartTask s) {
       startRequests.start(from, s);
     } else if (message instanceof Message.AttemptQuery p) {
-      startRequests.probeReceived(from, p);
+      startRequests.attemptQueryReceived(from, p);
     } else if (message instanceof Message.StopTask s) {
-      Machine m = heldMachines.held(s.host());
+      Machine m = heldMachines.get(s.host());
       if (m != null && !startRequests.claimOutdated(s.job(), s.term())) {
         m.requestStop(new TaskId(s.job(), s.number()), s.attempt(), s.graceS());
         heldMachines.reconcile(m);
       }
     } else if (message instanceof Message.ClearTask c) {
-      Machine m = heldMachines.held(c.host());
+      Machine m = heldMachines.get(c.host());
       if (m != null && !startRequests.claimOutdated(c.job(), c.term())) {
         m.pendingClears.putIfAbsent(
             new TaskId(c.job(), c.number()),
@@ -90,7 +90,7 @@
         heldMachines.reconcile(m);
       }
     } else if (message instanceof Message.Preempt p) {
-      Machine m = heldMachines.held(p.host());
+      Machine m = heldMachines.get(p.host());
       if (m != null) {
         preemption.preempt(m, p);
         heldMachines.reconcile(m);
@@ -99,12 +99,12 @@
       failureReported(b);
     } else if (message instanceof Message.HoldReleased u) {
       if (!from.equals(settings.node())) {
-        holdAcquisition.released(u.host(), from);
+        holdAcquisition.holderReleased(u.host(), from);
       }
     } else if (message instanceof Message.HoldQuery a) {
       holdAcquisition.holdQueryReceived(from, a);
     } else if (message instanceof Message.HoldStatus s) {
-      holdAcquisition.holdReplyReceived(from, s);
+      holdAcquisition.holdStatusReceived(from, s);
     } else if (message instanceof Message.RetireMachine r) {
       if (duties.accepts(Duty.RENT, r.term(), from)) {
         closeForReturn(r.host());
@@ -117,7 +117,7 @@
    * being deleted. It opens again by itself if the request is not repeated.
    */
   private void closeForReturn(String host) {
-    Machine m = heldMachines.held(host);
+    Machine m = heldMachines.get(host);
     if (m != null && !m.startsInProgress() && m.unfinishedTasks().isEmpty()) {
       m.viewChanged |= !m.retiring(timers.now());
       m.retiringUntil = timers.now() + RETIRE_TTL_S;
@@ -125,12 +125,12 @@
     }
   }
 
-  private void failureReported(Message.FailureReport b) {
-    Machine m = heldMachines.held(b.host());
+  private void failureReported(Message.FailureReport report) {
+    Machine m = heldMachines.get(report.host());
     if (m == null || m.quarantined) {
       return;
     }
-    m.failureScore = m.failureScore.withFailure(b.job(), b.weight());
+    m.failureScore = m.failureScore.withFailure(report.job(), report.weight());
     if (m.failureScore.faulty()) {
       m.quarantined = true;
       m.viewChanged = true;
--- a/src/main/java/dev/dunefront/book/Preemption.java
+++ b/src/main/java/dev/dunefront/book/Preemption.java
@@ -43,11 +43,11 @@
   private final Timers timers;
   private final ViewPublisher viewPublisher;
 
-  Preemption(ControllerContext context, ViewPublisher views) {
+  Preemption(ControllerContext context, ViewPublisher viewPublisher) {
     this.jobs = context.jobs();
     this.catalog = context.catalog();
     this.timers = context.timers();
-    this.viewPublisher = views;
+    this.viewPublisher = viewPublisher;
   }
 
   /**
@@ -56,7 +56,7 @@
    */
   void preempt(Machine m, Message.Preempt request) {
     MachineType type = catalog.type(m.typeName);
-    if (type == null || !m.open()) {
+    if (type == null || !m.schedulable()) {
       return;
     }
     double now = timers.now();
--- a/src/main/java/dev/dunefront/book/ReportApplier.java
+++ b/src/main/java/dev/dunefront/book/ReportApplier.java
@@ -26,10 +26,10 @@
 
   /** Applies a report that the worker sent on its own initiative and that is not stale. */
   void applyReport(Machine m, Report r) {
-    applyIfNewer(m, r, m.reportSequence.reported(r));
+    applyIfNewer(m, r, m.reportSequence.afterReport(r));
   }
 
-  /** Applies a response to orders or to a status request. */
+  /** Applies a response to commands or to a status request. */
   void applyReply(Machine m, Report r) {
     applyIfNewer(m, r, m.reportSequence.afterReply(r));
   }
@@ -75,7 +75,7 @@
     // count as expired while it is alive, and tasks just started in it would be placed a second
     // time.
     m.sessionStartedAt = timers.now();
-    // The tasks of the earlier session are gone, and the worker refuses orders for it.
+    // The tasks of the earlier session are gone, and the worker refuses commands for it.
     m.pendingStarts.clear();
     m.pendingStops.clear();
     m.pendingClears.clear();
@@ -137,7 +137,7 @@
         m.holdAcknowledged = true;
         m.sessionStartedAt = timers.now();
       }
-      // Orders sent under an earlier token are refused by the worker from now on.
+      // Commands sent under an earlier token are refused by the worker from now on.
       m.pendingStarts.values().removeIf(p -> p.sentUnderToken != 0 && p.sentUnderToken < m.token);
     }
     m.pendingStarts
@@ -166,9 +166,10 @@
     return true;
   }
 
+  /** Removes stops or clears that have taken effect, or whose attempt the worker does not have. */
   private static void removeCompleted(
-      Map<TaskId, Machine.RepeatedCommand> orders, Machine m, boolean untilExited) {
-    orders
+      Map<TaskId, Machine.RepeatedCommand> commands, Machine m, boolean untilExited) {
+    commands
         .entrySet()
         .removeIf(
             e -> {
--- a/src/main/java/dev/dunefront/book/RoomAllocation.java
+++ b/src/main/java/dev/dunefront/book/RoomAllocation.java
@@ -28,7 +28,7 @@
   private final StateStore store;
   private final Peers peers;
   private final Timers timers;
-  private final PauseDetector standstill;
+  private final PauseDetector pauseDetector;
   private final ControllerLoads controllerLoads;
   private final ViewPublisher viewPublisher;
   private double lastRebalanceAt;
@@ -39,21 +39,22 @@
    */
   private long lastOfferId;
 
-  RoomAllocation(ControllerContext context, ControllerLoads neighbours, ViewPublisher views) {
+  RoomAllocation(
+      ControllerContext context, ControllerLoads controllerLoads, ViewPublisher viewPublisher) {
     this.tunables = context.tunables();
     this.catalog = context.catalog();
     this.store = context.store();
     this.peers = context.peers();
     this.timers = context.timers();
-    this.standstill = context.standstill();
-    this.controllerLoads = neighbours;
-    this.viewPublisher = views;
+    this.pauseDetector = context.standstill();
+    this.controllerLoads = controllerLoads;
+    this.viewPublisher = viewPublisher;
     this.lastOfferId = timers.wallClockMs() << 16;
   }
 
   /** Offers the free room of a machine to the wants in its book. */
   void offerRoom(Machine m) {
-    if (!m.open() || m.book.isEmpty() || !standstill.current()) {
+    if (!m.schedulable() || m.book.isEmpty() || !pauseDetector.current()) {
       return;
     }
     MachineType type = catalog.type(m.typeName);
@@ -61,19 +62,19 @@
       return;
     }
     Resources free = m.freeRoom(type, viewPublisher::sizeOf);
-    double gatherBefore = timers.now() - tunables.gatherTicks() * tunables.tickS();
+    double reserveBefore = timers.now() - tunables.gatherTicks() * tunables.tickS();
     WantBook.Want want;
-    while ((want = m.book.take(free, type.resources(), gatherBefore)) != null) {
-      long offer = ++lastOfferId;
+    while ((want = m.book.take(free, type.resources(), reserveBefore)) != null) {
+      long offerId = ++lastOfferId;
       m.offers.put(
-          offer,
+          offerId,
           new Machine.OutstandingOffer(
               want.node, want.job, want.size, timers.now() + tunables.offerWaitS()));
       free = free.minus(want.size);
       m.viewChanged = true;
       peers.send(
           want.node,
-          new Message.Offer(offer, m.host, want.job, m.token, m.holdRevision, m.session));
+          new Message.Offer(offerId, m.host, want.job, m.token, m.holdRevision, m.session));
     }
   }
 
--- a/src/main/java/dev/dunefront/book/Roster.java
+++ b/src/main/java/dev/dunefront/book/Roster.java
@@ -10,8 +10,8 @@
 /**
  * The controllers among which machines without a hold record are shared, in no particular order.
  * Each change begins a new epoch, whose tokens are higher than any token of the epoch before. A
- * worker therefore obeys only the default holder of the newest roster that it has received a token
- * from.
+ * worker therefore obeys only the default holder of the newest roster from which it has received a
+ * token.
  *
  * @param epoch number of the roster, counted from 1
  * @param revision revision of the roster record. Writes about a machine without a hold record are
--- a/src/main/java/dev/dunefront/book/StartRequests.java
+++ b/src/main/java/dev/dunefront/book/StartRequests.java
@@ -26,84 +26,91 @@
   private final MachineCatalog catalog;
   private final Peers peers;
   private final Timers timers;
-  private final PauseDetector standstill;
+  private final PauseDetector pauseDetector;
   private final HeldMachines heldMachines;
   private final WorkerCommands workerCommands;
   private final ViewPublisher viewPublisher;
   private final SafetyMonitor safety;
 
   StartRequests(
-      ControllerContext context, HeldMachines books, WorkerCommands orders, ViewPublisher views) {
+      ControllerContext context,
+      HeldMachines heldMachines,
+      WorkerCommands workerCommands,
+      ViewPublisher viewPublisher) {
     this.jobs = context.jobs();
     this.catalog = context.catalog();
     this.peers = context.peers();
     this.timers = context.timers();
-    this.standstill = context.standstill();
-    this.heldMachines = books;
-    this.workerCommands = orders;
-    this.viewPublisher = views;
+    this.pauseDetector = context.standstill();
+    this.heldMachines = heldMachines;
+    this.workerCommands = workerCommands;
+    this.viewPublisher = viewPublisher;
     this.safety = context.safety();
   }
 
   /** A claimant has accepted an offer and recorded the placement. */
-  void start(String from, Message.StartTask s) {
-    Machine m = heldMachines.held(s.host());
+  void start(String from, Message.StartTask request) {
+    Machine m = heldMachines.get(request.host());
     if (m == null) {
       return;
     }
-    TaskId id = new TaskId(s.job(), s.number());
-    StartRefusal refusal = refusal(from, m, id, s);
+    TaskId id = new TaskId(request.job(), request.number());
+    StartRefusal refusal = refusal(from, m, id, request);
     if (refusal != null) {
       safety.startRefused(refusal);
       LOG.log(
           Level.DEBUG,
           "refused start of {0}, attempt {1} of session {2} under token {3}, on {4}: {5}",
           id,
-          s.attempt(),
-          s.session(),
-          s.token(),
-          s.host(),
+          request.attempt(),
+          request.session(),
+          request.token(),
+          request.host(),
           refusal);
-      probeReceived(
-          from, new Message.AttemptQuery(s.host(), s.term(), s.job(), s.number(), s.attempt()));
+      attemptQueryReceived(
+          from,
+          new Message.AttemptQuery(
+              request.host(), request.term(), request.job(), request.number(), request.attempt()));
       return;
     }
-    m.offers.remove(s.offerId());
-    m.pendingStarts.put(id, new Machine.PendingStart(s.attempt()));
+    m.offers.remove(request.offerId());
+    m.pendingStarts.put(id, new Machine.PendingStart(request.attempt()));
     m.startedAt.put(id, timers.now());
     m.viewChanged = true;
     heldMachines.reconcile(m);
   }
 
   /** The reason why a start is refused, or null if it may be carried out. */
-  private StartRefusal refusal(String from, Machine m, TaskId id, Message.StartTask s) {
+  private StartRefusal refusal(String from, Machine m, TaskId id, Message.StartTask request) {
     if (m.commandOutcomeUnknown || m.raisingToken) {
       return StartRefusal.IN_DOUBT;
     }
-    if (m.token != s.token()) {
+    if (m.token != request.token()) {
       return StartRefusal.OTHER_TOKEN;
     }
-    if (m.session != s.session()) {
+    if (m.session != request.session()) {
       // The placement was recorded for one session of the worker. A view of a later session is
       // proof that the attempt has ended.
       return StartRefusal.OTHER_SESSION;
     }
-    if (claimOutdated(s.job(), s.term())) {
+    if (claimOutdated(request.job(), request.term())) {
       return StartRefusal.OUTDATED_CLAIM;
     }
-    if (s.attempt() <= m.deniedAttempts.getOrDefault(id, 0L)) {
+    if (request.attempt() <= m.deniedAttempts.getOrDefault(id, 0L)) {
       return StartRefusal.DENIED_BEFORE;
     }
-    if (jobs.isEndingOrEnded(s.job())) {
+    if (jobs.isEndingOrEnded(request.job())) {
       return StartRefusal.JOB_OVER;
     }
-    if (hasOtherAttempt(m, id, s.attempt())) {
+    if (hasOtherAttempt(m, id, request.attempt())) {
       safety.invariantViolated(
           Invariant.TWO_ATTEMPTS_ON_ONE_MACHINE,
-          id + " on " + m.host + " as attempt " + s.attempt());
+          id + " on " + m.host + " as attempt " + request.attempt());
       return StartRefusal.OTHER_ATTEMPT;
     }
-    return matchesOffer(m, from, s) || fitsWithoutOffer(m, s) ? null : StartRefusal.NO_ROOM;
+    return matchesOffer(m, from, request) || fitsWithoutOffer(m, request)
+        ? null
+        : StartRefusal.NO_ROOM;
   }
 
   private static boolean hasOtherAttempt(Machine m, TaskId id, long attempt) {
@@ -123,9 +130,9 @@
     return e != null && e.record().term() > term;
   }
 
-  private static boolean matchesOffer(Machine m, String from, Message.StartTask s) {
-    Machine.OutstandingOffer offer = m.offers.get(s.offerId());
-    return offer != null && offer.node().equals(from) && offer.job().equals(s.job());
+  private static boolean matchesOffer(Machine m, String from, Message.StartTask request) {
+    Machine.OutstandingOffer offer = m.offers.get(request.offerId());
+    return offer != null && offer.node().equals(from) && offer.job().equals(request.job());
   }
 
   /**
@@ -134,12 +141,12 @@
    * were refused, each would cost writes for the ended attempt and for a new one, and nothing would
    * start at all.
    */
-  private boolean fitsWithoutOffer(Machine m, Message.StartTask s) {
+  private boolean fitsWithoutOffer(Machine m, Message.StartTask request) {
     MachineType type = catalog.type(m.typeName);
-    Resources size = viewPublisher.sizeOf(s.job());
+    Resources size = viewPublisher.sizeOf(request.job());
     return type != null
         && size != null
-        && m.open()
+        && m.schedulable()
         && size.fitsIn(m.freeRoom(type, viewPublisher::sizeOf));
   }
 
@@ -147,22 +154,22 @@
    * A claimant asks whether an attempt that the view does not show has certainly ended or will
    * never start.
    */
-  void probeReceived(String from, Message.AttemptQuery p) {
-    Machine m = heldMachines.held(p.host());
+  void attemptQueryReceived(String from, Message.AttemptQuery query) {
+    Machine m = heldMachines.get(query.host());
     if (m == null
         || !m.tokenAcknowledged
         || m.commandOutcomeUnknown
         || m.raisingToken
         || m.leaseExpired
-        || !standstill.current()
-        || claimOutdated(p.job(), p.term())) {
+        || !pauseDetector.current()
+        || claimOutdated(query.job(), query.term())) {
       return;
     }
-    TaskId id = new TaskId(p.job(), p.number());
+    TaskId id = new TaskId(query.job(), query.number());
     Machine.PendingStart pending = m.pendingStarts.get(id);
     Report.Task task = m.tasks.get(id);
-    if (pending != null && pending.attempt == p.attempt()
-        || task != null && task.attempt() == p.attempt()) {
+    if (pending != null && pending.attempt == query.attempt()
+        || task != null && task.attempt() == query.attempt()) {
       return;
     }
     if (m.resumed) {
@@ -173,10 +180,10 @@
     }
     // From now on this attempt is refused, in case its start request is still in transit to this
     // controller.
-    m.deniedAttempts.merge(id, p.attempt(), Math::max);
+    m.deniedAttempts.merge(id, query.attempt(), Math::max);
     peers.send(
         from,
         new Message.AttemptAbsent(
-            m.host, m.token, m.holdRevision, p.job(), p.number(), p.attempt()));
+            m.host, m.token, m.holdRevision, query.job(), query.number(), query.attempt()));
   }
 }
--- a/src/main/java/dev/dunefront/book/StatusChecks.java
+++ b/src/main/java/dev/dunefront/book/StatusChecks.java
@@ -47,13 +47,16 @@
   private int unresponsiveCount;
 
   StatusChecks(
-      ControllerContext context, HttpCaller caller, HeldMachines books, ReportApplier reports) {
+      ControllerContext context,
+      HttpCaller caller,
+      HeldMachines heldMachines,
+      ReportApplier reportApplier) {
     this.settings = context.settings();
     this.caller = caller;
     this.timers = context.timers();
     this.decisionLock = context.decisionLock();
-    this.heldMachines = books;
-    this.reportApplier = reports;
+    this.heldMachines = heldMachines;
+    this.reportApplier = reportApplier;
   }
 
   /** Records by how much this controller's timers run late, in seconds. */
@@ -116,9 +119,9 @@
   }
 
   /** There is evidence that messages to the machine do not arrive. */
-  void suspect(Machine m, String why) {
+  void suspect(Machine m, String evidence) {
     if (m.responsiveness.trusted()) {
-      LOG.log(Level.DEBUG, "{0} may be unresponsive: {1}", m.host, why);
+      LOG.log(Level.DEBUG, "{0} may be unresponsive: {1}", m.host, evidence);
     }
     m.responsiveness = m.responsiveness.suspected(timers.now());
     if (m.responsiveness.checkDue(timers.now())) {
@@ -178,13 +181,13 @@
     m.responsiveness = m.responsiveness.checkSent(timers.now(), STATUS_TIMEOUT_S);
     requestStatus(
         m.endpoint,
-        r -> {
+        status -> {
           m.statusCheckPending = false;
-          if (heldMachines.held(m.host) != m) {
+          if (heldMachines.get(m.host) != m) {
             return;
           }
-          if (r != null) {
-            replyReceived(m, known, r);
+          if (status != null) {
+            replyReceived(m, known, status);
           } else {
             checkFailed(m);
           }
--- a/src/main/java/dev/dunefront/book/ViewPublisher.java
+++ b/src/main/java/dev/dunefront/book/ViewPublisher.java
@@ -20,8 +20,9 @@
 
 /**
  * Publishes the state of held machines to the controllers, each at the level of detail that it
- * subscribes to: hold, session, lease and the states of its own tasks always; free room to
- * controllers that look for room; everything to the one that rents machines.
+ * subscribes to. Hold, session, lease and the states of a controller's own tasks are always
+ * included; free room goes to controllers that look for room, and everything to the one that rents
+ * machines.
  */
 final class ViewPublisher {
   /** Changes are batched for this long before they are sent, in seconds. */
@@ -97,12 +98,12 @@
    * for every job that any controller receives.
    */
   private void sendMissed(Machine m, String node, ViewDetail detail) {
-    Message.MachineView before = m.lastViewByNode.get(node);
-    if (before == null || youngTasksOutdated(m)) {
+    Message.MachineView previous = m.lastViewByNode.get(node);
+    if (previous == null || youngTasksOutdated(m)) {
       publish(m, List.of(node));
-    } else if (before != m.latestView && detail.hasChanged(m.latestView, before)) {
+    } else if (previous != m.latestView && detail.hasChanged(m.latestView, previous)) {
       Message.MachineView view =
-          before.tasks().isEmpty() ? m.latestView : m.latestView.withTasks(before.tasks());
+          previous.tasks().isEmpty() ? m.latestView : m.latestView.withTasks(previous.tasks());
       m.lastViewByNode.put(node, view);
       peers.send(node, view);
     }
@@ -124,7 +125,7 @@
         m.session,
         m.tokenAcknowledged && !m.commandOutcomeUnknown && !m.raisingToken,
         m.leaseExpired,
-        m.open(),
+        m.schedulable(),
         m.quarantined,
         m.retiring(timers.now()),
         m.responsiveness.unresponsive(),
@@ -141,16 +142,16 @@
    * preempted are counted: they started after that time, or lose no work.
    */
   private List<Integer> unfinishedByPriority(Machine m, double since) {
-    int[] n = new int[Priority.values().length];
+    int[] counts = new int[Priority.values().length];
     for (TaskId id : m.unfinishedTasks()) {
       JobTable.Entry e = jobs.get(id.job());
       if (since == 0
           || m.startedAt.getOrDefault(id, 0.0) > since
           || e != null && Preemption.alwaysPreemptible(e.record().spec())) {
-        n[e == null ? 0 : e.record().spec().priority().ordinal()]++;
+        counts[e == null ? 0 : e.record().spec().priority().ordinal()]++;
       }
     }
-    return Arrays.stream(n).boxed().toList();
+    return Arrays.stream(counts).boxed().toList();
   }
 
   /** The states of the machine's tasks by the claimants of their jobs. */
@@ -158,9 +159,9 @@
     Map<String, List<Message.TaskStatus>> byNode = new HashMap<>();
     for (Message.TaskStatus t : m.taskStates()) {
       JobTable.Entry e = jobs.get(t.job());
-      String claim = e == null ? null : e.record().claimant();
-      if (claim != null) {
-        byNode.computeIfAbsent(Membership.nodeOf(claim), n -> new ArrayList<>()).add(t);
+      String claimant = e == null ? null : e.record().claimant();
+      if (claimant != null) {
+        byNode.computeIfAbsent(Membership.nodeOf(claimant), n -> new ArrayList<>()).add(t);
       }
     }
     return byNode;
@@ -218,10 +219,10 @@
   }
 
   private boolean needsUpdate(
-      Machine m, String node, Message.MachineView now, List<Message.TaskStatus> ownTasks) {
-    Message.MachineView before = m.lastViewByNode.get(node);
-    return before == null
-        || !ownTasks.equals(before.tasks())
-        || subscriptions.detailFor(node, timers.now()).hasChanged(now, before);
+      Machine m, String node, Message.MachineView view, List<Message.TaskStatus> ownTasks) {
+    Message.MachineView previous = m.lastViewByNode.get(node);
+    return previous == null
+        || !ownTasks.equals(previous.tasks())
+        || subscriptions.detailFor(node, timers.now()).hasChanged(view, previous);
   }
 }
--- a/src/main/java/dev/dunefront/book/WantBook.java
+++ b/src/main/java/dev/dunefront/book/WantBook.java
@@ -27,11 +27,11 @@
     Resources size;
     int count;
 
-    Want(String node, String job, int priority, double since) {
+    Want(String node, String job, int priority, double queuedAt) {
       this.node = node;
       this.job = job;
       this.priority = priority;
-      this.queuedAt = since;
+      this.queuedAt = queuedAt;
     }
   }
 
@@ -94,24 +94,24 @@
    * {@code reserveBefore}.
    *
    * @param room free room of the machine
-   * @param whole total room of the machine
+   * @param total total room of the machine
    */
-  Want take(Resources room, Resources whole, double reserveBefore) {
+  Want take(Resources room, Resources total, double reserveBefore) {
     Want best = null;
-    int bestTurn = 0;
+    int bestPosition = 0;
     Want reserving = null;
     for (Want w : wants) {
       if (best != null && servingOrder(w) > servingOrder(best)) {
         continue;
       }
       if (w.size.fitsIn(room)) {
-        int turn = rotations.get(w.priority).indexOf(w.node);
-        if (best == null || servingOrder(w) < servingOrder(best) || turn < bestTurn) {
+        int position = rotations.get(w.priority).indexOf(w.node);
+        if (best == null || servingOrder(w) < servingOrder(best) || position < bestPosition) {
           best = w;
-          bestTurn = turn;
+          bestPosition = position;
         }
       } else if (w.queuedAt < reserveBefore
-          && w.size.fitsIn(whole)
+          && w.size.fitsIn(total)
           && (reserving == null || servingOrder(w) < servingOrder(reserving))) {
         reserving = w;
       }
@@ -120,7 +120,7 @@
       return null;
     }
     List<String> ring = rotations.get(best.priority);
-    ring.add(ring.remove(bestTurn));
+    ring.add(ring.remove(bestPosition));
     if (--best.count <= 0) {
       wants.remove(best);
     }
--- a/src/main/java/dev/dunefront/book/WorkerCommands.java
+++ b/src/main/java/dev/dunefront/book/WorkerCommands.java
@@ -19,13 +19,13 @@
 import java.util.List;
 
 /**
- * Sends orders to workers. If it is unknown whether a start was carried out, the machine's fencing
- * token is raised, so that the worker refuses whatever is still in transit.
+ * Sends commands to workers. If it is unknown whether a start was carried out, the machine's
+ * fencing token is raised, so that the worker refuses whatever is still in transit.
  */
 final class WorkerCommands {
   private static final System.Logger LOG = System.getLogger(WorkerCommands.class.getName());
 
-  /** Timeout of a request with orders, in seconds. */
+  /** Timeout of a request with commands, in seconds. */
   private static final double COMMAND_TIMEOUT_S = 3.0;
 
   /** Interval after which a stop or clear without effect is sent again, in seconds. */
@@ -44,26 +44,31 @@
   private final DecisionLock decisionLock;
   private final HeldMachines heldMachines;
   private final StatusChecks statusChecks;
-  private final PauseDetector standstill;
+  private final PauseDetector pauseDetector;
 
   /** Time after which a clear is sent in a request of its own, in seconds. */
   private final double standaloneClearDelayS;
 
   WorkerCommands(
-      ControllerContext context, HttpCaller caller, HeldMachines books, StatusChecks listening) {
-    this.statusChecks = listening;
+      ControllerContext context,
+      HttpCaller caller,
+      HeldMachines heldMachines,
+      StatusChecks statusChecks) {
+    this.statusChecks = statusChecks;
     this.membership = context.membership();
     this.holds = context.holds();
     this.store = context.store();
     this.caller = caller;
     this.timers = context.timers();
     this.decisionLock = context.decisionLock();
-    this.heldMachines = books;
-    this.standstill = context.standstill();
+    this.heldMachines = heldMachines;
+    this.pauseDetector = context.standstill();
     this.standaloneClearDelayS = context.settings().workers().reportS() * MAX_REPORT_DELAY_FACTOR;
   }
 
-  /** Raises the token, so that the worker refuses earlier orders of unknown outcome from now on. */
+  /**
+   * Raises the token, so that the worker refuses earlier commands of unknown outcome from now on.
+   */
   void raiseToken(Machine m) {
     // A controller without an incarnation writes nothing: a hold record that names no incarnation
     // has no holder.
@@ -74,14 +79,14 @@
     m.raisingToken = true;
     m.offers.clear();
     long token = m.token + 1;
-    String mark = store.newWriteId();
-    Document value = HoldTable.write(self, token, mark);
+    String writeId = store.newWriteId();
+    Document value = HoldTable.write(self, token, writeId);
     store.commit(
         HoldTable.condition(new Txn(), m.host, m.holdRevision).put(HoldTable.key(m.host), value),
-        mark,
+        writeId,
         result -> {
           m.raisingToken = false;
-          if (heldMachines.held(m.host) != m) {
+          if (heldMachines.get(m.host) != m) {
             return;
           }
           if (!result.ok()) {
@@ -100,7 +105,7 @@
           // shown that before this response arrived. Without this check of the record the machine
           // would stay held here forever.
           heldMachines.holdChanged(m.host);
-          if (heldMachines.held(m.host) != m) {
+          if (heldMachines.get(m.host) != m) {
             return;
           }
           LOG.log(Level.DEBUG, "raised the token of {0} to {1}", m.host, token);
@@ -108,51 +113,53 @@
         });
   }
 
-  /** Sends the new token to the worker at once, in a request without orders. */
+  /** Sends the new token to the worker at once, in a request without commands. */
   private void announceToken(Machine m) {
     send(m, List.of());
   }
 
   /**
-   * Sends the pending orders. While the outcome of a start is unknown or the token is being raised,
-   * starts and clears are held back. Stops are still sent: a stop names an attempt and has no
-   * effect if the worker does not have it. If the start in transit arrives after the stop, the next
-   * report shows the attempt and the stop is repeated. If stops were held back, too, they would
-   * wait for the write that raises the token, and tasks of cancelled jobs would run on for the
-   * whole of a state service outage.
+   * Sends the pending commands. While the outcome of a start is unknown or the token is being
+   * raised, starts and clears are held back. Stops are still sent: a stop names an attempt and has
+   * no effect if the worker does not have it. If the start in transit arrives after the stop, the
+   * next report shows the attempt and the stop is repeated. If stops were held back, too, they
+   * would wait for the write that raises the token, and tasks of cancelled jobs would run on for
+   * the whole of a state service outage.
    *
    * <p>No stop is sent before the worker has reported a token of this hold. It may still be
-   * reporting to its previous holder and would ignore that one's answers after an order under the
-   * new token, until its lease expires.
+   * reporting to its previous holder, and after a command under the new token it would ignore the
+   * answers of that holder until its lease expires.
    */
   void sendPending(Machine m) {
-    if (m.commandsInFlight || m.leaseExpired || m.endpoint.isEmpty() || !standstill.current()) {
+    if (m.commandsInFlight || m.leaseExpired || m.endpoint.isEmpty() || !pauseDetector.current()) {
       return;
     }
     double now = timers.now();
     boolean allowed = startsAndClearsAllowed(m);
-    List<WorkerCommand> orders = new ArrayList<>();
+    List<WorkerCommand> commands = new ArrayList<>();
     for (var e : m.pendingStarts.entrySet()) {
-      if (allowed && e.getValue().sentUnderToken == 0 && orders.size() < MAX_COMMANDS_PER_REQUEST) {
+      if (allowed
+          && e.getValue().sentUnderToken == 0
+          && commands.size() < MAX_COMMANDS_PER_REQUEST) {
         e.getValue().sentUnderToken = m.token;
-        orders.add(new WorkerCommand.Run(e.getKey(), e.getValue().attempt));
+        commands.add(new WorkerCommand.Run(e.getKey(), e.getValue().attempt));
       }
     }
     for (var e : m.pendingStops.entrySet()) {
       if (m.holdAcknowledged
           && now - e.getValue().lastSentAt >= RESEND_INTERVAL_S
-          && orders.size() < MAX_COMMANDS_PER_REQUEST) {
+          && commands.size() < MAX_COMMANDS_PER_REQUEST) {
         e.getValue().lastSentAt = now;
-        orders.add(new WorkerCommand.Stop(e.getKey(), e.getValue().attempt, e.getValue().graceS));
+        commands.add(new WorkerCommand.Stop(e.getKey(), e.getValue().attempt, e.getValue().graceS));
       }
     }
-    if (allowed && (!orders.isEmpty() || clearsOverdue(m, now))) {
+    if (allowed && (!commands.isEmpty() || clearsOverdue(m, now))) {
       // The worker executes clears first, since a task may be placed again on the machine on
       // which its previous attempt ended.
-      orders.addAll(0, dueClears(m, now, MAX_COMMANDS_PER_REQUEST - orders.size()));
+      commands.addAll(0, dueClears(m, now, MAX_COMMANDS_PER_REQUEST - commands.size()));
     }
-    if (!orders.isEmpty()) {
-      send(m, orders);
+    if (!commands.isEmpty()) {
+      send(m, commands);
     }
   }
 
@@ -161,8 +168,8 @@
   }
 
   /**
-   * The orders that are sent with the answer to a report. Clears are not urgent and there is one
-   * for each task that ends, so they are sent with an answer or with other orders instead of a
+   * The commands that are sent with the answer to a report. Clears are not urgent and there is one
+   * for each task that ends, so they are sent with an answer or with other commands instead of a
    * request of their own.
    */
   List<WorkerCommand> clearsForAnswer(Machine m) {
@@ -185,8 +192,8 @@
 
   /**
    * Whether a clear has waited for longer than the longest report interval without an answer or
-   * order to be sent with, or has been sent without effect, since an answer to a report may have
-   * been lost.
+   * another command to be sent with, or has been sent without effect, since an answer to a report
+   * may have been lost.
    */
   private boolean clearsOverdue(Machine m, double now) {
     for (Machine.RepeatedCommand clear : m.pendingClears.values()) {
@@ -199,12 +206,12 @@
     return false;
   }
 
-  private void send(Machine m, List<WorkerCommand> orders) {
+  private void send(Machine m, List<WorkerCommand> commands) {
     m.commandsInFlight = true;
-    byte[] body = WorkerCommand.directRequest(m.token, m.session, orders);
+    byte[] body = WorkerCommand.directRequest(m.token, m.session, commands);
     List<TaskId> runs = new ArrayList<>();
-    for (WorkerCommand o : orders) {
-      if (o instanceof WorkerCommand.Run r) {
+    for (WorkerCommand command : commands) {
+      if (command instanceof WorkerCommand.Run r) {
         runs.add(r.task());
       }
     }
@@ -224,7 +231,7 @@
   private void replyReceived(
       Machine m, ReportSequence known, List<TaskId> runs, HttpCaller.Response reply) {
     m.commandsInFlight = false;
-    if (heldMachines.held(m.host) != m) {
+    if (heldMachines.get(m.host) != m) {
       return;
     }
     if (reply.status() == 200 || reply.status() == 409) {
@@ -246,7 +253,7 @@
         }
       } catch (MalformedMessageException e) {
         LOG.log(
-            Level.INFO, "cannot read the response of {0} to orders: {1}", m.host, e.getMessage());
+            Level.INFO, "cannot read the response of {0} to commands: {1}", m.host, e.getMessage());
         m.commandOutcomeUnknown |= !runs.isEmpty();
       }
     } else {
@@ -255,7 +262,7 @@
         m.commandOutcomeUnknown = true;
         m.viewChanged = true;
       }
-      statusChecks.suspect(m, "a request with orders got no valid response");
+      statusChecks.suspect(m, "a request with commands got no valid response");
     }
     heldMachines.reconcile(m);
   }
--- a/src/main/java/dev/dunefront/book/WorkerEvacuation.java
+++ b/src/main/java/dev/dunefront/book/WorkerEvacuation.java
@@ -30,16 +30,16 @@
   private final Timers timers;
   private final ControllerLoads controllerLoads;
   private final List<String> otherNodes = new ArrayList<>();
-  private Isolation alone = Isolation.NOT_ISOLATED;
+  private Isolation isolation = Isolation.NOT_ISOLATED;
   private int nextTargetIndex;
   private double nextSendAt;
   private int sentCount;
 
-  WorkerEvacuation(ControllerContext context, ControllerLoads neighbours) {
+  WorkerEvacuation(ControllerContext context, ControllerLoads controllerLoads) {
     this.settings = context.settings();
     this.store = context.store();
     this.timers = context.timers();
-    this.controllerLoads = neighbours;
+    this.controllerLoads = controllerLoads;
     // Controllers of this zone come first: they can still reach its machines if the zone is
     // partitioned.
     settings.peers().stream()
@@ -50,7 +50,7 @@
   }
 
   /** Whether neither the state service nor any other controller is reachable. */
-  boolean alone() {
+  boolean isolated() {
     return store.unavailable() && controllerLoads.noneReachable() && !otherNodes.isEmpty();
   }
 
@@ -61,21 +61,21 @@
 
   /** Advances the state machine; called several times a second. */
   void tick(double now) {
-    Isolation.Phase before = alone.phase();
-    alone = alone.advance(now, alone(), otherNodes.size(), settings.workers().leaseS());
-    if (alone.phase() != before && alone.phase() == Isolation.Phase.EVACUATE) {
+    Isolation.Phase before = isolation.phase();
+    isolation = isolation.advance(now, isolated(), otherNodes.size(), settings.workers().leaseS());
+    if (isolation.phase() != before && isolation.phase() == Isolation.Phase.EVACUATE) {
       LOG.log(
           Level.INFO,
           "isolated, and trial worker {0} has not come back; redirecting the other workers",
-          alone.trialHost());
+          isolation.trialHost());
     }
   }
 
   /** A report of a machine has arrived. */
   void reportReceived(String host) {
-    Isolation.Phase before = alone.phase();
-    alone = alone.reportReceived(host, timers.now());
-    if (before != alone.phase()) {
+    Isolation.Phase before = isolation.phase();
+    isolation = isolation.reportReceived(host, timers.now());
+    if (before != isolation.phase()) {
       LOG.log(Level.INFO, "isolated, and worker {0} came back; keeping the workers here", host);
     }
   }
@@ -86,15 +86,15 @@
    */
   String redirectTarget(Machine m, Collection<Machine> held) {
     double now = timers.now();
-    boolean trial = alone.phase() == Isolation.Phase.SEND_TRIAL;
-    if (!trial && (alone.phase() != Isolation.Phase.EVACUATE || now < nextSendAt)) {
+    boolean trial = isolation.phase() == Isolation.Phase.SEND_TRIAL;
+    if (!trial && (isolation.phase() != Isolation.Phase.EVACUATE || now < nextSendAt)) {
       return null;
     }
     if (trial && !m.unfinishedTasks().isEmpty() && anyIdle(held)) {
       return null;
     }
     if (trial) {
-      alone = alone.trialSent(m.host, now);
+      isolation = isolation.trialSent(m.host, now);
       LOG.log(
           Level.INFO,
           "isolated from the state service and all controllers; redirecting {0} as a trial",
--- a/src/main/java/dev/dunefront/book/package-info.java
+++ b/src/main/java/dev/dunefront/book/package-info.java
@@ -1,5 +1,5 @@
 /**
  * Machines held by this controller: their reports, their want books, the offers of their room and
- * the orders sent to their workers.
+ * the commands sent to their workers.
  */
 package dev.dunefront.book;
--- a/src/main/java/dev/dunefront/evidence/Invariant.java
+++ b/src/main/java/dev/dunefront/evidence/Invariant.java
@@ -6,7 +6,7 @@
   STARTED_BESIDE_ANOTHER_ATTEMPT,
   /** No attempt is ended by evidence that refers to another session than its own. */
   PROOF_OF_ANOTHER_SESSION,
-  /** No machine is ordered to start a task of which it has another attempt. */
+  /** No machine gets the command to start a task of which it has another attempt. */
   TWO_ATTEMPTS_ON_ONE_MACHINE,
   /** No task is placed while it already has a placement. */
   TWO_PLACEMENTS
--- a/src/main/java/dev/dunefront/evidence/ReportSequence.java
+++ b/src/main/java/dev/dunefront/evidence/ReportSequence.java
@@ -11,12 +11,13 @@
  * @param session the latest session of the worker
  * @param highestSerial the highest serial number received in that session, in a report or a
  *     response
- * @param reported the highest serial number received in that session in a report; -1 before the
- *     first
- * @param highestToken the highest token that the worker has reported; a worker keeps the highest
- *     token until it restarts
+ * @param highestReportSerial the highest serial number received in that session in a report; -1
+ *     before the first
+ * @param highestToken the highest token that the worker has highestReportSerial; a worker keeps the
+ *     highest token until it restarts
  */
-public record ReportSequence(long session, long highestSerial, long reported, long highestToken) {
+public record ReportSequence(
+    long session, long highestSerial, long highestReportSerial, long highestToken) {
   /** Nothing has been received. */
   public static final ReportSequence NONE = new ReportSequence(0, -1, -1, 0);
 
@@ -25,7 +26,7 @@
     /** It carries new information. */
     NEW,
     /**
-     * A response to orders that the worker sent later has arrived earlier. The report carries no
+     * A response to commands that the worker sent later has arrived earlier. The report carries no
      * new information, but its sender may be waiting for the answer, which renews the lease.
      */
     OVERTAKEN,
@@ -50,33 +51,36 @@
     }
     // A worker sends one report at a time, so its reports arrive in the order of their serial
     // numbers.
-    return reportSession == session && reportSerial > reported
+    return reportSession == session && reportSerial > highestReportSerial
         ? Classification.OVERTAKEN
         : Classification.STALE;
   }
 
   /** Returns the state after a report that is not stale. */
-  public ReportSequence reported(Report r) {
+  public ReportSequence afterReport(Report r) {
     ReportSequence next = afterReply(r);
     return new ReportSequence(
-        next.session, next.highestSerial, Math.max(r.serial(), next.reported), next.highestToken);
+        next.session,
+        next.highestSerial,
+        Math.max(r.serial(), next.highestReportSerial),
+        next.highestToken);
   }
 
-  /** Returns the state after a response to orders or to a status request. */
+  /** Returns the state after a response to commands or to a status request. */
   public ReportSequence afterReply(Report r) {
-    long shown = Math.max(highestToken, r.token());
+    long newHighestToken = Math.max(highestToken, r.token());
     if (!r.newerThan(session, highestSerial)) {
-      return new ReportSequence(session, highestSerial, reported, shown);
+      return new ReportSequence(session, highestSerial, highestReportSerial, newHighestToken);
     }
     return new ReportSequence(
-        r.session(), r.serial(), r.session() > session ? -1 : reported, shown);
+        r.session(), r.serial(), r.session() > session ? -1 : highestReportSerial, newHighestToken);
   }
 
   /**
    * Whether a response proves that the worker has restarted, given that this was the known state
-   * when the request was sent: its token or serial numbers have fallen behind those reported
-   * earlier. A late duplicate cannot look like that, since it is not the response to a request sent
-   * now.
+   * when the request was sent: its token or serial numbers have fallen behind those
+   * highestReportSerial earlier. A late duplicate cannot look like that, since it is not the
+   * response to a request sent now.
    */
   public boolean provesRestart(Report answer) {
     return session > 0
--- a/src/main/java/dev/dunefront/evidence/Responsiveness.java
+++ b/src/main/java/dev/dunefront/evidence/Responsiveness.java
@@ -2,9 +2,9 @@
 
 /**
  * Whether a machine whose reports arrive also receives messages. A network fault may drop answers
- * and orders while reports still arrive. The lease of such a machine expires although its holder
+ * and commands while reports still arrive. The lease of such a machine expires although its holder
  * considers it healthy. Evidence of this: the machine reports to another controller although it was
- * answered, its session number increases although it was answered within the lease, or an order
+ * answered, its session number increases although it was answered within the lease, or a command
  * gets no response. A status request then decides.
  *
  * @param state current state
--- a/src/main/java/dev/dunefront/evidence/StartRefusal.java
+++ b/src/main/java/dev/dunefront/evidence/StartRefusal.java
@@ -10,7 +10,7 @@
   OTHER_SESSION,
   /** Another controller has claimed the job in a later term. */
   OUTDATED_CLAIM,
-  /** The outcome of an earlier order is unknown, or the token is being raised. */
+  /** The outcome of an earlier command is unknown, or the token is being raised. */
   IN_DOUBT,
   /** The holder has denied the attempt before. */
   DENIED_BEFORE,
--- a/src/test/java/dev/dunefront/evidence/EvidenceTest.java
+++ b/src/test/java/dev/dunefront/evidence/EvidenceTest.java
@@ -23,7 +23,7 @@
 
   @Test
   void classifiesReportsBySessionSerialAndToken() {
-    // Session 3, serial 40 from a response to orders, 38 from a report, token 7.
+    // Session 3, serial 40 from a response to commands, 38 from a report, token 7.
     ReportSequence known = new ReportSequence(3, 40, 38, 7);
     assertEquals(Classification.NEW, known.classify(report(3, 41, 7)));
     assertEquals(Classification.NEW, known.classify(report(4, 1, 7)));
@@ -31,7 +31,7 @@
     assertEquals(
         Classification.OVERTAKEN,
         known.classify(report(3, 39, 7)),
-        "the later response to orders arrived first");
+        "the later response to commands arrived first");
     assertEquals(Classification.STALE, known.classify(report(3, 38, 7)));
     assertEquals(Classification.STALE, known.classify(report(3, 2, 7)));
     assertEquals(Classification.STALE, known.classify(report(2, 99, 7)));
@@ -76,9 +76,9 @@
     ReportSequence with = ReportSequence.NONE;
     int next = 0;
     for (int i = 0; i < history.size(); i++) {
-      without = without.reported(history.get(i));
+      without = without.afterReport(history.get(i));
       assertEquals(Classification.NEW, with.classify(history.get(i)));
-      with = with.reported(history.get(i));
+      with = with.afterReport(history.get(i));
       for (int n = 0; n < 3 && next < copies.size(); n++, next++) {
         Report copy = history.get(copies.get(next) % (i + 1));
         assertEquals(Classification.STALE, with.classify(copy));
