--- a/src/main/java/dev/dunefront/book/HoldTable.java
+++ b/src/main/java/dev/dunefront/book/HoldTable.java
@@ -183,6 +183,7 @@
         });
   }
 
+  /** Sets the listener, which receives the host of each changed hold record. */
   public void listen(Consumer<String> changed) {
     listener = changed;
   }
@@ -262,6 +263,7 @@
     return txn.requireRevision(ROSTER_KEY, current.revision()).put(ROSTER_KEY, next.write());
   }
 
+  /** Applies a successful write to the replica, before the replica reads it back. */
   void applyWrite(String host, Document value, long revision) {
     replica.apply(key(host), value, revision);
   }
--- a/src/main/java/dev/dunefront/book/ReportApplier.java
+++ b/src/main/java/dev/dunefront/book/ReportApplier.java
@@ -43,9 +43,9 @@
   }
 
   /**
-   * The worker has restarted, perhaps in a lower session. Its previous tasks are gone, and it may
-   * reuse the numbers of earlier sessions. The token is therefore raised before anything is sent to
-   * it or declared ended.
+   * The worker has restarted, perhaps in a lower session. Its previous tasks have ended, and it may
+   * reuse the numbers of earlier sessions. The token is therefore raised before commands are sent
+   * to it or its attempts are declared ended.
    */
   void workerRestarted(Machine m, Report r) {
     LOG.log(Level.INFO, "worker of {0} has restarted, in session {1}", m.host, r.session());
@@ -58,8 +58,8 @@
   }
 
   /**
-   * Another controller has seen the worker in a later session. The tasks of the earlier session are
-   * gone.
+   * Another controller has seen the worker in a later session, so the tasks of the earlier session
+   * have ended.
    */
   void sessionSeenElsewhere(Machine m, long session) {
     m.reportSequence = new ReportSequence(session, -1, -1, m.reportSequence.highestToken());
@@ -75,7 +75,7 @@
     // count as expired while it is alive, and tasks just started in it would be placed a second
     // time.
     m.sessionStartedAt = timers.now();
-    // The tasks of the earlier session are gone, and the worker refuses commands for it.
+    // The tasks of the earlier session have ended, and the worker refuses commands for it.
     m.pendingStarts.clear();
     m.pendingStops.clear();
     m.pendingClears.clear();
--- a/src/main/java/dev/dunefront/book/Roster.java
+++ b/src/main/java/dev/dunefront/book/Roster.java
@@ -84,27 +84,27 @@
    * time; by these two rules those with old and those with new settings never revert each other's
    * changes.
    *
-   * @param settled nodes that have been live for a while, with their zones
-   * @param present nodes that are live or were so recently
+   * @param stable nodes that have been live for a while, with their zones
+   * @param recentlyLive nodes that are live or were so recently
    * @param named nodes named in the settings of this controller
    */
-  public Roster next(Map<String, String> settled, Set<String> present, Set<String> named) {
+  public Roster next(Map<String, String> stable, Set<String> recentlyLive, Set<String> named) {
     if (members.isEmpty()) {
       return null;
     }
     for (Member m : members) {
-      String zone = settled.get(m.node);
+      String zone = stable.get(m.node);
       if (zone != null && !zone.equals(m.zone)) {
         return replacing(m, new Member(m.node, zone));
       }
     }
-    for (String node : settled.keySet().stream().sorted().toList()) {
+    for (String node : stable.keySet().stream().sorted().toList()) {
       if (members.stream().noneMatch(m -> m.node.equals(node))) {
-        return replacing(null, new Member(node, settled.get(node)));
+        return replacing(null, new Member(node, stable.get(node)));
       }
     }
     for (Member m : members) {
-      if (!present.contains(m.node) && !named.contains(m.node) && members.size() > 1) {
+      if (!recentlyLive.contains(m.node) && !named.contains(m.node) && members.size() > 1) {
         return replacing(m, null);
       }
     }
--- a/src/main/java/dev/dunefront/book/StartRequests.java
+++ b/src/main/java/dev/dunefront/book/StartRequests.java
@@ -122,8 +122,8 @@
 
   /**
    * Whether another controller has claimed the job in a later term. A claimant whose process was
-   * suspended sends its earlier decisions before it finds that out. Its successor may have been
-   * told that the attempt does not exist, by a holder that no longer has the record of that denial.
+   * suspended sends its earlier decisions before it finds that out. Its successor may have received
+   * a denial of the attempt from a holder that no longer has that denial on record.
    */
   boolean claimOutdated(String job, long term) {
     JobTable.Entry e = jobs.get(job);
--- a/src/test/java/dev/dunefront/book/WantBookTest.java
+++ b/src/test/java/dev/dunefront/book/WantBookTest.java
@@ -35,10 +35,10 @@
   @Test
   void aLowerRankIsServedFirstAndAWithdrawnWantIsNot() {
     book.put("a", "late", 2, 3, ONE, 1, 1);
-    book.put("a", "pressing", 2, 0, ONE, 1, 2);
-    book.put("a", "gone", 2, 0, ONE, 1, 0);
-    book.put("a", "gone", 2, 0, ONE, 0, 3);
-    assertEquals("pressing", next(ONE));
+    book.put("a", "first", 2, 0, ONE, 1, 2);
+    book.put("a", "withdrawn", 2, 0, ONE, 1, 0);
+    book.put("a", "withdrawn", 2, 0, ONE, 0, 3);
+    assertEquals("first", next(ONE));
     assertEquals("late", next(ONE));
     assertNull(next(ONE));
   }
