--- a/src/main/java/dev/dunefront/book/HeldMachines.java
+++ b/src/main/java/dev/dunefront/book/HeldMachines.java
@@ -25,23 +25,24 @@
 import java.util.Objects;
 
 /**
- * The machines that this controller holds: takes reports, keeps a book for each and deals freed
- * room. {@link HoldAcquisition} takes the reports of others, {@link WorkerCommands} talks to
- * workers, {@link ViewPublisher} to the controllers.
+ * The machines that this controller holds, meaning that it alone sends them commands and offers
+ * their room. Dispatches worker reports, keeps the want book of each machine and drives periodic
+ * work. {@link HoldAcquisition} processes reports of machines not held here, {@link WorkerCommands}
+ * sends commands to workers, {@link ViewPublisher} publishes machine state to the controllers.
  */
 public final class HeldMachines {
   private static final System.Logger LOG = System.getLogger(HeldMachines.class.getName());
 
-  /** A controller that is behind keeps at least so many machines. */
+  /** An overloaded controller keeps at least this many machines. */
   private static final int MIN_MACHINES_WHEN_OVERLOADED = 5;
 
-  /** How often a machine is looked at on which nothing is known to wait. */
+  /** Interval at which a machine without pending work is checked, in seconds. */
   private static final double IDLE_CHECK_INTERVAL_S = 1;
 
-  /** Steady clocks differ by this part at most. */
+  /** Largest relative rate difference between the monotonic clocks of two hosts. */
   private static final double MAX_CLOCK_DRIFT = 0.001;
 
-  /** A machine that has been lost for so many leases is no longer held. */
+  /** A machine whose lease expired is released after this many lease durations without a report. */
   private static final double RELEASE_AFTER_LEASES = 10;
 
   private final Settings settings;
@@ -51,10 +52,11 @@
   private final Peers peers;
   private final Timers timers;
   private final DecisionLock decisionLock;
-  private final Map<String, Machine> held = new HashMap<>();
+  private final Map<String, Machine> machines = new HashMap<>();
 
   /**
-   * What was called gone on machines let go of since without a new token; see {@link #addMachine}.
+   * Attempts denied on machines that were released since, by host; see {@link #addMachine}. Removed
+   * once the machine is held under a new token.
    */
   private final Map<String, Map<TaskId, Long>> deniedAttemptsByHost = new HashMap<>();
 
@@ -70,7 +72,7 @@
   private final HoldChanges holdChanges;
   private final ControllerLoads controllerLoads;
   private final HoldAcquisition holdAcquisition;
-  private final PauseDetector standstill;
+  private final PauseDetector pauseDetector;
   private final RoomAllocation roomAllocation;
   private final MachineMessages machineMessages;
 
@@ -84,7 +86,7 @@
     this.peers = context.peers();
     this.timers = context.timers();
     this.decisionLock = context.decisionLock();
-    this.viewPublisher = new ViewPublisher(context, held);
+    this.viewPublisher = new ViewPublisher(context, machines);
     this.preemption = new Preemption(context, viewPublisher);
     this.reportApplier = new ReportApplier(context);
     this.statusChecks = new StatusChecks(context, caller, this, reportApplier);
@@ -95,26 +97,27 @@
     this.controllerLoads = new ControllerLoads(settings, membership);
     this.workerEvacuation = new WorkerEvacuation(context, controllerLoads);
     this.holdAcquisition = new HoldAcquisition(context, controllerLoads, statusChecks, this);
-    this.standstill = context.standstill();
+    this.pauseDetector = context.standstill();
     this.roomAllocation = new RoomAllocation(context, controllerLoads, viewPublisher);
     this.machineMessages =
         new MachineMessages(context, this, startRequests, preemption, holdAcquisition);
-    standstill.addResumeListener(holdAcquisition::resumedAfterPause);
+    pauseDetector.addResumeListener(holdAcquisition::resumedAfterPause);
   }
 
   // ---- reports ----
 
   /**
-   * Takes a worker's report. After a standstill the worker waits a moment: it may have another
-   * holder by now, from which an answer under the old token would keep it.
+   * Processes a worker's report. After this process was suspended, the report waits until the state
+   * is known to be current: another controller may hold the worker by now, and an answer under the
+   * old token would keep the worker here.
    */
   public void report(Report r, Responder answer) {
-    standstill.whenCurrent(() -> dispatchReport(r, answer));
+    pauseDetector.whenCurrent(() -> dispatchReport(r, answer));
   }
 
   private void dispatchReport(Report r, Responder answer) {
     workerEvacuation.reportReceived(r.host());
-    Machine m = held.get(r.host());
+    Machine m = machines.get(r.host());
     if (m != null) {
       processReport(m, r, answer);
     } else {
@@ -122,34 +125,38 @@
     }
   }
 
-  /** A controller tells how many machines it holds, and how late its timers are. */
-  public void controllerLoadReceived(String node, int machines, double lateS) {
-    controllerLoads.update(node, machines, lateS);
+  /**
+   * Another controller has reported how many machines it holds and how late its timers run, in
+   * seconds.
+   */
+  public void controllerLoadReceived(String node, int machineCount, double timerLagS) {
+    controllerLoads.update(node, machineCount, timerLagS);
   }
 
-  /** Whether this controller is far behind with its work while another is not. */
+  /** Whether this controller's timers run late while another controller keeps up. */
   public boolean overloaded() {
     return controllerLoads.offloadTarget() != null;
   }
 
   /** The machine, if this controller holds it, or null. */
-  Machine held(String host) {
-    return held.get(host);
+  Machine get(String host) {
+    return machines.get(host);
   }
 
   /**
-   * From now on this controller holds the machine. Under the token under which it has held it
-   * before, what it has called gone stays refused: the start may still be on its way here.
+   * Starts to hold the machine. If it is held again under the token of an earlier hold here, the
+   * attempts denied then stay denied, because their start requests may still be in transit to this
+   * controller.
    */
   void addMachine(Machine m) {
-    held.put(m.host, m);
-    Map<TaskId, Long> fence = deniedAttemptsByHost.remove(m.host);
-    if (fence != null && m.resumed) {
-      m.deniedAttempts.putAll(fence);
+    machines.put(m.host, m);
+    Map<TaskId, Long> denied = deniedAttemptsByHost.remove(m.host);
+    if (denied != null && m.resumed) {
+      m.deniedAttempts.putAll(denied);
     }
     LOG.log(
         Level.INFO,
-        "holding {0}, a {1}, under token {2}, hold stamp {3}, session {4}",
+        "holding {0} of type {1}: token {2}, hold revision {3}, session {4}",
         m.host,
         m.typeName,
         m.token,
@@ -157,51 +164,53 @@
         m.session);
   }
 
+  /** Processes a report of a machine that is held here. */
   void processReport(Machine m, Report r, Responder answer) {
     if (r.token() > m.token) {
-      // Somebody with a higher token commands this machine.
-      release(m, "a higher token is out");
+      // Another controller holds this machine under a higher token.
+      release(m, "its worker has reported a higher token");
       answer.send(421, null);
       return;
     }
-    ReportSequence.Classification worth = m.reportSequence.classify(r);
-    if (worth == ReportSequence.Classification.STALE) {
-      // Nobody waits for the answer, unless the worker has begun anew.
+    ReportSequence.Classification classification = m.reportSequence.classify(r);
+    if (classification == ReportSequence.Classification.STALE) {
+      // The sender no longer waits for this answer, unless the worker has restarted.
       answer.send(503, null, 1);
       statusChecks.staleReportReceived(m);
       return;
     }
     if (m.leaseExpired && r.session() <= m.session) {
-      // Its tasks have been given up for gone; nothing may renew this lease any more.
+      // Its tasks have been declared ended, so nothing may renew the lease of this session.
       answer.send(503, null, 1);
       return;
     }
     m.lastContactAt = timers.now();
-    if (worth == ReportSequence.Classification.NEW) {
+    if (classification == ReportSequence.Classification.NEW) {
       statusChecks.reportReceived(m, r);
     }
     reportApplier.applyReport(m, r);
-    String away = workerEvacuation.redirectTarget(m, held.values());
-    if (away != null) {
-      release(m, "alone here, it goes to " + away);
-      holdAcquisition.sendToController(m.host, away, answer);
+    String redirectTarget = workerEvacuation.redirectTarget(m, machines.values());
+    if (redirectTarget != null) {
+      release(m, "this controller is isolated; redirecting it to " + redirectTarget);
+      holdAcquisition.sendToController(m.host, redirectTarget, answer);
       return;
     }
-    if (m.redirectTo == null && held.size() > MIN_MACHINES_WHEN_OVERLOADED) {
+    if (m.redirectTo == null && machines.size() > MIN_MACHINES_WHEN_OVERLOADED) {
       m.redirectTo = controllerLoads.offloadTarget();
     }
     if (m.redirectTo != null) {
-      String to = m.redirectTo;
+      String target = m.redirectTo;
       m.redirectTo = null;
-      if (controllerLoads.reachable(to)
+      if (controllerLoads.reachable(target)
           && !m.startsInProgress()
-          // Sent on, a machine that does not hear it would go round instead.
+          // An unresponsive machine would not receive the redirect and would retry all
+          // controllers in turn.
           && m.responsiveness.trusted()
           && !m.commandOutcomeUnknown
           && !m.raisingToken
           && !m.retiring(timers.now())) {
-        release(m, "it is better held by " + to);
-        holdAcquisition.sendToController(m.host, to, answer);
+        release(m, "balancing load; redirecting it to " + target);
+        holdAcquisition.sendToController(m.host, target, answer);
         return;
       }
     }
@@ -213,16 +222,17 @@
     reconcile(m);
   }
 
-  void release(Machine m, String why) {
-    if (held.remove(m.host, m)) {
+  /** Stops holding the machine and notifies the other controllers. The reason is logged. */
+  void release(Machine m, String reason) {
+    if (machines.remove(m.host, m)) {
       if (!m.deniedAttempts.isEmpty()) {
         deniedAttemptsByHost.put(m.host, m.deniedAttempts);
       }
       LOG.log(
           Level.INFO,
-          "no longer holding {0}: {1}; it was token {2}, hold stamp {3}, session {4}",
+          "released {0}: {1}; token {2}, hold revision {3}, session {4}",
           m.host,
-          why,
+          reason,
           m.token,
           m.holdRevision,
           m.session);
@@ -230,32 +240,36 @@
     }
   }
 
-  /** This controller has become another incarnation. */
+  /** This controller continues under a new incarnation. */
   public void incarnationChanged() {
     holdChanges.incarnationChanged();
     holdAcquisition.incarnationChanged();
   }
 
-  /** The replica shows a changed hold record. */
+  /** The hold record of a machine has changed in the replica. */
   public void holdChanged(String host) {
     holdChanges.holdChanged(host);
-    if (!held.containsKey(host)) {
-      // Held under another token from now on, if ever again.
+    if (!machines.containsKey(host)) {
+      // Any later hold of this machine has a higher token, so the denials are no longer needed.
       deniedAttemptsByHost.remove(host);
     }
   }
 
-  /** A live record has changed; a job that must no longer run is stopped without being asked. */
+  /**
+   * The record of an unfinished job has changed. Tasks of a job that must not run any more are
+   * stopped without a request from its claimant.
+   */
   public void jobChanged(String id, JobTable.Entry before, JobTable.Entry entry) {
-    boolean over = jobEnded(entry);
-    if (!over
+    boolean ended = jobEnded(entry);
+    if (!ended
         && !jobEnded(before)
         && Objects.equals(before.record().claimant(), entry.record().claimant())) {
-      // Most changes grant tasks; who is told of the job's tasks, and what they take, stays.
+      // Most changes only grant tasks, which affects neither the controller that receives the
+      // task states nor the size of the tasks.
       return;
     }
-    for (Machine m : held.values()) {
-      if (over) {
+    for (Machine m : machines.values()) {
+      if (ended) {
         m.book.removeJob(id);
       }
       if (m.hasTaskOf(id)) {
@@ -268,9 +282,9 @@
     }
   }
 
-  /** A job is to end: what of it runs here is stopped, what is about to start is refused. */
+  /** A job has been cancelled: stops its running tasks here and refuses its pending starts. */
   public void jobCancelled(String id) {
-    for (Machine m : held.values()) {
+    for (Machine m : machines.values()) {
       taskTermination.stopJob(m, id);
       m.book.removeJob(id);
       reconcile(m);
@@ -279,7 +293,7 @@
 
   /** All machines that this controller holds. */
   Collection<Machine> all() {
-    return held.values();
+    return machines.values();
   }
 
   static boolean jobEnded(JobTable.Entry entry) {
@@ -288,19 +302,20 @@
 
   // ---- messages ----
 
+  /** Processes a message of another controller that concerns machines. */
   public void messageReceived(String from, Message message) {
-    if (message instanceof Message.ViewSubscription i) {
-      viewPublisher.subscriptionReceived(from, i.detail());
+    if (message instanceof Message.ViewSubscription subscription) {
+      viewPublisher.subscriptionReceived(from, subscription.detail());
     } else {
       machineMessages.messageReceived(from, message);
     }
   }
 
-  /** A controller's link is gone, and with it all that it wanted. */
+  /** The connection to a controller has closed. Its wants and offers are dropped. */
   public void peerDisconnected(String node) {
     controllerLoads.remove(node);
     viewPublisher.peerDisconnected(node);
-    for (Machine m : held.values()) {
+    for (Machine m : machines.values()) {
       m.book.removeController(node);
       if (m.offers.values().removeIf(o -> o.node().equals(node))) {
         m.viewChanged = true;
@@ -309,16 +324,19 @@
     }
   }
 
-  /** A controller can be reached again: it hears of every held machine. */
+  /** The connection to a controller is open again. It receives the state of every held machine. */
   public void peerConnected(String node) {
     viewPublisher.peerConnected(node);
   }
 
-  // ---- dealing ----
+  // ---- allocation ----
 
-  /** Deals what room there is, sends what orders there are, tells what has changed. */
+  /**
+   * Offers free room to wants, sends pending commands and publishes the machine's state if it has
+   * changed.
+   */
   void reconcile(Machine m) {
-    if (held.get(m.host) != m) {
+    if (machines.get(m.host) != m) {
       return;
     }
     roomAllocation.offerRoom(m);
@@ -329,103 +347,114 @@
     }
   }
 
-  // ---- time ----
+  // ---- metrics and periodic work ----
 
   public int machineCount() {
-    return held.size();
+    return machines.size();
   }
 
-  /** Copies of old reports that have come so far. */
+  /** Number of stale reports received since the start of the process. */
   public int staleReportCount() {
     return statusChecks.staleReportCount();
   }
 
-  /** How often a machine has turned out to be heard and not to hear so far. */
+  /** Number of times that a machine whose reports arrive has been found unresponsive. */
   public int unresponsiveCount() {
     return statusChecks.unresponsiveCount();
   }
 
-  /** Machines that this controller has sent away because it was alone with them so far. */
+  /** Number of workers that this controller has redirected because it was isolated. */
   public int sentAwayCount() {
     return workerEvacuation.sentCount();
   }
 
-  /** Whether neither the state service nor any other controller answers. */
+  /** Whether neither the state service nor any other controller is reachable. */
   public boolean isolated() {
-    return workerEvacuation.alone();
+    return workerEvacuation.isolated();
   }
 
-  /** Called several times a second. */
-  public void tick(double lateS) {
-    controllerLoads.setOwnTimerLag(lateS);
-    statusChecks.setTimerLag(lateS);
+  /**
+   * Periodic work, called several times a second.
+   *
+   * @param timerLagS by how much this controller's timers run late, in seconds
+   */
+  public void tick(double timerLagS) {
+    controllerLoads.setOwnTimerLag(timerLagS);
+    statusChecks.setTimerLag(timerLagS);
     double now = timers.now();
-    double lease = settings.workers().leaseS();
-    if (!standstill.current()) {
+    double leaseS = settings.workers().leaseS();
+    if (!pauseDetector.current()) {
       return;
     }
     holdChanges.tick();
     workerEvacuation.tick(now);
-    for (Machine m : List.copyOf(held.values())) {
-      // What cannot be done for one machine is no reason to leave the others alone.
-      decisionLock.run(() -> tick(m, now, lease));
+    for (Machine m : List.copyOf(machines.values())) {
+      // A failure on one machine must not keep the others from being processed.
+      decisionLock.run(() -> tick(m, now, leaseS));
     }
     if (now - lastSweepAt > IDLE_CHECK_INTERVAL_S) {
       lastSweepAt = now;
-      taskTermination.stopTasksOfEndedJobs(held.values(), now);
+      taskTermination.stopTasksOfEndedJobs(machines.values(), now);
       holdAcquisition.removeExpired(now);
     }
-    roomAllocation.rebalance(held.values(), now);
+    roomAllocation.rebalance(machines.values(), now);
   }
 
-  private void tick(Machine m, double now, double lease) {
-    boolean expired = false;
-    for (Iterator<Machine.OutstandingOffer> i = m.offers.values().iterator(); i.hasNext(); ) {
-      if (i.next().expiresAt() < now) {
-        i.remove();
-        expired = true;
+  private void tick(Machine m, double now, double leaseS) {
+    boolean offerExpired = false;
+    for (Iterator<Machine.OutstandingOffer> iterator = m.offers.values().iterator();
+        iterator.hasNext(); ) {
+      if (iterator.next().expiresAt() < now) {
+        iterator.remove();
+        offerExpired = true;
       }
     }
-    m.viewChanged |= expired;
+    m.viewChanged |= offerExpired;
     if (m.retiringUntil > 0 && !m.retiring(now)) {
       m.retiringUntil = 0;
       m.viewChanged = true;
     }
     statusChecks.tick(m, now);
-    double surelyOver = lease * (1 + MAX_CLOCK_DRIFT) + 0.3;
-    if (!m.leaseExpired && m.holdAcknowledged && now - m.leaseRenewedAt() > surelyOver) {
+    double leaseCertainlyOverS = leaseS * (1 + MAX_CLOCK_DRIFT) + 0.3;
+    if (!m.leaseExpired && m.holdAcknowledged && now - m.leaseRenewedAt() > leaseCertainlyOverS) {
       // No report of this session has been answered for longer than its lease lasts. A token
-      // raised since, which the worker may never see, changes nothing in that: a machine that
-      // ended just after would otherwise never be called lost, and its jobs never end.
+      // raised meanwhile does not change that, since the worker may never receive it: a machine
+      // that ended just after the write would otherwise never count as lost, and its jobs would
+      // never end.
       m.leaseExpired = true;
       m.pendingStarts.clear();
       m.offers.clear();
       m.viewChanged = true;
-      LOG.log(Level.INFO, "{0} is silent; the lease of its session {1} is over", m.host, m.session);
+      LOG.log(
+          Level.INFO,
+          "no report from {0}; the lease of its session {1} has expired",
+          m.host,
+          m.session);
     }
-    if (!m.holdAcknowledged && now - m.lastContactAt > surelyOver) {
-      // It never showed a token of this hold, so its lease proves nothing here; a late copy of a
-      // report may have come of a machine that is gone. Held on to it would be told of for ever as
-      // one that is neither well nor lost, and nobody would have its end proven.
-      release(m, "it fell silent before it had shown its token");
+    if (!m.holdAcknowledged && now - m.lastContactAt > leaseCertainlyOverS) {
+      // The worker has not reported a token of this hold, so an expired lease proves nothing
+      // here; the report that started the hold may be a late duplicate from a machine that no
+      // longer exists. If the machine stayed held, it would be published forever as neither
+      // healthy nor lost, and nobody would prove the end of its attempts.
+      release(m, "its reports stopped before its worker had reported the current token");
       return;
     }
-    if (m.leaseExpired && now - m.leaseRenewedAt() > lease * RELEASE_AFTER_LEASES) {
-      // All that ran there has been given up for gone. Should its worker come back after all it is
-      // in another session, for which no start is on its way that was meant for this one.
+    if (m.leaseExpired && now - m.leaseRenewedAt() > leaseS * RELEASE_AFTER_LEASES) {
+      // All its attempts have been declared ended. If its worker reports again, it does so in a
+      // later session, and no start request in transit is addressed to that one.
       m.deniedAttempts.clear();
-      release(m, "it has been silent for long");
+      release(m, "no report for a long time");
       return;
     }
     if (m.reclaimNoticeS != null) {
       taskTermination.drainBeforeReclaim(m, m.reclaimNoticeS - (now - m.reclaimNoticeAt), now);
     }
-    boolean waits =
+    boolean hasPendingWork =
         m.viewChanged
             || !m.pendingStarts.isEmpty()
             || !m.pendingStops.isEmpty()
             || !m.pendingClears.isEmpty();
-    if (waits || now - m.lastCheckedAt > IDLE_CHECK_INTERVAL_S) {
+    if (hasPendingWork || now - m.lastCheckedAt > IDLE_CHECK_INTERVAL_S) {
       m.lastCheckedAt = now;
       reconcile(m);
     }
--- a/src/main/java/dev/dunefront/book/HoldAcquisition.java
+++ b/src/main/java/dev/dunefront/book/HoldAcquisition.java
@@ -21,19 +21,27 @@
 import java.util.Set;
 
 /**
- * Reports of machines that this controller does not hold yet: holds them on, takes them, or sends
- * them to whoever holds them. No two controllers ever act for one machine under one token.
+ * Processes reports of machines that this controller does not hold yet: it resumes an earlier hold,
+ * acquires the machine, or redirects the worker to the current holder. No two controllers ever send
+ * commands to one machine under the same token.
  */
 final class HoldAcquisition {
-  /** The part of a lease for which a silent holder is waited for. */
+  /** The fraction of a lease duration for which an unreachable holder is waited for. */
   private static final double SILENT_HOLDER_LEASE_FRACTION = 0.25;
 
-  /** A machine that was sent to another controller and comes back this soon is taken. */
+  /**
+   * A machine that comes back within this time after a redirect is acquired instead of redirected
+   * again, in seconds.
+   */
   private static final double REDIRECT_TTL_S = 20;
 
-  /** A machine that was let go of comes within this time, or is asked after like any other. */
+  /**
+   * A machine that its holder has released is acquired without a query if it reports within this
+   * time, in seconds.
+   */
   private static final double RELEASE_TTL_S = 60;
 
+  /** Timeout of a query to the holder of a machine, in seconds. */
   private static final double HOLD_QUERY_TIMEOUT_S = 0.5;
 
   private final Settings settings;
@@ -50,38 +58,42 @@
 
   private record PendingReport(Report report, Responder answer) {}
 
-  /** Reports that wait for a hold to be taken. */
+  /** Reports that wait for the write of a hold record, by host. */
   private final Map<String, List<PendingReport>> acquiring = new HashMap<>();
 
-  /** Reports that wait for another controller, or the machine itself, to say who hears it. */
+  /**
+   * Reports that wait for the holder to state whether it receives the machine's reports, or for the
+   * status of the worker, by host.
+   */
   private final Map<String, List<PendingReport>> querying = new HashMap<>();
 
-  /** Machines that are asked what they are at, before they are taken from their holder. */
+  /** Machines whose status is requested before they are taken over from their holder. */
   private final Set<String> verifying = new HashSet<>();
 
-  /** Since when a holder has left questions unanswered. */
+  /** Holders that have not replied to queries, by node. */
   private final Map<String, SilentHolder> silentHolders = new HashMap<>();
 
+  /** An incarnation that does not reply, null if it has no lease, and since when. */
   private record SilentHolder(String incarnation, double since) {}
 
-  /** Since when other controllers have had no lease. */
+  /** Since when other controllers have had no membership lease, by node. */
   private final Map<String, Double> withoutLeaseSince = new HashMap<>();
 
-  /** When a machine was last sent to another controller. */
+  /** When a machine was last redirected to another controller, by host. */
   private final Map<String, Double> redirectedAt = new HashMap<>();
 
-  /** Machines that were let go of, by whom and when. */
-  private final Map<String, Release> released = new HashMap<>();
+  /** Machines that other controllers have released, by host. */
+  private final Map<String, Release> releases = new HashMap<>();
 
-  private record Release(String node, double at) {}
+  private record Release(String node, double receivedAt) {}
 
   private double incarnationStartedAt;
 
   HoldAcquisition(
       ControllerContext context,
-      ControllerLoads neighbours,
-      StatusChecks listening,
-      HeldMachines books) {
+      ControllerLoads controllerLoads,
+      StatusChecks statusChecks,
+      HeldMachines heldMachines) {
     this.settings = context.settings();
     this.membership = context.membership();
     this.holds = context.holds();
@@ -90,30 +102,36 @@
     this.peers = context.peers();
     this.timers = context.timers();
     this.decisionLock = context.decisionLock();
-    this.controllerLoads = neighbours;
-    this.statusChecks = listening;
-    this.heldMachines = books;
+    this.controllerLoads = controllerLoads;
+    this.statusChecks = statusChecks;
+    this.heldMachines = heldMachines;
     this.incarnationStartedAt = timers.now();
   }
 
-  /** This controller has become another incarnation. */
+  /** This controller continues under a new incarnation. */
   void incarnationChanged() {
     incarnationStartedAt = timers.now();
-    acquiring.values().forEach(ws -> ws.forEach(w -> w.answer.send(503, null, 1)));
+    acquiring
+        .values()
+        .forEach(
+            pendingReports -> pendingReports.forEach(pending -> pending.answer.send(503, null, 1)));
     acquiring.clear();
   }
 
-  /** This controller has stood still: nobody else has been silent for as long as its clock says. */
+  /**
+   * This process was suspended. The time without a reply that its clock shows says nothing about
+   * the other controllers.
+   */
   void resumedAfterPause() {
     silentHolders.clear();
   }
 
-  /** Another controller has let go of a machine. */
-  void released(String host, String from) {
-    released.put(host, new Release(from, timers.now()));
+  /** Another controller has released a machine. */
+  void holderReleased(String host, String from) {
+    releases.put(host, new Release(from, timers.now()));
   }
 
-  /** Forgets what is over: of machines that come and go only what still matters is kept. */
+  /** Removes expired entries, so that memory stays bounded while machines come and go. */
   void removeExpired(double now) {
     for (Settings.Peer p : settings.peers()) {
       if (membership.liveNodes().contains(p.node())) {
@@ -123,21 +141,22 @@
       }
     }
     redirectedAt.values().removeIf(at -> now - at > REDIRECT_TTL_S);
-    released.values().removeIf(r -> now - r.at > RELEASE_TTL_S);
+    releases.values().removeIf(r -> now - r.receivedAt > RELEASE_TTL_S);
   }
 
-  /** A controller has said whether it hears a machine. */
-  void holdReplyReceived(String from, Message.HoldStatus say) {
+  /** A controller has stated whether it receives the reports of a machine. */
+  void holdStatusReceived(String from, Message.HoldStatus status) {
     silentHolders.remove(from);
-    completeHoldQuery(say.host(), say);
+    completeHoldQuery(status.host(), status);
   }
 
-  /** Sends a machine to another controller. */
+  /** Redirects a machine to another controller. */
   void sendToController(String host, String node, Responder answer) {
     redirectedAt.put(host, timers.now());
     redirect(answer, node);
   }
 
+  /** Processes a report of a machine that is not held here. */
   void reportReceived(Report r, Responder answer) {
     if (acquiring.containsKey(r.host())) {
       acquiring.get(r.host()).add(new PendingReport(r, answer));
@@ -148,29 +167,29 @@
       return;
     }
     HoldTable.Hold hold = holds.holdOf(r.host(), r.zone());
-    boolean ours = holds.isHeldBy(settings.node(), hold);
-    if (ours && r.token() <= hold.token()) {
+    boolean heldHere = holds.isHeldBy(settings.node(), hold);
+    if (heldHere && r.token() <= hold.token()) {
       resumeHold(hold, r, answer);
     } else if (membership.ownIncarnation() == null || !catalog.isLoaded() || hold == null) {
       answer.send(503, null, 1);
     } else if (hold.machineDeleted()) {
       answer.send(503, null, 5);
-    } else if (ours) {
+    } else if (heldHere) {
       acquire(r, answer);
     } else {
       reportOfMachineHeldElsewhere(hold, r, answer);
     }
   }
 
-  /** The machine has another holder; yet its worker has come here. */
+  /** Another controller holds the machine, but the worker reports here. */
   private void reportOfMachineHeldElsewhere(HoldTable.Hold hold, Report r, Responder answer) {
     String holder = Membership.nodeOf(hold.holder());
     boolean live = membership.liveNodes().contains(holder);
-    Release release = released.get(r.host());
+    Release release = releases.get(r.host());
     if (release != null && holder.equals(release.node)) {
       acquire(r, answer);
     } else if (live && hold.isDefault() && !recentlyRedirected(r.host())) {
-      // It has yet to learn who its natural holder is.
+      // The worker does not know its default holder yet.
       sendToController(r.host(), holder, answer);
     } else if (live) {
       queryHolder(holder, r, answer);
@@ -182,19 +201,20 @@
   }
 
   private boolean recentlyRedirected(String host) {
-    Double sent = redirectedAt.get(host);
-    return sent != null && timers.now() - sent < REDIRECT_TTL_S;
+    Double redirectTime = redirectedAt.get(host);
+    return redirectTime != null && timers.now() - redirectTime < REDIRECT_TTL_S;
   }
 
   /**
-   * Takes a machine, or sends it to a controller of its own zone, which goes on hearing it when the
-   * zone is cut off. Once sent, a machine that comes back is taken: it cannot get there.
+   * Acquires a machine, or redirects it to a controller of its own zone, which still reaches it
+   * when the zone is partitioned. A redirected machine that comes back is acquired, since it cannot
+   * reach the other controller.
    */
   private void acquireForOwnZone(Report r, Responder answer) {
     if (!r.zone().equals(settings.zone())) {
-      String near = controllerLoads.assignInZone(r.zone());
-      if (near != null && !recentlyRedirected(r.host())) {
-        sendToController(r.host(), near, answer);
+      String target = controllerLoads.assignInZone(r.zone());
+      if (target != null && !recentlyRedirected(r.host())) {
+        sendToController(r.host(), target, answer);
         return;
       }
     }
@@ -203,47 +223,52 @@
   }
 
   /**
-   * A machine that is this controller's by nature, or that an earlier incarnation held and nobody
-   * has taken since: it is held without a write. So the arrival of many machines, and a return of
-   * many controllers at once costs no write for each machine, and no lease runs out behind the
-   * budget. What the earlier incarnation may have sent is in doubt only for tasks that the worker
-   * does not show.
+   * Holds a machine without a write, because this controller is its default holder, or because an
+   * earlier incarnation held it and no other controller has acquired it since. The arrival of many
+   * machines or the restart of many controllers therefore costs no write for each machine, and no
+   * worker lease expires while writes wait for the rate budget. Commands that the earlier
+   * incarnation may have sent are in doubt only for tasks that the worker does not report.
    */
   private void resumeHold(HoldTable.Hold hold, Report r, Responder answer) {
     Machine m = new Machine(r, hold.token(), hold.revision(), timers.now());
     m.resumed = true;
     heldMachines.addMachine(m);
     if (timers.now() - incarnationStartedAt > settings.workers().leaseS()) {
-      // In the first moments of a life all machines report here. Later an unknown one is new, or
-      // this is a copy of a report of one that is gone: it is given no work before it has answered.
-      statusChecks.suspect(m, "it is not known here");
+      // During the first lease duration of an incarnation all machines report here. An unknown
+      // machine that reports later is new, or the report is a late duplicate from a machine that
+      // no longer exists, so it gets no work until it has responded to a status request.
+      statusChecks.suspect(m, "it was unknown to this controller");
     }
     heldMachines.processReport(m, r, answer);
   }
 
   /**
-   * Whether a holder that does not answer is still waited for. A controller that crashes is back
-   * within seconds and holds on to its machines; were they taken at once, a few survivors would
-   * write a hold for each and sit on them all.
+   * Whether an unreachable holder is still waited for. A controller that crashes is usually back
+   * within seconds and keeps its machines. If they were taken over at once, a few remaining
+   * controllers would have to write a hold record for each and would end up with all of them.
    */
   private boolean inGracePeriod(String holder) {
     String incarnation = membership.liveIncarnation(holder);
-    SilentHolder s = silentHolders.get(holder);
-    if (s == null || incarnation != null && !incarnation.equals(s.incarnation)) {
-      // One whose lease has been over for a while is not about to be back.
-      double dead =
+    SilentHolder silence = silentHolders.get(holder);
+    if (silence == null || incarnation != null && !incarnation.equals(silence.incarnation)) {
+      // A holder whose membership lease expired a while ago is not expected back soon.
+      double since =
           incarnation == null ? withoutLeaseSince.getOrDefault(holder, timers.now()) : timers.now();
-      s = new SilentHolder(incarnation, dead);
-      silentHolders.put(holder, s);
+      silence = new SilentHolder(incarnation, since);
+      silentHolders.put(holder, silence);
     }
-    return timers.now() - s.since < settings.workers().leaseS() * SILENT_HOLDER_LEASE_FRACTION;
+    return timers.now() - silence.since
+        < settings.workers().leaseS() * SILENT_HOLDER_LEASE_FRACTION;
   }
 
   private void enqueue(Report r, Responder answer) {
     querying.put(r.host(), new ArrayList<>(List.of(new PendingReport(r, answer))));
   }
 
-  /** Asks a live holder whether it hears the machine: its worker may have come for lack of that. */
+  /**
+   * Asks a live holder whether it still receives the machine's reports. The worker may have come
+   * here because it got no answer there.
+   */
   private void queryHolder(String holder, Report r, Responder answer) {
     enqueue(r, answer);
     peers.send(holder, new Message.HoldQuery(r.host(), r.session(), r.serial(), r.token()));
@@ -251,73 +276,80 @@
         HOLD_QUERY_TIMEOUT_S, () -> decisionLock.run(() -> completeHoldQuery(r.host(), null)));
   }
 
-  /** Another controller asks whether this one hears a machine. */
-  void holdQueryReceived(String from, Message.HoldQuery ask) {
-    String host = ask.host();
-    Machine m = heldMachines.held(host);
+  /** Another controller asks whether this one receives the reports of a machine. */
+  void holdQueryReceived(String from, Message.HoldQuery query) {
+    String host = query.host();
+    Machine m = heldMachines.get(host);
     if (m != null) {
-      statusChecks.reportedElsewhere(m, ask);
-      m = heldMachines.held(host);
+      statusChecks.reportedElsewhere(m, query);
+      m = heldMachines.get(host);
     }
-    // A machine that this controller held before it crashed is waited for from its start on.
+    // For a machine that this controller held before it crashed, the time without a report counts
+    // from the start of this incarnation.
     HoldTable.Hold record = holds.recordOf(host);
-    boolean ours = m != null || record == null || holds.isHeldBy(settings.node(), record);
-    double heard = m != null ? m.lastContactAt : incarnationStartedAt;
-    peers.send(from, new Message.HoldStatus(host, ours, timers.now() - heard));
+    boolean heldHere = m != null || record == null || holds.isHeldBy(settings.node(), record);
+    double lastContactAt = m != null ? m.lastContactAt : incarnationStartedAt;
+    peers.send(from, new Message.HoldStatus(host, heldHere, timers.now() - lastContactAt));
   }
 
-  private void completeHoldQuery(String host, Message.HoldStatus say) {
+  private void completeHoldQuery(String host, Message.HoldStatus status) {
     if (verifying.contains(host)) {
       return;
     }
-    List<PendingReport> waiting = querying.get(host);
-    if (waiting == null) {
+    List<PendingReport> pendingReports = querying.get(host);
+    if (pendingReports == null) {
       return;
     }
-    HoldTable.Hold hold = holds.holdOf(host, waiting.get(0).report.zone());
-    boolean heard =
-        say != null && say.held() && say.lastReportAgeS() < settings.workers().reportS() * 1.5;
-    if (say == null && hold != null && !hold.machineDeleted() && heldMachines.held(host) == null) {
+    HoldTable.Hold hold = holds.holdOf(host, pendingReports.get(0).report.zone());
+    boolean receivedRecently =
+        status != null
+            && status.held()
+            && status.lastReportAgeS() < settings.workers().reportS() * 1.5;
+    if (status == null
+        && hold != null
+        && !hold.machineDeleted()
+        && heldMachines.get(host) == null) {
       if (inGracePeriod(Membership.nodeOf(hold.holder()))) {
         querying.remove(host);
-        waiting.forEach(w -> w.answer.send(503, null, 1));
+        pendingReports.forEach(pending -> pending.answer.send(503, null, 1));
         return;
       }
     }
-    if (heard && hold != null && !hold.holder().isEmpty()) {
+    if (receivedRecently && hold != null && !hold.holder().isEmpty()) {
       querying.remove(host);
-      waiting.forEach(w -> redirect(w.answer, Membership.nodeOf(hold.holder())));
-    } else if (heldMachines.held(host) != null || acquiring.containsKey(host)) {
+      pendingReports.forEach(pending -> redirect(pending.answer, Membership.nodeOf(hold.holder())));
+    } else if (heldMachines.get(host) != null || acquiring.containsKey(host)) {
       querying.remove(host);
-      waiting.forEach(w -> heldMachines.report(w.report, w.answer));
+      pendingReports.forEach(pending -> heldMachines.report(pending.report, pending.answer));
     } else {
-      verifyWithWorker(host, waiting.get(waiting.size() - 1).report.endpoint());
+      verifyWithWorker(host, pendingReports.get(pendingReports.size() - 1).report.endpoint());
     }
   }
 
   /**
-   * Asks a machine itself before it is taken from its holder: what came may be a late copy of a
-   * report, or the machine may hear nobody and go round the controllers, and each would write its
-   * hold anew. Nor does it help that the holder's lease is over: behind a cut, or refused by the
-   * state service alone, it may go on hearing the machine.
+   * Requests the worker's status before the machine is taken over from its holder. The report may
+   * be a late duplicate; or the machine may receive no answers and try all controllers in turn,
+   * each of which would write its hold record anew. This applies even if the holder's membership
+   * lease has expired: behind a partition, or if only its requests to the state service fail, it
+   * may still receive the machine's reports.
    */
   private void verifyWithWorker(String host, String endpoint) {
     verifying.add(host);
     statusChecks.requestStatus(
         endpoint,
-        now -> {
+        status -> {
           verifying.remove(host);
-          List<PendingReport> waiting = querying.remove(host);
-          if (waiting == null) {
+          List<PendingReport> pendingReports = querying.remove(host);
+          if (pendingReports == null) {
             return;
           }
-          for (PendingReport w : waiting) {
-            if (heldMachines.held(host) != null || acquiring.containsKey(host)) {
-              heldMachines.report(w.report, w.answer);
-            } else if (now == null || !now.host().equals(host)) {
-              w.answer.send(503, null, 1);
+          for (PendingReport pending : pendingReports) {
+            if (heldMachines.get(host) != null || acquiring.containsKey(host)) {
+              heldMachines.report(pending.report, pending.answer);
+            } else if (status == null || !status.host().equals(host)) {
+              pending.answer.send(503, null, 1);
             } else {
-              acquire(now, w.answer);
+              acquire(status, pending.answer);
             }
           }
         });
@@ -327,40 +359,44 @@
     answer.send(421, Document.create().put("overseer", node).encode());
   }
 
-  /** Takes the hold of a machine, raising its token above all that its worker has seen. */
+  /**
+   * Acquires a machine with a hold record whose token is higher than any that its worker has seen.
+   */
   private void acquire(Report r, Responder answer) {
     HoldTable.Hold hold = holds.holdOf(r.host(), r.zone());
     String self = membership.ownIncarnation();
     if (store.unavailable() || hold == null || self == null) {
-      // An answer or a wait may have come between, and with it the end of this incarnation.
+      // The incarnation may have ended while a response was awaited.
       answer.send(503, null, 1);
       return;
     }
     long token = Math.max(r.token(), hold.token()) + 1;
-    String mark = store.newWriteId();
-    Document value = HoldTable.write(self, token, mark);
+    String writeId = store.newWriteId();
+    Document value = HoldTable.write(self, token, writeId);
     acquiring.put(r.host(), new ArrayList<>(List.of(new PendingReport(r, answer))));
     store.tryTxn(
         HoldTable.condition(new Txn(), r.host(), hold.revision())
             .put(HoldTable.key(r.host()), value),
         StateStore.RequestPriority.LEASE,
-        done -> {
-          List<PendingReport> waiting = acquiring.remove(r.host());
-          if (waiting == null || !self.equals(membership.ownIncarnation())) {
+        result -> {
+          List<PendingReport> pendingReports = acquiring.remove(r.host());
+          if (pendingReports == null || !self.equals(membership.ownIncarnation())) {
             return;
           }
-          if (!done.ok()) {
-            // An unclear write may show later; the worker's next report finds it in the replica.
-            waiting.forEach(w -> w.answer.send(503, null, 1));
+          if (!result.ok()) {
+            // A write of unknown outcome may have succeeded; then the replica shows it by the
+            // worker's next report.
+            pendingReports.forEach(pending -> pending.answer.send(503, null, 1));
             return;
           }
-          holds.applyWrite(r.host(), value, done.revision());
-          released.remove(r.host());
-          Machine m = new Machine(r, token, done.revision(), timers.now());
+          holds.applyWrite(r.host(), value, result.revision());
+          releases.remove(r.host());
+          Machine m = new Machine(r, token, result.revision(), timers.now());
           heldMachines.addMachine(m);
-          // Taken by yet another since, as the replica may have shown before this answer came?
+          // Another controller may have acquired the machine since, as the replica may have shown
+          // before this response arrived.
           heldMachines.holdChanged(r.host());
-          waiting.forEach(w -> heldMachines.report(w.report, w.answer));
+          pendingReports.forEach(pending -> heldMachines.report(pending.report, pending.answer));
         });
   }
 }
--- a/src/main/java/dev/dunefront/book/HoldChanges.java
+++ b/src/main/java/dev/dunefront/book/HoldChanges.java
@@ -4,65 +4,69 @@
 import dev.dunefront.config.Settings;
 import java.util.List;
 
-/** What becomes of the machines held here when the records of who holds them change. */
+/** Updates or releases held machines when hold records or the roster change. */
 final class HoldChanges {
   private final Settings settings;
   private final HoldTable holds;
   private final HeldMachines heldMachines;
 
-  /** The stamp of the roster by which machines without a record are held. */
+  /** Revision of the roster that determines the holders of machines without a record. */
   private long rosterRevision;
 
-  HoldChanges(ControllerContext context, HeldMachines books) {
+  HoldChanges(ControllerContext context, HeldMachines heldMachines) {
     this.settings = context.settings();
     this.holds = context.holds();
-    this.heldMachines = books;
+    this.heldMachines = heldMachines;
   }
 
-  /** Called several times a second. */
+  /** Checks for a new roster; called several times a second. */
   void tick() {
-    long stamp = holds.roster().revision();
-    if (stamp != rosterRevision) {
-      rosterRevision = stamp;
+    long revision = holds.roster().revision();
+    if (revision != rosterRevision) {
+      rosterRevision = revision;
       rosterChanged();
     }
   }
 
   /**
-   * This controller has become another incarnation. Machines that nobody has taken meanwhile are
-   * held on: their records still name this controller.
+   * This controller continues under a new incarnation. It keeps the machines that no other
+   * controller has acquired meanwhile, since their records still name this node.
    */
   void incarnationChanged() {
     for (Machine m : List.copyOf(heldMachines.all())) {
       HoldTable.Hold hold = holds.holdOf(m.host, m.zone);
       if (hold == null || hold.revision() != m.holdRevision && !m.raisingToken) {
-        heldMachines.release(m, "another controller has taken it");
+        heldMachines.release(m, "another controller has acquired it");
       }
     }
   }
 
-  /** The replica shows a changed hold record. */
+  /** The hold record of a machine has changed in the replica. */
   void holdChanged(String host) {
-    Machine m = heldMachines.held(host);
+    Machine m = heldMachines.get(host);
     HoldTable.Hold hold = holds.recordOf(host);
     if (m != null && hold == null && m.holdRevision > 0 && !m.raisingToken) {
-      // Forgotten, as machines are that are gone; nothing more can be recorded under that stamp.
-      heldMachines.release(m, "its record has been removed");
+      // The records of deleted machines are removed after a while. Writes conditional on the
+      // removed revision fail.
+      heldMachines.release(m, "its hold record has been removed");
     } else if (m != null && hold != null && hold.revision() > m.holdRevision && !m.raisingToken) {
       if (hold.machineDeleted()
           || !holds.isHeldBy(settings.node(), hold)
           || hold.token() != m.token) {
         heldMachines.release(
-            m, hold.machineDeleted() ? "deleted" : "another controller has taken it");
+            m,
+            hold.machineDeleted()
+                ? "the machine is deleted"
+                : "another controller has acquired it");
       }
     }
   }
 
   /**
-   * The roster has changed: machines without a record are held by its new token from now on, or by
-   * another controller. Nothing can be recorded any more under the old one, so what was offered
-   * runs out; what was recorded and is on its way is shown by the worker's next report or, like
-   * after a raised token, will never be carried out.
+   * The roster has changed: each machine without a record is held under the new roster's token from
+   * now on, or by another controller. Writes conditional on the old roster fail, so outstanding
+   * offers are dropped. A start that is already recorded and in transit either shows up in the
+   * worker's next report or, as after a raised token, is never carried out.
    */
   private void rosterChanged() {
     for (Machine m : List.copyOf(heldMachines.all())) {
@@ -71,7 +75,7 @@
       }
       HoldTable.Hold hold = holds.holdOf(m.host, m.zone);
       if (m.raisingToken || !holds.isHeldBy(settings.node(), hold) || !hold.isDefault()) {
-        heldMachines.release(m, "by the new roster another controller holds it");
+        heldMachines.release(m, "the new roster assigns it to another controller");
       } else {
         m.token = hold.token();
         m.holdRevision = hold.revision();
--- a/src/main/java/dev/dunefront/book/HoldTable.java
+++ b/src/main/java/dev/dunefront/book/HoldTable.java
@@ -17,24 +17,29 @@
 import java.util.function.Consumer;
 
 /**
- * Who holds which machine: as recorded, or, while there is no record, by nature. Every controller
- * works out alike from the roster which of them is a machine's natural holder, under the roster's
- * token; whoever else takes the machine writes a record, on the condition that there is none. So
- * hundreds of machines that come at once are held without a single write, and no more than one
- * holds each.
+ * Which controller holds which machine. A machine without a hold record has a default holder, which
+ * every controller computes alike from the roster by rendezvous hashing and which holds the machine
+ * under the roster's token. Any other controller that acquires the machine writes a record, on the
+ * condition that there is none. Hundreds of machines that start at once are therefore held without
+ * a write, and never by more than one controller each.
  */
 public final class HoldTable {
   public static final String PREFIX = Replica.PREFIX + "h/";
 
   private static final System.Logger LOG = System.getLogger(HoldTable.class.getName());
 
-  /** The controllers among which machines are shared by nature. */
+  /** Key of the roster, the controllers that share the machines without a record. */
   public static final String ROSTER_KEY = Replica.PREFIX + "roster";
 
   /**
-   * Who holds a machine under which token; {@code dead} once the cloud has confirmed its end, at a
-   * time of day that is 0 where none was written. Where there is no record the stamp is that of the
-   * roster, below zero.
+   * Which controller holds a machine, and under which fencing token.
+   *
+   * @param holder incarnation of the controller, empty if there is none
+   * @param machineDeleted whether the cloud has confirmed the deletion of the machine
+   * @param machineDeletedAtMs wall-clock time of that confirmation in milliseconds, 0 if none was
+   *     recorded
+   * @param revision revision of the record; if there is no record, the negated revision of the
+   *     roster
    */
   public record Hold(
       String host,
@@ -43,7 +48,7 @@
       boolean machineDeleted,
       long machineDeletedAtMs,
       long revision) {
-    /** Whether there is no record of the machine. */
+    /** Whether this is the default hold of a machine without a record. */
     boolean isDefault() {
       return revision < 0;
     }
@@ -51,14 +56,17 @@
 
   private final Map<String, Hold> records = new HashMap<>();
 
-  /** Those of machines that are gone, in the order in which that was seen. */
+  /** Records of deleted machines, in the order in which the deletions were seen. */
   private final Map<String, Hold> deletedMachines = new LinkedHashMap<>();
 
   private final Map<String, String> defaultHolders = new HashMap<>();
   private final Replica replica;
   private Roster roster = Roster.NONE;
 
-  /** A newer one, before all is known that was written before it. */
+  /**
+   * A newer roster, until the replica has caught up with all that was written before it; otherwise
+   * null.
+   */
   private Roster nextRoster;
 
   private boolean creatingRoster;
@@ -68,8 +76,8 @@
     this.replica = replica;
     replica.addListener(
         PREFIX,
-        (host, value, stamp) -> {
-          Hold hold = value == null ? null : read(host, value, stamp);
+        (host, value, revision) -> {
+          Hold hold = value == null ? null : read(host, value, revision);
           if (hold == null) {
             records.remove(host);
           } else {
@@ -80,18 +88,19 @@
           } else {
             deletedMachines.remove(host);
           }
-          // Worked out anew if it is asked for again; otherwise it would be kept for ever.
+          // Computed again on demand; otherwise entries of removed machines would accumulate.
           defaultHolders.remove(host);
           listener.accept(host);
         });
-    replica.addListener(ROSTER_KEY, (rest, value, stamp) -> rosterChanged(value, stamp));
+    replica.addListener(ROSTER_KEY, (suffix, value, revision) -> rosterChanged(value, revision));
   }
 
   /**
-   * A record that names nobody, or cannot be read, is one without a holder: whoever the worker
-   * reports to takes the machine and so writes a good one.
+   * Reads a record. One that names no holder or cannot be read counts as a hold without a holder,
+   * so that the controller to which the worker reports acquires the machine and writes a valid
+   * record.
    */
-  private static Hold read(String host, Document value, long stamp) {
+  private static Hold read(String host, Document value, long revision) {
     try {
       return new Hold(
           host,
@@ -99,38 +108,38 @@
           value.countOr("baton", 0),
           value.flagOr("dead", false),
           value.countOr("at", 0),
-          stamp);
+          revision);
     } catch (MalformedMessageException e) {
-      LOG.log(Level.ERROR, "the hold of {0} cannot be read: {1}", host, e.getMessage());
-      return new Hold(host, "", 0, false, 0, stamp);
+      LOG.log(Level.ERROR, "cannot read the hold record of {0}: {1}", host, e.getMessage());
+      return new Hold(host, "", 0, false, 0, revision);
     }
   }
 
-  private void rosterChanged(Document value, long stamp) {
+  private void rosterChanged(Document value, long revision) {
     if (value == null) {
       return;
     }
     try {
-      Roster next = Roster.read(value, stamp);
+      Roster next = Roster.read(value, revision);
       if (roster.members().isEmpty()) {
         useRoster(next);
       } else {
         nextRoster = next;
       }
     } catch (MalformedMessageException e) {
-      LOG.log(Level.ERROR, "the roster cannot be read: {0}", e.getMessage());
+      LOG.log(Level.ERROR, "cannot read the roster: {0}", e.getMessage());
     }
   }
 
   private void useRoster(Roster next) {
     roster = next;
     defaultHolders.clear();
-    LOG.log(Level.INFO, "{0} controllers share the machines", next.members().size());
+    LOG.log(Level.INFO, "the roster names {0} controllers", next.members().size());
   }
 
   /**
-   * The roster that holds. A newer one counts once everything is known that was written before it:
-   * a machine that somebody has taken in the epoch before must not be held by nature in the next.
+   * The roster in effect. A newer one takes effect once the replica has all earlier writes: a
+   * machine that was acquired in the previous epoch must not get a default holder in the next.
    */
   public Roster roster() {
     if (nextRoster != null && replica.appliedRevision() >= nextRoster.revision()) {
@@ -140,14 +149,20 @@
     return roster;
   }
 
-  /** Makes a write conditional on the hold of a machine being what it was at that stamp. */
-  public static Txn condition(Txn txn, String host, long stamp) {
-    return stamp < 0
-        ? txn.requireRevision(key(host), 0).requireRevision(ROSTER_KEY, -stamp)
-        : txn.requireRevision(key(host), stamp);
+  /**
+   * Makes a write conditional on the hold of a machine being unchanged since the given revision,
+   * where a negative one is that of the roster.
+   */
+  public static Txn condition(Txn txn, String host, long revision) {
+    return revision < 0
+        ? txn.requireRevision(key(host), 0).requireRevision(ROSTER_KEY, -revision)
+        : txn.requireRevision(key(host), revision);
   }
 
-  /** Writes the roster if there is none; whoever is first decides it for all. */
+  /**
+   * Writes the initial roster if there is none. The first controller to write it determines it for
+   * all.
+   */
   public void createRoster(Settings settings, StateStore store) {
     if (!roster.members().isEmpty() || creatingRoster || !replica.ready()) {
       return;
@@ -160,14 +175,15 @@
     store.tryTxn(
         new Txn().requireRevision(ROSTER_KEY, 0).put(ROSTER_KEY, value),
         StateStore.RequestPriority.LEASE,
-        done -> {
+        result -> {
           creatingRoster = false;
-          if (done.ok()) {
-            replica.apply(ROSTER_KEY, value, done.revision());
+          if (result.ok()) {
+            replica.apply(ROSTER_KEY, value, result.revision());
           }
         });
   }
 
+  /** Sets the listener, which receives the host of each changed hold record. */
   public void listen(Consumer<String> changed) {
     listener = changed;
   }
@@ -176,35 +192,38 @@
     return PREFIX + host;
   }
 
-  /** The records of machines that are gone, oldest first. */
+  /** The records of deleted machines, oldest first. */
   public Collection<Hold> deletedMachines() {
     return deletedMachines.values();
   }
 
-  /** All records there are. */
+  /** All hold records. */
   public Collection<Hold> records() {
     return records.values();
   }
 
-  /** The record of a machine, or null. */
+  /** The hold record of a machine, or null if there is none. */
   public Hold recordOf(String host) {
     return records.get(host);
   }
 
-  /** Who holds the machine, by record or by nature; null only while the roster is unknown. */
+  /** The hold of a machine, by its record or by default; null only while the roster is unknown. */
   public Hold holdOf(String host, String zone) {
     Hold recorded = records.get(host);
     if (recorded != null) {
       return recorded;
     }
-    Roster now = roster();
-    String holder = defaultHolders.computeIfAbsent(host, h -> now.defaultHolder(h, zone));
+    Roster current = roster();
+    String holder = defaultHolders.computeIfAbsent(host, h -> current.defaultHolder(h, zone));
     return holder == null
         ? null
-        : new Hold(host, holder + "#0", now.defaultToken(), false, 0, -now.revision());
+        : new Hold(host, holder + "#0", current.defaultToken(), false, 0, -current.revision());
   }
 
-  /** Whether the machine is held by this controller, in whatever incarnation. */
+  /**
+   * Whether the hold belongs to this node, in any of its incarnations. False for null and for a
+   * deleted machine.
+   */
   boolean isHeldBy(String node, Hold hold) {
     return hold != null
         && !hold.machineDeleted()
@@ -212,28 +231,40 @@
         && Membership.nodeOf(hold.holder()).equals(node);
   }
 
-  /** A holder's record. Nobody may write one who has no name: nobody else could read it. */
-  static Document write(String holder, long token, String mark) {
+  /**
+   * Returns the value of a hold record.
+   *
+   * @throws IllegalArgumentException if the holder has no node name, since no controller could
+   *     resolve such a record
+   */
+  static Document write(String holder, long token, String writeId) {
     if (Membership.nodeOf(holder).isEmpty()) {
-      throw new IllegalArgumentException("a hold needs a holder");
+      throw new IllegalArgumentException("hold record without a holder");
     }
     return Document.create()
         .put("holder", holder)
         .put("baton", token)
-        .put(StateStore.WRITE_ID_FIELD, mark);
+        .put(StateStore.WRITE_ID_FIELD, writeId);
   }
 
-  /** The record of a machine whose deletion the cloud has confirmed, at a time of day. */
-  public static Document writeDeleted(long atMs, String mark) {
-    return Document.create().put("dead", true).put("at", atMs).put(StateStore.WRITE_ID_FIELD, mark);
+  /**
+   * Returns the record of a machine whose deletion the cloud has confirmed at the given wall-clock
+   * time in milliseconds.
+   */
+  public static Document writeDeleted(long deletedAtMs, String writeId) {
+    return Document.create()
+        .put("dead", true)
+        .put("at", deletedAtMs)
+        .put(StateStore.WRITE_ID_FIELD, writeId);
   }
 
-  /** The roster as it is to be recorded in the place of the present one. */
-  public static Txn replaceRoster(Txn txn, Roster now, Roster next) {
-    return txn.requireRevision(ROSTER_KEY, now.revision()).put(ROSTER_KEY, next.write());
+  /** Adds the replacement of the current roster to a transaction, conditional on its revision. */
+  public static Txn replaceRoster(Txn txn, Roster current, Roster next) {
+    return txn.requireRevision(ROSTER_KEY, current.revision()).put(ROSTER_KEY, next.write());
   }
 
-  void applyWrite(String host, Document value, long stamp) {
-    replica.apply(key(host), value, stamp);
+  /** Applies a successful write to the replica, before the replica reads it back. */
+  void applyWrite(String host, Document value, long revision) {
+    replica.apply(key(host), value, revision);
   }
 }
--- a/src/main/java/dev/dunefront/book/Machine.java
+++ b/src/main/java/dev/dunefront/book/Machine.java
@@ -19,9 +19,15 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A machine that this controller holds. */
+/**
+ * A machine that this controller holds: what its worker has reported, and the commands and offers
+ * that are outstanding. Times are seconds of the monotonic clock unless stated otherwise.
+ */
 final class Machine {
-  /** A start under way; {@code sentUnder} is the token it went out with, 0 if it has not yet. */
+  /**
+   * A start that the worker has not confirmed yet. {@code sentUnderToken} is the token under which
+   * the command was sent, 0 if it has not been sent.
+   */
   static final class PendingStart {
     final long attempt;
     long sentUnderToken;
@@ -31,28 +37,32 @@
     }
   }
 
+  /** An offer that is neither taken, declined nor expired. */
   record OutstandingOffer(String node, String job, Resources size, double expiresAt) {
-    OutstandingOffer expiresAt(double later) {
-      return new OutstandingOffer(node, job, size, later);
+    OutstandingOffer expiresAt(double newExpiry) {
+      return new OutstandingOffer(node, job, size, newExpiry);
     }
   }
 
-  /** An attempt to be stopped or cleared, repeated until the worker's report shows it. */
+  /**
+   * A stop or clear of an attempt, which is sent repeatedly until the worker's report shows its
+   * effect.
+   */
   static final class RepeatedCommand {
     private static final double NEVER = Double.NEGATIVE_INFINITY;
 
     final long attempt;
     final double graceS;
 
-    /** When it was wished for; matters for clears alone. */
+    /** When it was requested; used for clears only. */
     final double requestedAt;
 
     double lastSentAt = NEVER;
 
-    RepeatedCommand(long attempt, double graceS, double since) {
+    RepeatedCommand(long attempt, double graceS, double requestedAt) {
       this.attempt = attempt;
       this.graceS = graceS;
-      this.requestedAt = since;
+      this.requestedAt = requestedAt;
     }
 
     boolean sent() {
@@ -71,46 +81,67 @@
   double lastContactAt;
 
   /**
-   * When its session was first seen, be it by a report, an answer or another controller's word, or
-   * when the worker first showed a token of this hold, if that was later.
+   * When its session was first seen, in a report, in a response or in a message of another
+   * controller, or when the worker first reported a token of this hold, if that was later.
    */
   double sessionStartedAt;
 
-  /** What its worker has said so far, by which copies of old reports are told from news. */
+  /** The sequence of reports and responses received so far, which identifies stale reports. */
   ReportSequence reportSequence = ReportSequence.NONE;
 
-  /** Whether what is said to it arrives. */
+  /** Whether messages to it arrive. */
   Responsiveness responsiveness = Responsiveness.INITIAL;
 
-  /** It has been asked what it is at, and the answer is not here yet. */
+  /** A status request is in progress. */
   boolean statusCheckPending;
 
   /** When a report of it was last answered. */
   double lastAnsweredAt = Double.NEGATIVE_INFINITY;
 
+  /** Remaining time until the provider reclaims it, as last reported; null without a notice. */
   Double reclaimNoticeS;
+
+  /** When that was reported. */
   double reclaimNoticeAt;
+
+  /** When it was last checked for pending work. */
   double lastCheckedAt;
+
+  /** The worker has reported under the current token. */
   boolean tokenAcknowledged;
 
-  /** The worker has reported under a token of this hold: nobody else can renew its lease. */
+  /**
+   * The worker has reported under a token of this hold, so no other controller can renew its lease.
+   */
   boolean holdAcknowledged;
 
+  /** The lease of its session has expired. */
   boolean leaseExpired;
+
+  /** It is unknown whether a start that was sent has been or will be carried out. */
   boolean commandOutcomeUnknown;
+
+  /** A write that raises its token is in progress. */
   boolean raisingToken;
+
+  /** A request with commands is in progress. */
   boolean commandsInFlight;
 
-  /** Until when it is closed because it is to be returned; 0 if it is not. */
+  /** Until when it is closed because it is to be returned to the provider; 0 if it is not. */
   double retiringUntil;
 
-  /** Time of day since when nothing has run on it while it was open; 0 while that is not so. */
+  /**
+   * Wall-clock time in milliseconds since when it has had no task while tasks may be placed on it;
+   * 0 while that is not the case.
+   */
   private long idleSinceMs;
 
-  /** The controller to which its next report is sent, or null. */
+  /** The controller to which its next report is redirected, or null. */
   String redirectTo;
 
-  /** Orders of an earlier incarnation may still be on their way to the worker. */
+  /**
+   * Commands of an earlier incarnation of this controller may still be in transit to the worker.
+   */
   boolean resumed;
 
   final Map<TaskId, Report.Task> tasks = new LinkedHashMap<>();
@@ -118,43 +149,47 @@
   final Map<TaskId, Double> startedAt = new HashMap<>();
   final Map<TaskId, RepeatedCommand> pendingStops = new HashMap<>();
   final Map<TaskId, RepeatedCommand> pendingClears = new HashMap<>();
+
+  /** The highest denied attempt of each task; a start of that or an earlier one is refused. */
   final Map<TaskId, Long> deniedAttempts = new HashMap<>();
+
   final Map<Long, OutstandingOffer> offers = new HashMap<>();
 
-  /** Jobs that have failed on it since anything was done there. */
+  /** Evidence from failed tasks that it is faulty, collected since a task last completed on it. */
   FailureScore failureScore = FailureScore.NONE;
 
   final Set<String> cachedImages = new LinkedHashSet<>();
   final WantBook book = new WantBook();
   boolean quarantined;
 
-  /** What others know of it has changed. */
+  /** Its state has changed since the last view that was published. */
   boolean viewChanged = true;
 
-  /** It is about to be told to the others. */
+  /** Its view is scheduled to be published. */
   boolean publishScheduled;
 
-  /** What was last to be told of it, without tasks; null before that. */
+  /** Its most recent view, without tasks; null before the first. */
   MachineView latestView;
 
-  /** When that was. */
+  /** When that view was built. */
   double latestViewAt;
 
-  /** What each controller was last told of it. */
+  /** The view that was last sent to each controller. */
   final Map<String, MachineView> lastViewByNode = new HashMap<>();
 
-  Machine(Report r, long token, long holdStamp, double now) {
+  Machine(Report r, long token, long holdRevision, double now) {
     this.host = r.host();
     this.endpoint = r.endpoint();
     this.typeName = r.type();
     this.zone = r.zone();
     this.spot = r.spot();
     this.token = token;
-    this.holdRevision = holdStamp;
+    this.holdRevision = holdRevision;
     this.lastContactAt = now;
   }
 
-  boolean open() {
+  /** Whether tasks may be placed on it. */
+  boolean schedulable() {
     return tokenAcknowledged
         && !leaseExpired
         && !quarantined
@@ -165,19 +200,22 @@
         && retiringUntil == 0;
   }
 
-  /** When the lease of its session can have been renewed last, as far as is known here. */
+  /**
+   * The latest time at which the lease of its session can have been renewed, as far as this
+   * controller knows.
+   */
   double leaseRenewedAt() {
     return Math.max(lastContactAt, sessionStartedAt);
   }
 
-  /** Whether it is closed because it is to be returned. */
+  /** Whether it is closed because it is to be returned to the provider. */
   boolean retiring(double now) {
     return now < retiringUntil;
   }
 
-  /** Since when it idles, in milliseconds of the day's time; 0 while it does not. */
+  /** Wall-clock time in milliseconds since when it has been idle; 0 while it is not. */
   long idleSince(long nowMs) {
-    if (!unfinishedTasks().isEmpty() || !open() && retiringUntil == 0) {
+    if (!unfinishedTasks().isEmpty() || !schedulable() && retiringUntil == 0) {
       idleSinceMs = 0;
     } else if (idleSinceMs == 0) {
       idleSinceMs = nowMs;
@@ -185,39 +223,47 @@
     return idleSinceMs;
   }
 
-  /** Room left on a machine of the type, or none while any task's size is unknown. */
+  /**
+   * Free room on a machine of this type. None if the type is null or the size of any task on it is
+   * unknown.
+   */
   Resources freeRoom(MachineType type, java.util.function.Function<String, Resources> sizes) {
     if (type == null) {
       return Resources.NONE;
     }
     Resources free = type.resources();
     for (TaskId id : unfinishedTasks()) {
-      Resources s = sizes.apply(id.job());
-      if (s == null) {
+      Resources size = sizes.apply(id.job());
+      if (size == null) {
         return Resources.NONE;
       }
-      free = free.minus(s);
+      free = free.minus(size);
     }
-    for (OutstandingOffer o : offers.values()) {
-      free = free.minus(o.size());
+    for (OutstandingOffer offer : offers.values()) {
+      free = free.minus(offer.size());
     }
     return free;
   }
 
-  /** An attempt is to be stopped, with so much time to save; a shorter time replaces a longer. */
+  /**
+   * Requests the stop of an attempt with a grace period for its checkpoint, in seconds. A shorter
+   * grace period replaces a longer one.
+   */
   void requestStop(TaskId id, long attempt, double graceS) {
-    RepeatedCommand old = pendingStops.get(id);
-    if (old == null || old.attempt != attempt || old.graceS > graceS) {
+    RepeatedCommand current = pendingStops.get(id);
+    if (current == null || current.attempt != attempt || current.graceS > graceS) {
       pendingStops.put(id, new RepeatedCommand(attempt, graceS, lastContactAt));
     }
   }
 
-  /** Whether starts are under way that a change of hands would disturb. */
+  /**
+   * Whether commands, starts or offers are outstanding that a change of the holder would disturb.
+   */
   boolean startsInProgress() {
     return commandsInFlight || !pendingStarts.isEmpty() || !offers.isEmpty();
   }
 
-  /** Whether a task of the job is here or about to be. */
+  /** Whether a task of the job is on the machine or about to start. */
   boolean hasTaskOf(String job) {
     for (TaskId id : tasks.keySet()) {
       if (id.job().equals(job)) {
@@ -232,7 +278,7 @@
     return false;
   }
 
-  /** Tasks that take room or are about to. */
+  /** Tasks that occupy room on the machine or are about to start. */
   List<TaskId> unfinishedTasks() {
     List<TaskId> all = new ArrayList<>();
     for (Report.Task t : tasks.values()) {
@@ -248,6 +294,7 @@
     return all;
   }
 
+  /** The states of its tasks and pending starts, as sent to their claimants. */
   List<TaskStatus> taskStates() {
     List<TaskStatus> all = new ArrayList<>();
     for (Report.Task t : tasks.values()) {
@@ -258,7 +305,7 @@
             case "exited" -> State.EXITED;
             default -> State.RUNNING;
           };
-      ExitReason why =
+      ExitReason exitReason =
           switch (t.exitReason()) {
             case "" -> ExitReason.NONE;
             case "done" -> ExitReason.DONE;
@@ -266,14 +313,15 @@
             case "stopped" -> ExitReason.STOPPED;
             default -> ExitReason.REFUSED;
           };
-      all.add(new TaskStatus(t.id().job(), t.id().number(), t.attempt(), state, why));
+      all.add(new TaskStatus(t.id().job(), t.id().number(), t.attempt(), state, exitReason));
     }
     pendingStarts.forEach(
-        (id, p) -> {
+        (id, start) -> {
           Report.Task t = tasks.get(id);
-          if (t == null || t.attempt() != p.attempt) {
+          if (t == null || t.attempt() != start.attempt) {
             all.add(
-                new TaskStatus(id.job(), id.number(), p.attempt, State.PENDING, ExitReason.NONE));
+                new TaskStatus(
+                    id.job(), id.number(), start.attempt, State.PENDING, ExitReason.NONE));
           }
         });
     return all;
--- a/src/main/java/dev/dunefront/book/MachineMessages.java
+++ b/src/main/java/dev/dunefront/book/MachineMessages.java
@@ -10,14 +10,17 @@
 import dev.dunefront.wire.TaskId;
 import java.lang.System.Logger.Level;
 
-/** What other controllers say that concerns held machines. */
+/** Processes the messages of other controllers that concern held machines. */
 final class MachineMessages {
   private static final System.Logger LOG = System.getLogger(MachineMessages.class.getName());
 
-  /** How long room is kept for an offer that is being taken, in seconds. */
+  /** How long room is reserved for an accepted offer, in seconds. */
   private static final double ACCEPTED_OFFER_TTL_S = 15;
 
-  /** How long a machine that is to be returned stays closed without being told so again. */
+  /**
+   * How long a machine that is to be returned stays closed unless the request is repeated, in
+   * seconds.
+   */
   private static final double RETIRE_TTL_S = 8;
 
   private final Settings settings;
@@ -31,39 +34,39 @@
 
   MachineMessages(
       ControllerContext context,
-      HeldMachines books,
-      StartRequests starts,
+      HeldMachines heldMachines,
+      StartRequests startRequests,
       Preemption preemption,
-      HoldAcquisition reception) {
+      HoldAcquisition holdAcquisition) {
     this.settings = context.settings();
     this.jobs = context.jobs();
     this.timers = context.timers();
     this.duties = context.duties();
-    this.heldMachines = books;
-    this.startRequests = starts;
+    this.heldMachines = heldMachines;
+    this.startRequests = startRequests;
     this.preemption = preemption;
-    this.holdAcquisition = reception;
+    this.holdAcquisition = holdAcquisition;
   }
 
   void messageReceived(String from, Message message) {
     if (message instanceof Message.Want w) {
-      Machine m = heldMachines.held(w.host());
+      Machine m = heldMachines.get(w.host());
       if (m != null) {
         JobTable.Entry job = jobs.get(w.job());
-        boolean over = job != null && HeldMachines.jobEnded(job);
+        boolean ended = job != null && HeldMachines.jobEnded(job);
         int priority = Math.max(0, Math.min(3, w.priority()));
         int rank = Math.max(0, Math.min(WantBook.RANKS - 1, w.rank()));
-        m.book.put(from, w.job(), priority, rank, w.size(), over ? 0 : w.count(), timers.now());
+        m.book.put(from, w.job(), priority, rank, w.size(), ended ? 0 : w.count(), timers.now());
         heldMachines.reconcile(m);
       }
     } else if (message instanceof Message.DeclineOffer d) {
-      Machine m = heldMachines.held(d.host());
+      Machine m = heldMachines.get(d.host());
       if (m != null && m.offers.remove(d.offerId()) != null) {
         m.viewChanged = true;
         heldMachines.reconcile(m);
       }
     } else if (message instanceof Message.ReserveOffer t) {
-      Machine m = heldMachines.held(t.host());
+      Machine m = heldMachines.get(t.host());
       if (m != null) {
         m.offers.computeIfPresent(
             t.offerId(), (k, o) -> o.expiresAt(timers.now() + ACCEPTED_OFFER_TTL_S));
@@ -71,15 +74,15 @@
     } else if (message instanceof Message.StartTask s) {
       startRequests.start(from, s);
     } else if (message instanceof Message.AttemptQuery p) {
-      startRequests.probeReceived(from, p);
+      startRequests.attemptQueryReceived(from, p);
     } else if (message instanceof Message.StopTask s) {
-      Machine m = heldMachines.held(s.host());
+      Machine m = heldMachines.get(s.host());
       if (m != null && !startRequests.claimOutdated(s.job(), s.term())) {
         m.requestStop(new TaskId(s.job(), s.number()), s.attempt(), s.graceS());
         heldMachines.reconcile(m);
       }
     } else if (message instanceof Message.ClearTask c) {
-      Machine m = heldMachines.held(c.host());
+      Machine m = heldMachines.get(c.host());
       if (m != null && !startRequests.claimOutdated(c.job(), c.term())) {
         m.pendingClears.putIfAbsent(
             new TaskId(c.job(), c.number()),
@@ -87,7 +90,7 @@
         heldMachines.reconcile(m);
       }
     } else if (message instanceof Message.Preempt p) {
-      Machine m = heldMachines.held(p.host());
+      Machine m = heldMachines.get(p.host());
       if (m != null) {
         preemption.preempt(m, p);
         heldMachines.reconcile(m);
@@ -96,12 +99,12 @@
       failureReported(b);
     } else if (message instanceof Message.HoldReleased u) {
       if (!from.equals(settings.node())) {
-        holdAcquisition.released(u.host(), from);
+        holdAcquisition.holderReleased(u.host(), from);
       }
     } else if (message instanceof Message.HoldQuery a) {
       holdAcquisition.holdQueryReceived(from, a);
     } else if (message instanceof Message.HoldStatus s) {
-      holdAcquisition.holdReplyReceived(from, s);
+      holdAcquisition.holdStatusReceived(from, s);
     } else if (message instanceof Message.RetireMachine r) {
       if (duties.accepts(Duty.RENT, r.term(), from)) {
         closeForReturn(r.host());
@@ -110,11 +113,11 @@
   }
 
   /**
-   * Closes an empty machine that is to be returned, so that no placement meets its deletion. If it
-   * is not returned after all, it opens again by itself.
+   * Closes an empty machine that is to be returned, so that no task is placed on it while it is
+   * being deleted. It opens again by itself if the request is not repeated.
    */
   private void closeForReturn(String host) {
-    Machine m = heldMachines.held(host);
+    Machine m = heldMachines.get(host);
     if (m != null && !m.startsInProgress() && m.unfinishedTasks().isEmpty()) {
       m.viewChanged |= !m.retiring(timers.now());
       m.retiringUntil = timers.now() + RETIRE_TTL_S;
@@ -122,18 +125,18 @@
     }
   }
 
-  private void failureReported(Message.FailureReport b) {
-    Machine m = heldMachines.held(b.host());
+  private void failureReported(Message.FailureReport report) {
+    Machine m = heldMachines.get(report.host());
     if (m == null || m.quarantined) {
       return;
     }
-    m.failureScore = m.failureScore.withFailure(b.job(), b.weight());
+    m.failureScore = m.failureScore.withFailure(report.job(), report.weight());
     if (m.failureScore.faulty()) {
       m.quarantined = true;
       m.viewChanged = true;
       LOG.log(
           Level.INFO,
-          "{0} is put in quarantine: {1} fail on it",
+          "quarantining {0}: tasks of jobs {1} failed on it",
           m.host,
           m.failureScore.failedJobs());
       heldMachines.reconcile(m);
--- a/src/main/java/dev/dunefront/book/ReportApplier.java
+++ b/src/main/java/dev/dunefront/book/ReportApplier.java
@@ -11,7 +11,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What a worker's report changes in what is known of its machine. */
+/** Applies worker reports to the state of held machines. */
 final class ReportApplier {
   private static final System.Logger LOG = System.getLogger(ReportApplier.class.getName());
   private static final int MAX_CACHED_IMAGES = 12;
@@ -24,31 +24,31 @@
     this.timers = context.timers();
   }
 
-  /** Takes over a report that came by itself and is no copy of an old one. */
+  /** Applies a report that the worker sent on its own initiative and that is not stale. */
   void applyReport(Machine m, Report r) {
-    applyIfNewer(m, r, m.reportSequence.reported(r));
+    applyIfNewer(m, r, m.reportSequence.afterReport(r));
   }
 
-  /** Takes over an answer to orders or to a question. */
+  /** Applies a response to commands or to a status request. */
   void applyReply(Machine m, Report r) {
     applyIfNewer(m, r, m.reportSequence.afterReply(r));
   }
 
   private void applyIfNewer(Machine m, Report r, ReportSequence next) {
-    boolean news = r.newerThan(m.reportSequence.session(), m.reportSequence.highestSerial());
+    boolean newer = r.newerThan(m.reportSequence.session(), m.reportSequence.highestSerial());
     m.reportSequence = next;
-    if (news) {
+    if (newer) {
       apply(m, r);
     }
   }
 
   /**
-   * The worker has begun anew, perhaps in a lower session: what it had is gone, but for its former
-   * sessions' numbers, which it may use again. So its token has to be raised before anything is
-   * sent to it or called gone.
+   * The worker has restarted, perhaps in a lower session. Its previous tasks have ended, and it may
+   * reuse the numbers of earlier sessions. The token is therefore raised before commands are sent
+   * to it or its attempts are declared ended.
    */
   void workerRestarted(Machine m, Report r) {
-    LOG.log(Level.INFO, "{0} has begun anew, in session {1}", m.host, r.session());
+    LOG.log(Level.INFO, "worker of {0} has restarted, in session {1}", m.host, r.session());
     m.reportSequence = ReportSequence.NONE.afterReply(r);
     m.session = 0;
     m.tokenAcknowledged = false;
@@ -57,7 +57,10 @@
     m.tokenAcknowledged = false;
   }
 
-  /** Another controller has seen the worker in a later session: what ran in the earlier is gone. */
+  /**
+   * Another controller has seen the worker in a later session, so the tasks of the earlier session
+   * have ended.
+   */
   void sessionSeenElsewhere(Machine m, long session) {
     m.reportSequence = new ReportSequence(session, -1, -1, m.reportSequence.highestToken());
     m.session = session;
@@ -67,11 +70,12 @@
   }
 
   private void resetForNewSession(Machine m) {
-    // The new session's lease has only begun. Were it counted from the last report of the earlier
-    // one, a session learned of by an answer or from another controller would be called over while
-    // it lives, and what had just been started in it would be placed a second time.
+    // The lease of the new session has just begun. If it were counted from the last report of the
+    // earlier session, a session learned of from a response or from another controller would
+    // count as expired while it is alive, and tasks just started in it would be placed a second
+    // time.
     m.sessionStartedAt = timers.now();
-    // The earlier session's tasks are gone, and orders for it are refused.
+    // The tasks of the earlier session have ended, and the worker refuses commands for it.
     m.pendingStarts.clear();
     m.pendingStops.clear();
     m.pendingClears.clear();
@@ -82,7 +86,12 @@
   private void apply(Machine m, Report r) {
     if (r.session() > m.session) {
       if (m.session > 0) {
-        LOG.log(Level.DEBUG, "{0} is in session {1}, after {2}", m.host, r.session(), m.session);
+        LOG.log(
+            Level.DEBUG,
+            "{0} is in session {1}; the previous one was {2}",
+            m.host,
+            r.session(),
+            m.session);
       }
       resetForNewSession(m);
     }
@@ -97,7 +106,7 @@
       m.endpoint = r.endpoint();
     }
     if (r.reclaimNoticeS() != null && m.reclaimNoticeS == null) {
-      LOG.log(Level.INFO, "{0} will be taken back in {1} s", m.host, r.reclaimNoticeS());
+      LOG.log(Level.INFO, "the provider will reclaim {0} in {1} s", m.host, r.reclaimNoticeS());
     }
     m.reclaimNoticeS = r.reclaimNoticeS();
     m.reclaimNoticeAt = timers.now();
@@ -105,8 +114,8 @@
     m.tasks.clear();
     for (Report.Task t : r.tasks()) {
       m.tasks.put(t.id(), t);
-      Report.Task was = before.get(t.id());
-      if (t.exited() && t.exitReason().equals("done") && (was == null || !was.exited())) {
+      Report.Task previous = before.get(t.id());
+      if (t.exited() && t.exitReason().equals("done") && (previous == null || !previous.exited())) {
         m.failureScore = FailureScore.NONE;
       }
       if (!t.state().equals("fetching") && !t.exitReason().equals("no_room")) {
@@ -123,12 +132,12 @@
     if (r.token() == m.token) {
       m.tokenAcknowledged = true;
       if (!m.holdAcknowledged) {
-        // Until the worker saw this token another controller, which does not know that it has lost
-        // the machine, may have renewed its lease under an older one.
+        // Until the worker received this token, a previous holder that does not know that it has
+        // lost the machine may have renewed the lease under an older one.
         m.holdAcknowledged = true;
         m.sessionStartedAt = timers.now();
       }
-      // Orders sent under an earlier token can no longer be carried out.
+      // Commands sent under an earlier token are refused by the worker from now on.
       m.pendingStarts.values().removeIf(p -> p.sentUnderToken != 0 && p.sentUnderToken < m.token);
     }
     m.pendingStarts
@@ -157,9 +166,10 @@
     return true;
   }
 
+  /** Removes stops or clears that have taken effect, or whose attempt the worker does not have. */
   private static void removeCompleted(
-      Map<TaskId, Machine.RepeatedCommand> wishes, Machine m, boolean untilExited) {
-    wishes
+      Map<TaskId, Machine.RepeatedCommand> commands, Machine m, boolean untilExited) {
+    commands
         .entrySet()
         .removeIf(
             e -> {
--- a/src/main/java/dev/dunefront/book/RoomAllocation.java
+++ b/src/main/java/dev/dunefront/book/RoomAllocation.java
@@ -12,9 +12,15 @@
 import dev.dunefront.wire.Resources;
 import java.util.Collection;
 
-/** Deals the room of held machines, and machines among controllers. */
+/**
+ * Offers the free room of held machines to wants, and moves machines to other controllers to
+ * balance the load.
+ */
 final class RoomAllocation {
-  /** How often a machine is let go of for another controller, when the budget is idle. */
+  /**
+   * Shortest interval between two machines that are moved to other controllers, in seconds. None is
+   * moved while writes wait for the state service's rate budget.
+   */
   private static final double REBALANCE_INTERVAL_S = 0.5;
 
   private final Tunables tunables;
@@ -22,29 +28,33 @@
   private final StateStore store;
   private final Peers peers;
   private final Timers timers;
-  private final PauseDetector standstill;
+  private final PauseDetector pauseDetector;
   private final ControllerLoads controllerLoads;
   private final ViewPublisher viewPublisher;
   private double lastRebalanceAt;
 
-  /** No earlier incarnation's offers have these numbers. */
+  /**
+   * Id of the last offer. It starts from the wall clock, so that ids differ from those of earlier
+   * incarnations.
+   */
   private long lastOfferId;
 
-  RoomAllocation(ControllerContext context, ControllerLoads neighbours, ViewPublisher views) {
+  RoomAllocation(
+      ControllerContext context, ControllerLoads controllerLoads, ViewPublisher viewPublisher) {
     this.tunables = context.tunables();
     this.catalog = context.catalog();
     this.store = context.store();
     this.peers = context.peers();
     this.timers = context.timers();
-    this.standstill = context.standstill();
-    this.controllerLoads = neighbours;
-    this.viewPublisher = views;
+    this.pauseDetector = context.standstill();
+    this.controllerLoads = controllerLoads;
+    this.viewPublisher = viewPublisher;
     this.lastOfferId = timers.wallClockMs() << 16;
   }
 
-  /** Deals the room that a machine has. */
+  /** Offers the free room of a machine to the wants in its book. */
   void offerRoom(Machine m) {
-    if (!m.open() || m.book.isEmpty() || !standstill.current()) {
+    if (!m.schedulable() || m.book.isEmpty() || !pauseDetector.current()) {
       return;
     }
     MachineType type = catalog.type(m.typeName);
@@ -52,24 +62,26 @@
       return;
     }
     Resources free = m.freeRoom(type, viewPublisher::sizeOf);
-    double gatherBefore = timers.now() - tunables.gatherTicks() * tunables.tickS();
-    WantBook.Want w;
-    while ((w = m.book.take(free, type.resources(), gatherBefore)) != null) {
-      long offer = ++lastOfferId;
+    double reserveBefore = timers.now() - tunables.gatherTicks() * tunables.tickS();
+    WantBook.Want want;
+    while ((want = m.book.take(free, type.resources(), reserveBefore)) != null) {
+      long offerId = ++lastOfferId;
       m.offers.put(
-          offer,
+          offerId,
           new Machine.OutstandingOffer(
-              w.node, w.job, w.size, timers.now() + tunables.offerWaitS()));
-      free = free.minus(w.size);
+              want.node, want.job, want.size, timers.now() + tunables.offerWaitS()));
+      free = free.minus(want.size);
       m.viewChanged = true;
       peers.send(
-          w.node, new Message.Offer(offer, m.host, w.job, m.token, m.holdRevision, m.session));
+          want.node,
+          new Message.Offer(offerId, m.host, want.job, m.token, m.holdRevision, m.session));
     }
   }
 
   /**
-   * Lets go of a machine that another controller should hold: one of its own zone, or of ours that
-   * has far fewer. It comes back to nobody's harm: its report finds the other, which takes it.
+   * Marks at most one machine to be redirected to another controller: to one of the machine's own
+   * zone, or to one of this zone that holds far fewer machines. Its next report is answered with a
+   * redirect, and the target acquires it without interruption of its tasks.
    */
   void rebalance(Collection<Machine> held, double now) {
     if (now - lastRebalanceAt < REBALANCE_INTERVAL_S
@@ -78,7 +90,7 @@
       return;
     }
     lastRebalanceAt = now;
-    String few = controllerLoads.lessLoadedInOwnZone(held.size());
+    String lessLoaded = controllerLoads.lessLoadedInOwnZone(held.size());
     for (Machine m : held) {
       if (m.tokenAcknowledged
           && !m.commandOutcomeUnknown
@@ -87,7 +99,7 @@
           && m.responsiveness.trusted()
           && !m.startsInProgress()
           && m.redirectTo == null) {
-        m.redirectTo = controllerLoads.preferredHolder(m.zone, few);
+        m.redirectTo = controllerLoads.preferredHolder(m.zone, lessLoaded);
         if (m.redirectTo != null) {
           return;
         }
--- a/src/main/java/dev/dunefront/book/StatusChecks.java
+++ b/src/main/java/dev/dunefront/book/StatusChecks.java
@@ -14,21 +14,25 @@
 import java.util.function.Consumer;
 
 /**
- * Asks workers what they are at, where reports alone do not tell: copies of old reports come late,
- * machines are heard that do not hear, and workers begin anew. An answer to a question asked now is
- * as good as a look.
+ * Requests the status of workers where reports alone are not conclusive: stale reports may arrive
+ * late, a machine may send reports but receive nothing, and a worker may restart. A response to a
+ * status request shows the current state of the worker.
  */
 final class StatusChecks {
   private static final System.Logger LOG = System.getLogger(StatusChecks.class.getName());
 
-  /** How long a question waits for its answer, in seconds. */
+  /** Timeout of a status request, in seconds. */
   private static final double STATUS_TIMEOUT_S = 1;
 
-  /** A controller whose timers are later than this, in seconds, may have been too slow to hear. */
+  /**
+   * If this controller's timers run later than this, in seconds, it may itself have been too slow
+   * to receive a response in time, so a timeout does not count against the machine.
+   */
   private static final double MAX_TIMER_LAG_S = 0.4;
 
   /**
-   * A worker that had no answer tries elsewhere after so long, in seconds, and a bit for the way.
+   * Time after which a worker whose report got no answer tries another controller, in seconds, with
+   * some margin for network delay.
    */
   private static final double WORKER_FAILOVER_S = 6;
 
@@ -43,34 +47,40 @@
   private int unresponsiveCount;
 
   StatusChecks(
-      ControllerContext context, HttpCaller caller, HeldMachines books, ReportApplier reports) {
+      ControllerContext context,
+      HttpCaller caller,
+      HeldMachines heldMachines,
+      ReportApplier reportApplier) {
     this.settings = context.settings();
     this.caller = caller;
     this.timers = context.timers();
     this.decisionLock = context.decisionLock();
-    this.heldMachines = books;
-    this.reportApplier = reports;
+    this.heldMachines = heldMachines;
+    this.reportApplier = reportApplier;
   }
 
-  /** How late this controller's own timers are, in seconds. */
+  /** Records by how much this controller's timers run late, in seconds. */
   void setTimerLag(double seconds) {
     timerLagS = seconds;
   }
 
-  /** Copies of old reports that have come so far. */
+  /** Number of stale reports received so far. */
   int staleReportCount() {
     return staleReportCount;
   }
 
-  /** How often a machine has turned out not to hear so far. */
+  /** Number of times that a machine has been found unresponsive. */
   int unresponsiveCount() {
     return unresponsiveCount;
   }
 
-  /** Asks a worker; what comes is null if no answer came in time. */
-  void requestStatus(String endpoint, Consumer<Report> then) {
+  /**
+   * Requests the status of a worker. The callback receives null if no valid response arrives in
+   * time, or if the endpoint is empty.
+   */
+  void requestStatus(String endpoint, Consumer<Report> callback) {
     if (endpoint.isEmpty()) {
-      then.accept(null);
+      callback.accept(null);
       return;
     }
     decisionLock.defer(
@@ -81,7 +91,7 @@
                 "/status",
                 null,
                 STATUS_TIMEOUT_S,
-                reply -> decisionLock.run(() -> then.accept(read(reply)))));
+                reply -> decisionLock.run(() -> callback.accept(read(reply)))));
   }
 
   private static Report read(HttpCaller.Response reply) {
@@ -91,14 +101,15 @@
     try {
       return Report.fromDocument(Document.decode(reply.body()));
     } catch (MalformedMessageException e) {
-      LOG.log(Level.INFO, "a worker answers with nonsense: {0}", e.getMessage());
+      LOG.log(Level.INFO, "cannot read the status response of a worker: {0}", e.getMessage());
       return null;
     }
   }
 
   /**
-   * A copy of an old report has come, which says nothing. But if nothing newer comes, its worker
-   * may have begun anew, in a session that is lower than what is known.
+   * A stale report has arrived, which carries no information. If no newer one arrives for longer
+   * than the report interval, the worker may have restarted in a session lower than the known one,
+   * so its status is requested.
    */
   void staleReportReceived(Machine m) {
     staleReportCount++;
@@ -107,10 +118,10 @@
     }
   }
 
-  /** There is evidence that the machine does not hear. */
-  void suspect(Machine m, String why) {
+  /** There is evidence that messages to the machine do not arrive. */
+  void suspect(Machine m, String evidence) {
     if (m.responsiveness.trusted()) {
-      LOG.log(Level.DEBUG, "{0} may not hear: {1}", m.host, why);
+      LOG.log(Level.DEBUG, "{0} may be unresponsive: {1}", m.host, evidence);
     }
     m.responsiveness = m.responsiveness.suspected(timers.now());
     if (m.responsiveness.checkDue(timers.now())) {
@@ -118,37 +129,41 @@
     }
   }
 
-  /** The machine's worker has reported to another controller, which asks after it. */
-  void reportedElsewhere(Machine m, Message.HoldQuery seen) {
-    if (m.reportSequence.classify(seen.session(), seen.serial(), seen.token())
+  /**
+   * The worker of a held machine has reported to another controller, which asks whether this one
+   * still receives its reports.
+   */
+  void reportedElsewhere(Machine m, Message.HoldQuery query) {
+    if (m.reportSequence.classify(query.session(), query.serial(), query.token())
         != ReportSequence.Classification.NEW) {
       return;
     }
-    boolean later = seen.session() > m.session && m.session > 0;
+    boolean later = query.session() > m.session && m.session > 0;
     if (later) {
-      reportApplier.sessionSeenElsewhere(m, seen.session());
+      reportApplier.sessionSeenElsewhere(m, query.session());
     }
     if (timers.now() - m.lastAnsweredAt < WORKER_FAILOVER_S + settings.workers().reportS()) {
-      suspect(m, "it was answered here and reports elsewhere");
+      suspect(m, "it reports to another controller although its reports were answered here");
     }
     if (later) {
-      // Only now: a machine that may not hear is given no work.
+      // This comes last, so that a machine just suspected to be unresponsive gets no work.
       heldMachines.reconcile(m);
     }
   }
 
-  /** A report that says something new has come: time for a question, if one is due. */
+  /** A report with new information has arrived. Requests the status if that is due. */
   void reportReceived(Machine m, Report r) {
     double now = timers.now();
-    boolean rose = m.reportSequence.session() > 0 && r.session() > m.reportSequence.session();
-    if (rose && now - m.lastAnsweredAt < settings.workers().leaseS() * 0.9) {
-      suspect(m, "its session has ended although it was answered");
+    boolean laterSession =
+        m.reportSequence.session() > 0 && r.session() > m.reportSequence.session();
+    if (laterSession && now - m.lastAnsweredAt < settings.workers().leaseS() * 0.9) {
+      suspect(m, "its session ended although its reports were answered within the lease");
     } else if (m.responsiveness.checkDue(now)) {
       checkStatus(m);
     }
   }
 
-  /** Time has passed. */
+  /** Advances the responsiveness state; called several times a second. */
   void tick(Machine m, double now) {
     if (!m.responsiveness.trusted()) {
       m.responsiveness =
@@ -166,13 +181,13 @@
     m.responsiveness = m.responsiveness.checkSent(timers.now(), STATUS_TIMEOUT_S);
     requestStatus(
         m.endpoint,
-        r -> {
+        status -> {
           m.statusCheckPending = false;
-          if (heldMachines.held(m.host) != m) {
+          if (heldMachines.get(m.host) != m) {
             return;
           }
-          if (r != null) {
-            replyReceived(m, known, r);
+          if (status != null) {
+            replyReceived(m, known, status);
           } else {
             checkFailed(m);
           }
@@ -186,24 +201,27 @@
     if (!m.responsiveness.unresponsive()) {
       unresponsiveCount++;
       m.viewChanged = true;
-      LOG.log(Level.INFO, "{0} is heard but does not hear", m.host);
+      LOG.log(
+          Level.INFO,
+          "{0} is unresponsive: its reports arrive, but it does not answer requests",
+          m.host);
     }
     m.responsiveness = m.responsiveness.unanswered(timers.now());
     heldMachines.reconcile(m);
   }
 
   /**
-   * The worker has answered what was asked or ordered when {@code known} was what was known. Says
-   * whether the machine is still held here.
+   * The worker has responded to a request sent when {@code known} was the known report sequence.
+   * Returns whether the machine is still held here.
    */
   boolean replyReceived(Machine m, ReportSequence known, Report r) {
     if (m.responsiveness.unresponsive()) {
-      LOG.log(Level.INFO, "{0} hears again", m.host);
+      LOG.log(Level.INFO, "{0} responds again", m.host);
     }
     m.viewChanged |= !m.responsiveness.trusted();
     m.responsiveness = m.responsiveness.answered(timers.now());
     if (r.token() > m.token) {
-      heldMachines.release(m, "a higher token is out");
+      heldMachines.release(m, "its worker has reported a higher token");
       return false;
     }
     if (known.provesRestart(r)) {
--- a/src/main/java/dev/dunefront/book/ViewPublisher.java
+++ b/src/main/java/dev/dunefront/book/ViewPublisher.java
@@ -19,23 +19,26 @@
 import java.util.Map;
 
 /**
- * Tells the controllers of held machines, each as much as it wants to hear: what proofs rest on and
- * what has become of their tasks at once, room to those that look for it, everything to who rents.
+ * Publishes the state of held machines to the controllers, each at the level of detail that it
+ * subscribes to. Hold, session, lease and the states of a controller's own tasks are always
+ * included; free room goes to controllers that look for room, and everything to the one that rents
+ * machines.
  */
 final class ViewPublisher {
-  /** Changes of machines gather this long before the other controllers hear of them. */
+  /** Changes are batched for this long before they are sent, in seconds. */
   private static final double BATCH_DELAY_S = 0.04;
 
   /**
-   * With more machines than these there is always a change to tell, so that the others are woken by
-   * each controller every time the least pause is over. They gather in proportion, up to so many
-   * times as long: what a change costs is mostly the waking.
+   * With more machines than this some view has always changed, so each controller would send
+   * messages after every batch delay. The delay therefore grows in proportion to the number of
+   * machines, up to this factor, because most of the cost of a message lies in waking up the
+   * receiver.
    */
   private static final double BATCH_SCALING_MACHINES = 100;
 
   private static final double MAX_BATCH_DELAY_FACTOR = 3;
 
-  /** What is young is taken for true for so long, in seconds, before it is looked at again. */
+  /** Maximum age of a view that shows young tasks before it is built again, in seconds. */
   private static final double MAX_YOUNG_VIEW_AGE_S = 1;
 
   private final JobTable jobs;
@@ -48,7 +51,7 @@
 
   private final ViewSubscriptions subscriptions = new ViewSubscriptions();
 
-  /** All controllers, this one included. */
+  /** All controllers, including this one. */
   private final List<String> allNodes = new ArrayList<>();
 
   ViewPublisher(ControllerContext context, Map<String, Machine> held) {
@@ -62,13 +65,13 @@
     context.settings().peers().forEach(p -> allNodes.add(p.node()));
   }
 
-  /** What a task of the job takes, or null if the job is not known. */
+  /** The size of a task of the job, or null if the job is unknown. */
   Resources sizeOf(String job) {
     JobTable.Entry e = jobs.get(job);
     return e == null ? null : e.record().spec().taskResources();
   }
 
-  /** A controller can be reached again: it hears of every held machine. */
+  /** The connection to a controller is open again. It receives the views of all held machines. */
   void peerConnected(String node) {
     for (Machine m : machines.values()) {
       m.lastViewByNode.remove(node);
@@ -76,37 +79,37 @@
     }
   }
 
-  /** A controller says how much it wants to hear; what it has missed it is told at once. */
+  /** A controller has subscribed to a level of detail. What it has missed is sent at once. */
   void subscriptionReceived(String node, ViewDetail detail) {
     if (subscriptions.subscribe(node, detail, timers.now())) {
       machines.values().forEach(m -> sendMissed(m, node, detail));
     }
   }
 
-  /** Whether tasks that were young when the machine was last told of may not be young any more. */
+  /** Whether tasks that were young in the latest view may no longer be. */
   private boolean youngTasksOutdated(Machine m) {
     boolean showsYoung = m.latestView.preemptibleBelow(Priority.CRITICAL) > 0;
     return showsYoung && timers.now() - m.latestViewAt > MAX_YOUNG_VIEW_AGE_S;
   }
 
   /**
-   * Tells a controller what it has missed of a machine. Tasks are never missed, and what has
-   * changed just now is about to be told; so nothing is worked out anew, for this happens with
-   * every job that comes to any controller.
+   * Sends a controller the changes that its former level of detail left out. Task states are sent
+   * at every level, and recent changes are already scheduled, so no view is built anew: this runs
+   * for every job that any controller receives.
    */
   private void sendMissed(Machine m, String node, ViewDetail detail) {
-    Message.MachineView before = m.lastViewByNode.get(node);
-    if (before == null || youngTasksOutdated(m)) {
+    Message.MachineView previous = m.lastViewByNode.get(node);
+    if (previous == null || youngTasksOutdated(m)) {
       publish(m, List.of(node));
-    } else if (before != m.latestView && detail.hasChanged(m.latestView, before)) {
-      Message.MachineView told =
-          before.tasks().isEmpty() ? m.latestView : m.latestView.withTasks(before.tasks());
-      m.lastViewByNode.put(node, told);
-      peers.send(node, told);
+    } else if (previous != m.latestView && detail.hasChanged(m.latestView, previous)) {
+      Message.MachineView view =
+          previous.tasks().isEmpty() ? m.latestView : m.latestView.withTasks(previous.tasks());
+      m.lastViewByNode.put(node, view);
+      peers.send(node, view);
     }
   }
 
-  /** A controller's link is gone, and with it what it has said. */
+  /** The connection to a controller has closed, which ends its subscription. */
   void peerDisconnected(String node) {
     subscriptions.remove(node);
   }
@@ -122,7 +125,7 @@
         m.session,
         m.tokenAcknowledged && !m.commandOutcomeUnknown && !m.raisingToken,
         m.leaseExpired,
-        m.open(),
+        m.schedulable(),
         m.quarantined,
         m.retiring(timers.now()),
         m.responsiveness.unresponsive(),
@@ -135,36 +138,38 @@
   }
 
   /**
-   * Unfinished tasks, by priority; if a time is given only those that may give way, for they have
-   * started since or lose nothing by it.
+   * Number of unfinished tasks by priority. If {@code since} is not 0, only those that may be
+   * preempted are counted: they started after that time, or lose no work.
    */
   private List<Integer> unfinishedByPriority(Machine m, double since) {
-    int[] n = new int[Priority.values().length];
+    int[] counts = new int[Priority.values().length];
     for (TaskId id : m.unfinishedTasks()) {
       JobTable.Entry e = jobs.get(id.job());
       if (since == 0
           || m.startedAt.getOrDefault(id, 0.0) > since
           || e != null && Preemption.alwaysPreemptible(e.record().spec())) {
-        n[e == null ? 0 : e.record().spec().priority().ordinal()]++;
+        counts[e == null ? 0 : e.record().spec().priority().ordinal()]++;
       }
     }
-    return Arrays.stream(n).boxed().toList();
+    return Arrays.stream(counts).boxed().toList();
   }
 
-  /** The machine's tasks by the controllers that have to know of them. */
+  /** The states of the machine's tasks by the claimants of their jobs. */
   private Map<String, List<Message.TaskStatus>> tasksByClaimant(Machine m) {
     Map<String, List<Message.TaskStatus>> byNode = new HashMap<>();
     for (Message.TaskStatus t : m.taskStates()) {
       JobTable.Entry e = jobs.get(t.job());
-      String claim = e == null ? null : e.record().claimant();
-      if (claim != null) {
-        byNode.computeIfAbsent(Membership.nodeOf(claim), n -> new ArrayList<>()).add(t);
+      String claimant = e == null ? null : e.record().claimant();
+      if (claimant != null) {
+        byNode.computeIfAbsent(Membership.nodeOf(claimant), n -> new ArrayList<>()).add(t);
       }
     }
     return byNode;
   }
 
-  /** Tells of changed machines shortly; changes that come together are told at once. */
+  /**
+   * Schedules the machine's view to be published. Changes within the batch delay are sent together.
+   */
   void schedulePublish(Machine m) {
     if (m.publishScheduled) {
       return;
@@ -172,9 +177,9 @@
     m.publishScheduled = true;
     changed.add(m);
     if (changed.size() == 1) {
-      double longer =
+      double factor =
           Math.max(1, Math.min(MAX_BATCH_DELAY_FACTOR, machines.size() / BATCH_SCALING_MACHINES));
-      timers.after(BATCH_DELAY_S * longer, () -> decisionLock.run(this::publish));
+      timers.after(BATCH_DELAY_S * factor, () -> decisionLock.run(this::publish));
     }
   }
 
@@ -189,33 +194,35 @@
     }
   }
 
-  /** Tells each controller of a machine if something has changed that it wants to hear. */
+  /**
+   * Sends the machine's view to each controller for which it has changed at its level of detail.
+   */
   private void publish(Machine m, List<String> receivers) {
-    Message.MachineView bare = buildView(m);
-    m.latestView = bare;
+    Message.MachineView base = buildView(m);
+    m.latestView = base;
     m.latestViewAt = timers.now();
     Map<String, List<Message.TaskStatus>> tasks = tasksByClaimant(m);
     List<String> withoutTasks = new ArrayList<>();
     for (String node : receivers) {
-      List<Message.TaskStatus> its = tasks.getOrDefault(node, List.of());
-      if (needsUpdate(m, node, bare, its)) {
-        Message.MachineView told = its.isEmpty() ? bare : bare.withTasks(its);
-        m.lastViewByNode.put(node, told);
-        if (its.isEmpty()) {
+      List<Message.TaskStatus> ownTasks = tasks.getOrDefault(node, List.of());
+      if (needsUpdate(m, node, base, ownTasks)) {
+        Message.MachineView view = ownTasks.isEmpty() ? base : base.withTasks(ownTasks);
+        m.lastViewByNode.put(node, view);
+        if (ownTasks.isEmpty()) {
           withoutTasks.add(node);
         } else {
-          peers.send(node, told);
+          peers.send(node, view);
         }
       }
     }
-    peers.send(withoutTasks, bare);
+    peers.send(withoutTasks, base);
   }
 
   private boolean needsUpdate(
-      Machine m, String node, Message.MachineView now, List<Message.TaskStatus> itsTasks) {
-    Message.MachineView before = m.lastViewByNode.get(node);
-    return before == null
-        || !itsTasks.equals(before.tasks())
-        || subscriptions.detailFor(node, timers.now()).hasChanged(now, before);
+      Machine m, String node, Message.MachineView view, List<Message.TaskStatus> ownTasks) {
+    Message.MachineView previous = m.lastViewByNode.get(node);
+    return previous == null
+        || !ownTasks.equals(previous.tasks())
+        || subscriptions.detailFor(node, timers.now()).hasChanged(view, previous);
   }
 }
--- a/src/main/java/dev/dunefront/book/ViewSubscriptions.java
+++ b/src/main/java/dev/dunefront/book/ViewSubscriptions.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 
 /**
- * How much each controller wants to hear of the machines held here. Whoever has not said so lately
- * is told everything: a subscription that is lost, late or from a former life may cost messages or
- * a moment until it is repeated, but it hides room from nobody for good.
+ * How much detail each controller subscribes to for the machines held here. A controller without a
+ * current subscription receives everything: a lost, late or outdated subscription may cost extra
+ * messages until it is renewed, but it never hides free room permanently.
  */
 final class ViewSubscriptions {
-  /** A declaration counts for so long; it is repeated several times meanwhile. Seconds. */
+  /** Lifetime of a subscription, in seconds. It is renewed several times within that. */
   static final double SUBSCRIPTION_TTL_S = 10;
 
   private record Subscription(ViewDetail detail, double receivedAt) {}
@@ -18,9 +18,9 @@
   private final Map<String, Subscription> byNode = new HashMap<>();
 
   /**
-   * A controller says how much it wants to hear.
+   * A controller subscribes to a level of detail.
    *
-   * @return whether that is more than it was told until now
+   * @return whether it now receives more than before
    */
   boolean subscribe(String node, ViewDetail detail, double now) {
     ViewDetail before = detailFor(node, now);
@@ -28,15 +28,15 @@
     return detail.compareTo(before) > 0;
   }
 
-  /** What a controller is to be told at this time. */
+  /** The level of detail that a controller receives at this time. */
   ViewDetail detailFor(String node, double now) {
-    Subscription said = byNode.get(node);
-    return said == null || now - said.receivedAt > SUBSCRIPTION_TTL_S
+    Subscription subscription = byNode.get(node);
+    return subscription == null || now - subscription.receivedAt > SUBSCRIPTION_TTL_S
         ? ViewDetail.FULL
-        : said.detail;
+        : subscription.detail;
   }
 
-  /** A controller's link is gone. */
+  /** The connection to a controller has closed. */
   void remove(String node) {
     byNode.remove(node);
   }
--- a/src/main/java/dev/dunefront/book/WorkerCommands.java
+++ b/src/main/java/dev/dunefront/book/WorkerCommands.java
@@ -19,16 +19,21 @@
 import java.util.List;
 
 /**
- * Sends orders to workers. When the fate of a start is unknown the machine's token is raised, so
- * that whatever is still on its way is refused there.
+ * Sends commands to workers. If it is unknown whether a start was carried out, the machine's
+ * fencing token is raised, so that the worker refuses whatever is still in transit.
  */
 final class WorkerCommands {
   private static final System.Logger LOG = System.getLogger(WorkerCommands.class.getName());
+
+  /** Timeout of a request with commands, in seconds. */
   private static final double COMMAND_TIMEOUT_S = 3.0;
+
+  /** Interval after which a stop or clear without effect is sent again, in seconds. */
   private static final double RESEND_INTERVAL_S = 2.0;
+
   private static final int MAX_COMMANDS_PER_REQUEST = 200;
 
-  /** A worker reports at least this many times as often as its rhythm says. */
+  /** A worker reports within this many report intervals at the latest. */
   private static final double MAX_REPORT_DELAY_FACTOR = 1.5;
 
   private final Membership membership;
@@ -39,29 +44,34 @@
   private final DecisionLock decisionLock;
   private final HeldMachines heldMachines;
   private final StatusChecks statusChecks;
-  private final PauseDetector standstill;
+  private final PauseDetector pauseDetector;
 
-  /** A clear that has waited so long goes out on its own, in seconds. */
+  /** Time after which a clear is sent in a request of its own, in seconds. */
   private final double standaloneClearDelayS;
 
   WorkerCommands(
-      ControllerContext context, HttpCaller caller, HeldMachines books, StatusChecks listening) {
-    this.statusChecks = listening;
+      ControllerContext context,
+      HttpCaller caller,
+      HeldMachines heldMachines,
+      StatusChecks statusChecks) {
+    this.statusChecks = statusChecks;
     this.membership = context.membership();
     this.holds = context.holds();
     this.store = context.store();
     this.caller = caller;
     this.timers = context.timers();
     this.decisionLock = context.decisionLock();
-    this.heldMachines = books;
-    this.standstill = context.standstill();
+    this.heldMachines = heldMachines;
+    this.pauseDetector = context.standstill();
     this.standaloneClearDelayS = context.settings().workers().reportS() * MAX_REPORT_DELAY_FACTOR;
   }
 
-  /** Raises the token, so that orders of unknown fate are refused by the worker from now on. */
+  /**
+   * Raises the token, so that the worker refuses earlier commands of unknown outcome from now on.
+   */
   void raiseToken(Machine m) {
-    // While this controller is nobody it writes nothing: a hold that names nobody is held by
-    // nobody.
+    // A controller without an incarnation writes nothing: a hold record that names no incarnation
+    // has no holder.
     String self = membership.ownIncarnation();
     if (m.raisingToken || store.unavailable() || self == null) {
       return;
@@ -69,81 +79,87 @@
     m.raisingToken = true;
     m.offers.clear();
     long token = m.token + 1;
-    String mark = store.newWriteId();
-    Document value = HoldTable.write(self, token, mark);
+    String writeId = store.newWriteId();
+    Document value = HoldTable.write(self, token, writeId);
     store.commit(
         HoldTable.condition(new Txn(), m.host, m.holdRevision).put(HoldTable.key(m.host), value),
-        mark,
-        done -> {
+        writeId,
+        result -> {
           m.raisingToken = false;
-          if (heldMachines.held(m.host) != m) {
+          if (heldMachines.get(m.host) != m) {
             return;
           }
-          if (!done.ok()) {
-            heldMachines.release(m, "another controller has taken it");
+          if (!result.ok()) {
+            heldMachines.release(m, "another controller has acquired it");
             return;
           }
           m.token = token;
-          m.holdRevision = done.revision();
+          m.holdRevision = result.revision();
           m.tokenAcknowledged = false;
           m.commandOutcomeUnknown = false;
           m.resumed = false;
           m.deniedAttempts.clear();
           m.viewChanged = true;
-          holds.applyWrite(m.host, value, done.revision());
-          // Somebody may have taken the machine since, and the replica have shown that before this
-          // answer came: gone by what was written, it would be held here for ever.
+          holds.applyWrite(m.host, value, result.revision());
+          // Another controller may have acquired the machine since, and the replica may have
+          // shown that before this response arrived. Without this check of the record the machine
+          // would stay held here forever.
           heldMachines.holdChanged(m.host);
-          if (heldMachines.held(m.host) != m) {
+          if (heldMachines.get(m.host) != m) {
             return;
           }
-          LOG.log(Level.DEBUG, "token of {0} raised to {1}", m.host, token);
+          LOG.log(Level.DEBUG, "raised the token of {0} to {1}", m.host, token);
           announceToken(m);
         });
   }
 
-  /** Lets the worker see the new token at once. */
+  /** Sends the new token to the worker at once, in a request without commands. */
   private void announceToken(Machine m) {
     send(m, List.of());
   }
 
   /**
-   * Sends what there is to send. While the fate of an order is unknown or the token is being
-   * raised, nothing is started or cleared: but a stop names an attempt, and does nothing if that is
-   * not there. Should its start still be on the way and come after it, the attempt is shown and the
-   * stop repeated. Held back with the others it would wait for the token to be raised, which takes
-   * a write; in an outage what was cancelled would run on for as long as that lasts.
+   * Sends the pending commands. While the outcome of a start is unknown or the token is being
+   * raised, starts and clears are held back. Stops are still sent: a stop names an attempt and has
+   * no effect if the worker does not have it. If the start in transit arrives after the stop, the
+   * next report shows the attempt and the stop is repeated. If stops were held back, too, they
+   * would wait for the write that raises the token, and tasks of cancelled jobs would run on for
+   * the whole of a state service outage.
    *
-   * <p>Not so before the worker has shown a token of this hold: it may still be with its former
-   * holder, whose answers it would drop from then on until its lease is over.
+   * <p>No stop is sent before the worker has reported a token of this hold. It may still be
+   * reporting to its previous holder, and after a command under the new token it would ignore the
+   * answers of that holder until its lease expires.
    */
   void sendPending(Machine m) {
-    if (m.commandsInFlight || m.leaseExpired || m.endpoint.isEmpty() || !standstill.current()) {
+    if (m.commandsInFlight || m.leaseExpired || m.endpoint.isEmpty() || !pauseDetector.current()) {
       return;
     }
     double now = timers.now();
-    boolean sure = startsAndClearsAllowed(m);
-    List<WorkerCommand> orders = new ArrayList<>();
+    boolean allowed = startsAndClearsAllowed(m);
+    List<WorkerCommand> commands = new ArrayList<>();
     for (var e : m.pendingStarts.entrySet()) {
-      if (sure && e.getValue().sentUnderToken == 0 && orders.size() < MAX_COMMANDS_PER_REQUEST) {
+      if (allowed
+          && e.getValue().sentUnderToken == 0
+          && commands.size() < MAX_COMMANDS_PER_REQUEST) {
         e.getValue().sentUnderToken = m.token;
-        orders.add(new WorkerCommand.Run(e.getKey(), e.getValue().attempt));
+        commands.add(new WorkerCommand.Run(e.getKey(), e.getValue().attempt));
       }
     }
     for (var e : m.pendingStops.entrySet()) {
       if (m.holdAcknowledged
           && now - e.getValue().lastSentAt >= RESEND_INTERVAL_S
-          && orders.size() < MAX_COMMANDS_PER_REQUEST) {
+          && commands.size() < MAX_COMMANDS_PER_REQUEST) {
         e.getValue().lastSentAt = now;
-        orders.add(new WorkerCommand.Stop(e.getKey(), e.getValue().attempt, e.getValue().graceS));
+        commands.add(new WorkerCommand.Stop(e.getKey(), e.getValue().attempt, e.getValue().graceS));
       }
     }
-    if (sure && (!orders.isEmpty() || clearsOverdue(m, now))) {
-      // Executed first: a task may come back to the machine on which its last attempt ended.
-      orders.addAll(0, dueClears(m, now, MAX_COMMANDS_PER_REQUEST - orders.size()));
+    if (allowed && (!commands.isEmpty() || clearsOverdue(m, now))) {
+      // The worker executes clears first, since a task may be placed again on the machine on
+      // which its previous attempt ended.
+      commands.addAll(0, dueClears(m, now, MAX_COMMANDS_PER_REQUEST - commands.size()));
     }
-    if (!orders.isEmpty()) {
-      send(m, orders);
+    if (!commands.isEmpty()) {
+      send(m, commands);
     }
   }
 
@@ -152,9 +168,9 @@
   }
 
   /**
-   * What goes out with the answer to a report. Nothing waits for a clear, so it rides along: with
-   * an answer, or with another order. On its own it is a call to the worker, and there is one for
-   * each task that ends.
+   * The commands that are sent with the answer to a report. Clears are not urgent and there is one
+   * for each task that ends, so they are sent with an answer or with other commands instead of a
+   * request of their own.
    */
   List<WorkerCommand> clearsForAnswer(Machine m) {
     return startsAndClearsAllowed(m) && !m.commandsInFlight
@@ -162,11 +178,11 @@
         : List.of();
   }
 
-  /** Clears that have not been sent, or not lately. */
-  private static List<WorkerCommand> dueClears(Machine m, double now, int most) {
+  /** Clears that have not been sent, or not within the resend interval. */
+  private static List<WorkerCommand> dueClears(Machine m, double now, int limit) {
     List<WorkerCommand> clears = new ArrayList<>();
     for (var e : m.pendingClears.entrySet()) {
-      if (now - e.getValue().lastSentAt >= RESEND_INTERVAL_S && clears.size() < most) {
+      if (now - e.getValue().lastSentAt >= RESEND_INTERVAL_S && clears.size() < limit) {
         e.getValue().lastSentAt = now;
         clears.add(new WorkerCommand.Clear(e.getKey(), e.getValue().attempt));
       }
@@ -175,8 +191,9 @@
   }
 
   /**
-   * Whether a clear has found nothing to ride along with for longer than a worker is silent, or has
-   * been sent and had no effect: an answer to a report may have been lost.
+   * Whether a clear has waited for longer than the longest report interval without an answer or
+   * another command to be sent with, or has been sent without effect, since an answer to a report
+   * may have been lost.
    */
   private boolean clearsOverdue(Machine m, double now) {
     for (Machine.RepeatedCommand clear : m.pendingClears.values()) {
@@ -189,12 +206,12 @@
     return false;
   }
 
-  private void send(Machine m, List<WorkerCommand> orders) {
+  private void send(Machine m, List<WorkerCommand> commands) {
     m.commandsInFlight = true;
-    byte[] body = WorkerCommand.directRequest(m.token, m.session, orders);
+    byte[] body = WorkerCommand.directRequest(m.token, m.session, commands);
     List<TaskId> runs = new ArrayList<>();
-    for (WorkerCommand o : orders) {
-      if (o instanceof WorkerCommand.Run r) {
+    for (WorkerCommand command : commands) {
+      if (command instanceof WorkerCommand.Run r) {
         runs.add(r.task());
       }
     }
@@ -214,15 +231,16 @@
   private void replyReceived(
       Machine m, ReportSequence known, List<TaskId> runs, HttpCaller.Response reply) {
     m.commandsInFlight = false;
-    if (heldMachines.held(m.host) != m) {
+    if (heldMachines.get(m.host) != m) {
       return;
     }
     if (reply.status() == 200 || reply.status() == 409) {
       try {
         Report r = Report.fromDocument(Document.decode(reply.body()));
         if (reply.status() == 409) {
-          // Nothing was carried out: what was sent may be sent again, if it still makes sense; but
-          // not what went out before and may yet be carried out.
+          // The worker has carried out nothing of this request, so its starts may be sent again
+          // if they are still wanted. Starts of earlier requests may yet be carried out and are
+          // not sent again.
           for (TaskId id : runs) {
             Machine.PendingStart p = m.pendingStarts.get(id);
             if (p != null) {
@@ -234,16 +252,17 @@
           return;
         }
       } catch (MalformedMessageException e) {
-        LOG.log(Level.INFO, "{0} answers orders with nonsense: {1}", m.host, e.getMessage());
+        LOG.log(
+            Level.INFO, "cannot read the response of {0} to commands: {1}", m.host, e.getMessage());
         m.commandOutcomeUnknown |= !runs.isEmpty();
       }
     } else {
       if (!runs.isEmpty()) {
-        // The start may be carried out now, minutes later, or never.
+        // The start may be carried out now, minutes later or never.
         m.commandOutcomeUnknown = true;
         m.viewChanged = true;
       }
-      statusChecks.suspect(m, "an order had no answer");
+      statusChecks.suspect(m, "a request with commands got no valid response");
     }
     heldMachines.reconcile(m);
   }
--- a/src/main/java/dev/dunefront/book/WorkerEvacuation.java
+++ b/src/main/java/dev/dunefront/book/WorkerEvacuation.java
@@ -11,14 +11,18 @@
 import java.util.List;
 
 /**
- * Sends workers away from a controller that has lost the state service and all others: see {@link
- * Isolation}. A worker that is sent on keeps its lease for as long as it finds another in time; the
- * hold's record still names this controller, so one that comes back is held on without a write.
+ * Redirects workers to other controllers when this one has lost both the state service and all
+ * other controllers; see {@link Isolation}. A redirected worker keeps its lease if it reaches
+ * another controller in time. The hold record still names this controller, so a worker that comes
+ * back is held again without a write.
  */
 final class WorkerEvacuation {
   private static final System.Logger LOG = System.getLogger(WorkerEvacuation.class.getName());
 
-  /** All are sent within this part of a lease: whoever takes them writes once for each. */
+  /**
+   * All workers are redirected within this fraction of the lease duration. They are spread out
+   * because each controller that acquires one has to write a record.
+   */
   private static final double EVACUATION_LEASE_FRACTION = 0.5;
 
   private final Settings settings;
@@ -26,17 +30,18 @@
   private final Timers timers;
   private final ControllerLoads controllerLoads;
   private final List<String> otherNodes = new ArrayList<>();
-  private Isolation alone = Isolation.NOT_ISOLATED;
+  private Isolation isolation = Isolation.NOT_ISOLATED;
   private int nextTargetIndex;
   private double nextSendAt;
   private int sentCount;
 
-  WorkerEvacuation(ControllerContext context, ControllerLoads neighbours) {
+  WorkerEvacuation(ControllerContext context, ControllerLoads controllerLoads) {
     this.settings = context.settings();
     this.store = context.store();
     this.timers = context.timers();
-    this.controllerLoads = neighbours;
-    // Those of this zone first: they hear its machines when it is cut off.
+    this.controllerLoads = controllerLoads;
+    // Controllers of this zone come first: they can still reach its machines if the zone is
+    // partitioned.
     settings.peers().stream()
         .sorted(
             (a, b) ->
@@ -44,51 +49,56 @@
         .forEach(p -> otherNodes.add(p.node()));
   }
 
-  /** Whether neither the state service nor any other controller answers. */
-  boolean alone() {
+  /** Whether neither the state service nor any other controller is reachable. */
+  boolean isolated() {
     return store.unavailable() && controllerLoads.noneReachable() && !otherNodes.isEmpty();
   }
 
-  /** Machines sent away so far. */
+  /** Number of workers redirected so far. */
   int sentCount() {
     return sentCount;
   }
 
-  /** Time has passed. */
+  /** Advances the state machine; called several times a second. */
   void tick(double now) {
-    Isolation.Phase before = alone.phase();
-    alone = alone.advance(now, alone(), otherNodes.size(), settings.workers().leaseS());
-    if (alone.phase() != before && alone.phase() == Isolation.Phase.EVACUATE) {
+    Isolation.Phase before = isolation.phase();
+    isolation = isolation.advance(now, isolated(), otherNodes.size(), settings.workers().leaseS());
+    if (isolation.phase() != before && isolation.phase() == Isolation.Phase.EVACUATE) {
       LOG.log(
-          Level.INFO, "alone, and {0} found somebody else: the others follow", alone.trialHost());
+          Level.INFO,
+          "isolated, and trial worker {0} has not come back; redirecting the other workers",
+          isolation.trialHost());
     }
   }
 
-  /** A machine's report has come. */
+  /** A report of a machine has arrived. */
   void reportReceived(String host) {
-    Isolation.Phase before = alone.phase();
-    alone = alone.reportReceived(host, timers.now());
-    if (before != alone.phase()) {
-      LOG.log(Level.INFO, "alone, and {0} came back: nobody else is to be had", host);
+    Isolation.Phase before = isolation.phase();
+    isolation = isolation.reportReceived(host, timers.now());
+    if (before != isolation.phase()) {
+      LOG.log(Level.INFO, "isolated, and worker {0} came back; keeping the workers here", host);
     }
   }
 
   /**
-   * To which controller a machine that has just reported is to be sent, or null if it stays. Sent
-   * ahead is one on which nothing runs, if any.
+   * The controller to which a machine that has just reported is redirected, or null if it stays.
+   * The trial machine is one without tasks if there is any.
    */
   String redirectTarget(Machine m, Collection<Machine> held) {
     double now = timers.now();
-    boolean first = alone.phase() == Isolation.Phase.SEND_TRIAL;
-    if (!first && (alone.phase() != Isolation.Phase.EVACUATE || now < nextSendAt)) {
+    boolean trial = isolation.phase() == Isolation.Phase.SEND_TRIAL;
+    if (!trial && (isolation.phase() != Isolation.Phase.EVACUATE || now < nextSendAt)) {
       return null;
     }
-    if (first && !m.unfinishedTasks().isEmpty() && anyIdle(held)) {
+    if (trial && !m.unfinishedTasks().isEmpty() && anyIdle(held)) {
       return null;
     }
-    if (first) {
-      alone = alone.trialSent(m.host, now);
-      LOG.log(Level.INFO, "alone with its workers; {0} is sent ahead", m.host);
+    if (trial) {
+      isolation = isolation.trialSent(m.host, now);
+      LOG.log(
+          Level.INFO,
+          "isolated from the state service and all controllers; redirecting {0} as a trial",
+          m.host);
     }
     nextSendAt =
         now + settings.workers().leaseS() * EVACUATION_LEASE_FRACTION / Math.max(1, held.size());
--- a/src/main/java/dev/dunefront/evidence/ReportSequence.java
+++ b/src/main/java/dev/dunefront/evidence/ReportSequence.java
@@ -3,30 +3,37 @@
 import dev.dunefront.wire.Report;
 
 /**
- * What has been seen of a worker's messages so far, and what one more of them is worth. Copies of
- * reports may come late, by seconds or by several leases, and say what was true when they were
- * sent: none of them may count as a sign of life, as an answer waited for, or as news.
+ * Tracks the reports and responses received from a worker and classifies further ones. Duplicates
+ * of reports may arrive seconds or several lease durations late and describe the state at the time
+ * of sending. None of them may renew a lease, count as a response to a request, or update the known
+ * state.
  *
- * @param session the worker's latest session
- * @param highestSerial the largest serial seen in it, of reports and of answers to orders
- * @param reported the largest serial seen in it of reports alone
- * @param highestToken the highest token that the worker has shown; it never forgets one while it
- *     lives
+ * @param session the latest session of the worker
+ * @param highestSerial the highest serial number received in that session, in a report or a
+ *     response
+ * @param highestReportSerial the highest serial number received in that session in a report; -1
+ *     before the first
+ * @param highestToken the highest token that the worker has highestReportSerial; a worker keeps the
+ *     highest token until it restarts
  */
-public record ReportSequence(long session, long highestSerial, long reported, long highestToken) {
-  /** Nothing has been seen. */
+public record ReportSequence(
+    long session, long highestSerial, long highestReportSerial, long highestToken) {
+  /** Nothing has been received. */
   public static final ReportSequence NONE = new ReportSequence(0, -1, -1, 0);
 
-  /** What a report is worth. */
+  /** The classes of reports. */
   public enum Classification {
-    /** It tells something. */
+    /** It carries new information. */
     NEW,
     /**
-     * An answer to orders that was given after it came before it. It tells nothing, but its sender
-     * may be waiting for the answer, which renews the lease.
+     * A response to commands that the worker sent later has arrived earlier. The report carries no
+     * new information, but its sender may be waiting for the answer, which renews the lease.
      */
     OVERTAKEN,
-    /** It was seen before, or was sent before something that was: nobody waits for its answer. */
+    /**
+     * A duplicate, or sent before a report that was already received. The sender does not wait for
+     * its answer.
+     */
     STALE
   }
 
@@ -34,41 +41,46 @@
     return classify(r.session(), r.serial(), r.token());
   }
 
-  /** What a report of this session, with this serial and showing this token is worth. */
-  public Classification classify(long itsSession, long itsSerial, long itsToken) {
-    if (itsToken < highestToken) {
+  /** Classifies a report by its session, its serial number and the token in it. */
+  public Classification classify(long reportSession, long reportSerial, long reportToken) {
+    if (reportToken < highestToken) {
       return Classification.STALE;
     }
-    if (itsSession > session || itsSession == session && itsSerial > highestSerial) {
+    if (reportSession > session || reportSession == session && reportSerial > highestSerial) {
       return Classification.NEW;
     }
-    // A worker has one report under way at a time, so its reports come in the order of serials.
-    return itsSession == session && itsSerial > reported
+    // A worker sends one report at a time, so its reports arrive in the order of their serial
+    // numbers.
+    return reportSession == session && reportSerial > highestReportSerial
         ? Classification.OVERTAKEN
         : Classification.STALE;
   }
 
-  /** A report has been taken that was no copy. */
-  public ReportSequence reported(Report r) {
+  /** Returns the state after a report that is not stale. */
+  public ReportSequence afterReport(Report r) {
     ReportSequence next = afterReply(r);
     return new ReportSequence(
-        next.session, next.highestSerial, Math.max(r.serial(), next.reported), next.highestToken);
+        next.session,
+        next.highestSerial,
+        Math.max(r.serial(), next.highestReportSerial),
+        next.highestToken);
   }
 
-  /** An answer to orders or to a question has been taken. */
+  /** Returns the state after a response to commands or to a status request. */
   public ReportSequence afterReply(Report r) {
-    long shown = Math.max(highestToken, r.token());
+    long newHighestToken = Math.max(highestToken, r.token());
     if (!r.newerThan(session, highestSerial)) {
-      return new ReportSequence(session, highestSerial, reported, shown);
+      return new ReportSequence(session, highestSerial, highestReportSerial, newHighestToken);
     }
     return new ReportSequence(
-        r.session(), r.serial(), r.session() > session ? -1 : reported, shown);
+        r.session(), r.serial(), r.session() > session ? -1 : highestReportSerial, newHighestToken);
   }
 
   /**
-   * Whether a worker that gives this answer now, to a question asked when this was known, has begun
-   * anew: everything that it has ever said counts from a beginning that is over. A late copy cannot
-   * look like that, for nobody has asked it.
+   * Whether a response proves that the worker has restarted, given that this was the known state
+   * when the request was sent: its token or serial numbers have fallen behind those
+   * highestReportSerial earlier. A late duplicate cannot look like that, since it is not the
+   * response to a request sent now.
    */
   public boolean provesRestart(Report answer) {
     return session > 0
--- a/src/main/java/dev/dunefront/evidence/Responsiveness.java
+++ b/src/main/java/dev/dunefront/evidence/Responsiveness.java
@@ -1,28 +1,28 @@
 package dev.dunefront.evidence;
 
 /**
- * Whether a machine whose reports arrive hears what is said to it. Answers and orders may be lost
- * on one way while reports come on the other; such a machine lets its lease run out while its
- * holder believes it well. Evidence against it: it goes elsewhere although it was answered, its
- * session rises although it was answered within the lease, an order has no answer. The proof either
- * way is a question asked now.
+ * Whether a machine whose reports arrive also receives messages. A network fault may drop answers
+ * and commands while reports still arrive. The lease of such a machine expires although its holder
+ * considers it healthy. Evidence of this: the machine reports to another controller although it was
+ * answered, its session number increases although it was answered within the lease, or a command
+ * gets no response. A status request then decides.
  *
- * @param state what is believed
- * @param failures how often it has turned out deaf of late
+ * @param state current state
+ * @param failures number of recent times that the machine was found unresponsive
  * @param since when the state was entered
- * @param nextCheckAt not asked again before this time
- * @param retryPauseS how long is waited after the next question that has no answer
+ * @param nextCheckAt earliest time of the next status request
+ * @param retryPauseS pause after the next status request without a response, in seconds
  */
 public record Responsiveness(
     State state, int failures, double since, double nextCheckAt, double retryPauseS) {
-  /** What is believed of a machine's hearing. */
+  /** Whether a machine is known to receive messages. */
   public enum State {
     RESPONSIVE,
-    /** There is evidence against it, and a question under way or to be asked. */
+    /** There is evidence that it is unresponsive; a status request is in progress or due. */
     SUSPECT,
-    /** A question had no answer although reports come. */
+    /** A status request got no response although reports arrive. */
     UNRESPONSIVE,
-    /** It answers again, and is not trusted with work yet. */
+    /** It responds again, but gets no work yet. */
     PROBATION
   }
 
@@ -30,10 +30,11 @@
   private static final double MAX_PAUSE_S = 8;
   private static final int MAX_DOUBLINGS = 5;
 
+  /** The state of a machine without recent failures. */
   public static final Responsiveness INITIAL =
       new Responsiveness(State.RESPONSIVE, 0, Double.NEGATIVE_INFINITY, 0, INITIAL_PAUSE_S);
 
-  /** Whether it may be given work. */
+  /** Whether tasks may be placed on the machine. */
   public boolean trusted() {
     return state == State.RESPONSIVE;
   }
@@ -42,24 +43,27 @@
     return state == State.UNRESPONSIVE;
   }
 
-  /** There is evidence against it. */
+  /** Returns the state after evidence that the machine is unresponsive. */
   public Responsiveness suspected(double now) {
     return state == State.RESPONSIVE || state == State.PROBATION
         ? new Responsiveness(State.SUSPECT, failures, now, now, INITIAL_PAUSE_S)
         : this;
   }
 
-  /** Whether it is time for a question. */
+  /** Whether a status request is due. */
   public boolean checkDue(double now) {
     return (state == State.SUSPECT || state == State.UNRESPONSIVE) && now >= nextCheckAt;
   }
 
-  /** A question or an order goes out; another waits until it is answered, or surely is not. */
+  /**
+   * Returns the state after a status request has been sent. The next one is due after its response
+   * or its timeout.
+   */
   public Responsiveness checkSent(double now, double deadlineS) {
     return new Responsiveness(state, failures, since, now + deadlineS, retryPauseS);
   }
 
-  /** A question or an order had no answer. */
+  /** Returns the state after a status request without a response. */
   public Responsiveness unanswered(double now) {
     double next = Math.min(MAX_PAUSE_S, retryPauseS * 2);
     return state == State.UNRESPONSIVE
@@ -68,8 +72,9 @@
   }
 
   /**
-   * It has answered. One that was merely suspected is trusted at once; one that was deaf after a
-   * report interval, twice that the next time, and so on: each time it costs what was placed there.
+   * Returns the state after a response. A machine that was only suspected is trusted at once. One
+   * that was unresponsive is trusted after a report interval, after two the next time, then four
+   * and so on, because each failure costs the tasks that were placed on it.
    */
   public Responsiveness answered(double now) {
     return switch (state) {
@@ -80,10 +85,12 @@
   }
 
   /**
-   * Time has passed.
+   * Returns the state after the time has advanced.
    *
-   * @param reportS the workers' report interval, the unit of trust
-   * @param leaseS the workers' lease; ten of them without a lapse make good for all of them
+   * @param reportS the report interval of the workers, which is the first probation period, in
+   *     seconds
+   * @param leaseS the lease duration of the workers in seconds; after ten of them without a failure
+   *     all earlier failures are forgotten
    */
   public Responsiveness advance(double now, double reportS, double leaseS) {
     if (state == State.PROBATION) {
--- a/src/test/java/dev/dunefront/book/WantBookTest.java
+++ b/src/test/java/dev/dunefront/book/WantBookTest.java
@@ -6,7 +6,7 @@
 import dev.dunefront.wire.Resources;
 import org.junit.jupiter.api.Test;
 
-/** Who is served next. */
+/** The order in which wants are served. */
 class WantBookTest {
   private static final Resources ONE = new Resources(1, 0, 0);
   private static final Resources FOUR = new Resources(4, 0, 0);
@@ -24,7 +24,7 @@
     book.put("b", "b1", 2, 1, ONE, 2, 3);
     book.put("a", "a3", 1, 1, ONE, 1, 4);
     assertEquals("a3", next(ONE), "the higher priority");
-    assertEquals("b1", next(ONE), "a controller with few wants is not behind one with many");
+    assertEquals("b1", next(ONE), "a controller with few wants is not queued behind one with many");
     assertEquals("a1", next(ONE));
     assertEquals("b1", next(ONE));
     assertEquals("a1", next(ONE));
@@ -33,27 +33,32 @@
   }
 
   @Test
-  void aLowerRankComesFirstAndWithdrawnWantsAreGone() {
+  void aLowerRankIsServedFirstAndAWithdrawnWantIsNot() {
     book.put("a", "late", 2, 3, ONE, 1, 1);
-    book.put("a", "pressing", 2, 0, ONE, 1, 2);
-    book.put("a", "gone", 2, 0, ONE, 1, 0);
-    book.put("a", "gone", 2, 0, ONE, 0, 3);
-    assertEquals("pressing", next(ONE));
+    book.put("a", "first", 2, 0, ONE, 1, 2);
+    book.put("a", "withdrawn", 2, 0, ONE, 1, 0);
+    book.put("a", "withdrawn", 2, 0, ONE, 0, 3);
+    assertEquals("first", next(ONE));
     assertEquals("late", next(ONE));
     assertNull(next(ONE));
   }
 
   @Test
-  void roomGathersForABigWantThatHasWaited() {
+  void roomIsReservedForALargeWantThatHasWaitedLong() {
     book.put("a", "big", 2, 1, FOUR, 1, 1);
     book.put("b", "small", 2, 1, ONE, 1, 2);
-    assertNull(book.take(ONE, FOUR, 0.5) == null ? "x" : null, "not yet: the small one is served");
+    assertNull(
+        book.take(ONE, FOUR, 0.5) == null ? "x" : null,
+        "the large want has not waited long enough, so the small one is served");
     book.put("b", "small", 2, 1, ONE, 1, 3);
     book.put("b", "urgent", 1, 1, ONE, 1, 3);
-    assertEquals("urgent", book.take(ONE, FOUR, 1.5).job, "a higher priority does not wait");
+    assertEquals(
+        "urgent",
+        book.take(ONE, FOUR, 1.5).job,
+        "a want of higher priority is served despite the reservation");
     book.put("b", "late", 2, 3, ONE, 1, 3);
     book.put("b", "small", 2, 1, ONE, 0, 3);
-    assertNull(book.take(ONE, FOUR, 1.5), "what comes after it does");
+    assertNull(book.take(ONE, FOUR, 1.5), "a want that comes after the large one waits");
     assertEquals("big", book.take(FOUR, FOUR, 1.5).job);
   }
 }
