--- a/src/main/java/dev/dunefront/cleanup/Cleanup.java
+++ b/src/main/java/dev/dunefront/cleanup/Cleanup.java
@@ -9,23 +9,23 @@
 import java.util.List;
 
 /**
- * Forgets machines whose deletion the cloud has confirmed a while ago, for the controller that has
- * this duty. Nothing but the records themselves says how far it has come, so whoever has the duty
- * next goes on from there.
+ * Removes the records of machines whose deletion the cloud confirmed some time ago, while this
+ * controller holds the clean-up duty. The records themselves are the only state, so the next holder
+ * of the duty continues from them.
  *
- * <p>A record that says that a machine is gone proves its tasks gone, and keeps late reports of the
- * machine from being believed. Packets are held for minutes at most, and every job with a task on
- * the machine hears of its end as soon as the job has a claimant; after {@code burial_s} neither is
- * to be expected. Should one come all the same it costs time and breaks no rule: the machine is
- * held once more, found silent, and proven gone once more.
+ * <p>The record of a deleted machine proves that its task attempts are over and invalidates late
+ * reports from the machine. Packets are delayed by minutes at most, and every job with a task on
+ * the machine processes the deletion as soon as a controller has claimed the job; after {@code
+ * burial_s} neither is to be expected. A later report costs time but violates no invariant: the
+ * machine is held again, found silent, and its deletion is confirmed again.
  */
 public final class Cleanup {
   private static final System.Logger LOG = System.getLogger(Cleanup.class.getName());
 
-  /** How often some records are removed. */
+  /** Interval between removals. */
   private static final double EVERY_S = 2;
 
-  /** The part of the state service's changes that this may take. */
+  /** Fraction of the state service's write budget that removals may use. */
   private static final double BUDGET_PART = 0.03;
 
   private final ControllerContext context;
@@ -42,16 +42,16 @@
     this.most = Math.max(1, Math.min(context.settings().stateLimits().txnOps(), (int) changes));
   }
 
-  /** Called several times a second. */
+  /** Runs several times a second. */
   public void tick() {
-    long mine = context.duties().term(Duty.CLEANUP);
+    long heldTerm = context.duties().term(Duty.CLEANUP);
     double now = context.timers().now();
-    if (mine != term) {
-      term = mine;
+    if (heldTerm != term) {
+      term = heldTerm;
       since = now;
       writing = false;
     }
-    if (mine == 0 || writing || now < next || context.store().down()) {
+    if (heldTerm == 0 || writing || now < next || context.store().down()) {
       return;
     }
     next = now + EVERY_S;
@@ -60,21 +60,22 @@
     }
     long nowMs = context.timers().timeOfDayMs();
     double keepMs = context.tunables().burialS() * 1000;
-    boolean watched = now - since > context.tunables().burialS();
-    List<Holds.Hold> old =
+    boolean heldLongEnough = now - since > context.tunables().burialS();
+    List<Holds.Hold> expired =
         context.holds().dead().stream()
-            // A record of an earlier version has no time: it is old once it was seen for so long.
-            .filter(h -> h.deadAtMs() > 0 ? nowMs - h.deadAtMs() > keepMs : watched)
+            // A record of an earlier version has no time; it expires after this controller has held
+            // the duty for the retention time.
+            .filter(h -> h.deadAtMs() > 0 ? nowMs - h.deadAtMs() > keepMs : heldLongEnough)
             .limit(most)
             .toList();
-    if (!old.isEmpty()) {
-      remove(old, mine);
+    if (!expired.isEmpty()) {
+      remove(expired, heldTerm);
     }
   }
 
-  private void remove(List<Holds.Hold> old, long inTerm) {
+  private void remove(List<Holds.Hold> expired, long inTerm) {
     Txn txn = context.duties().guard(Duty.CLEANUP, inTerm, new Txn());
-    for (Holds.Hold h : old) {
+    for (Holds.Hold h : expired) {
       txn.when(Holds.key(h.host()), h.stamp()).remove(Holds.key(h.host()));
     }
     writing = true;
@@ -89,9 +90,9 @@
               }
               writing = false;
               if (done.ok()) {
-                removed += old.size();
-                LOG.log(Level.DEBUG, "forgets {0} machines that are gone", old.size());
-                old.forEach(
+                removed += expired.size();
+                LOG.log(Level.DEBUG, "removed the records of {0} deleted machines", expired.size());
+                expired.forEach(
                     h -> context.replica().apply(Holds.key(h.host()), null, done.revision()));
               }
             });
--- a/src/main/java/dev/dunefront/cleanup/Joining.java
+++ b/src/main/java/dev/dunefront/cleanup/Joining.java
@@ -14,28 +14,30 @@
 import java.util.Set;
 
 /**
- * Keeps the roster of controllers, for the controller that has the duty of clean-up: lets in who
- * has joined and strikes out who has left for good, one at a time, so that no more than one
- * controller's part of the machines changes hands at once.
+ * Maintains the roster of controllers while this controller holds the clean-up duty: adds
+ * controllers that have joined and removes those that have left permanently. It makes one change at
+ * a time, so that at most one controller's share of the machines moves at once.
  */
 public final class Joining {
   private static final System.Logger LOG = System.getLogger(Joining.class.getName());
 
-  /** A controller that has lived for so long has joined. */
+  /** A controller that has been live for longer than this is added to the roster. */
   private static final double JOINED_S = 10;
 
-  /** A controller that no settings name and that has not lived for so long has left. */
+  /** A controller that is not in the settings is removed after not being live for this long. */
   private static final double LEFT_S = 60;
 
-  /** After a change machines find their holders within a report or two; then the next may come. */
+  /** Pause after a change; machines reach their new holders within one or two reports. */
   private static final double PAUSE_S = 15;
 
   private final ControllerContext context;
 
-  /** Since when a controller lives, and when it was last seen to live. */
+  /** Time since when each controller has been live without interruption. */
   private final Map<String, Double> liveSince = new HashMap<>();
 
+  /** Time at which each controller was last seen live. */
   private final Map<String, Double> liveAt = new HashMap<>();
+
   private long term;
   private double began;
   private double next;
@@ -44,18 +46,18 @@
     this.context = context;
   }
 
-  /** Called several times a second. */
+  /** Runs several times a second. */
   public void tick() {
-    long mine = context.duties().term(Duty.CLEANUP);
+    long heldTerm = context.duties().term(Duty.CLEANUP);
     double now = context.timers().now();
-    if (mine != term) {
-      term = mine;
+    if (heldTerm != term) {
+      term = heldTerm;
       began = now;
       next = now;
       liveSince.clear();
       liveAt.clear();
     }
-    if (mine == 0) {
+    if (heldTerm == 0) {
       return;
     }
     Set<String> live = context.membership().liveNodes();
@@ -68,36 +70,37 @@
     if (now < next || context.store().down()) {
       return;
     }
-    Map<String, String> settled = new HashMap<>();
+    Map<String, String> joined = new HashMap<>();
     liveSince.forEach(
         (node, since) -> {
           String zone = context.membership().zone(node);
           if (now - since > JOINED_S && !zone.isEmpty()) {
-            settled.put(node, zone);
+            joined.put(node, zone);
           }
         });
-    Set<String> named = new HashSet<>(Set.of(context.settings().node()));
-    context.settings().peers().stream().map(Settings.Peer::node).forEach(named::add);
+    Set<String> retained = new HashSet<>(Set.of(context.settings().node()));
+    context.settings().peers().stream().map(Settings.Peer::node).forEach(retained::add);
     Roster roster = context.holds().roster();
     if (now - began < LEFT_S) {
-      // Who has not lived for a while must have been missed by this controller for as long.
-      roster.members().forEach(m -> named.add(m.node()));
+      // This controller has not watched long enough to know that a member has left.
+      roster.members().forEach(m -> retained.add(m.node()));
     }
-    Roster changed = roster.next(settled, liveAt.keySet(), named);
+    Roster changed = roster.next(joined, liveAt.keySet(), retained);
     if (changed != null) {
       next = now + PAUSE_S;
-      write(roster, changed, mine);
+      write(roster, changed, heldTerm);
     }
   }
 
-  private void write(Roster now, Roster next, long inTerm) {
-    LOG.log(Level.INFO, "the roster becomes {0}, in epoch {1}", next.members(), next.epoch());
+  private void write(Roster current, Roster changed, long inTerm) {
+    LOG.log(
+        Level.INFO, "changing the roster to {0}, in epoch {1}", changed.members(), changed.epoch());
     context
         .store()
         .tryTxn(
-            Holds.change(context.duties().guard(Duty.CLEANUP, inTerm, new Txn()), now, next),
+            Holds.change(context.duties().guard(Duty.CLEANUP, inTerm, new Txn()), current, changed),
             Store.Urgency.BACKGROUND,
-            // Whatever comes of it, the watch shows it, and what is left to do is seen again.
+            // The watch shows the outcome; a change that failed is computed again by a later tick.
             done -> {});
   }
 }
--- a/src/main/java/dev/dunefront/cleanup/package-info.java
+++ b/src/main/java/dev/dunefront/cleanup/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Removes records that nothing needs any more, slowly and only while the budget is idle. What may
- * be removed when, and why nothing that comes late is misread then, is in {@code docs/duties.md}.
+ * Removes obsolete records, slowly and only while the write budget is idle, and maintains the
+ * roster of controllers. {@code docs/duties.md} describes when a record may be removed, and why
+ * late messages are not misinterpreted afterwards.
  */
 package dev.dunefront.cleanup;
--- a/src/main/java/dev/dunefront/duty/Duties.java
+++ b/src/main/java/dev/dunefront/duty/Duties.java
@@ -18,14 +18,15 @@
 import java.util.Map;
 
 /**
- * The duties of this controller: takes those that nobody has, hands over what it cannot do, and
- * fences what is done for them. A write for a duty is conditional on the duty's record at its term;
- * a message to another controller names the term, and whoever has seen a higher one refuses it.
+ * The duties of this controller: acquires vacant duties, hands over those that it cannot perform,
+ * and fences all operations for a duty by its term. A write for a duty is conditional on the duty's
+ * record at that term; a message to another controller carries the term, and a receiver that knows
+ * a higher one rejects it.
  */
 public final class Duties {
   private static final System.Logger LOG = System.getLogger(Duties.class.getName());
 
-  /** How long after a write for a duty's record the next is tried. */
+  /** Pause after a write of a duty's record before the next one. */
   private static final double PAUSE_S = 0.5;
 
   private final String node;
@@ -38,16 +39,16 @@
   private final Standstill standstill;
   private final Map<Duty, Seat> seats = new EnumMap<>(Duty.class);
 
-  /** By how much the timers of controllers within reach are late, as they tell. */
+  /** Timer lag in seconds that each reachable controller reports, by node. */
   private final Map<String, Double> lags = new HashMap<>();
 
   private double lagS;
 
-  /** What is known of one duty here. */
+  /** This controller's view of one duty. */
   private static final class Seat {
     DutyRecord post = DutyRecord.VACANT;
 
-    /** The highest term that anybody has named; above that of the record while that lags. */
+    /** The highest known term; exceeds that of {@code post} while the replica lags. */
     long highest;
 
     double vacantSince = Double.NaN;
@@ -56,7 +57,7 @@
     boolean unable;
     boolean asking;
 
-    /** Whom the write under way names. */
+    /** The incarnation named as holder by the write in progress. */
     String givenTo;
 
     int refused;
@@ -88,11 +89,11 @@
     }
   }
 
-  private void shown(Duty duty, DutyRecord post) {
+  private void shown(Duty duty, DutyRecord current) {
     Seat seat = seats.get(duty);
-    boolean before = seat.post.heldBy(membership.self());
+    boolean heldBefore = seat.post.heldBy(membership.self());
     double now = timers.now();
-    if (post.vacant()) {
+    if (current.vacant()) {
       seat.vacantSince = now;
     } else {
       if (!Double.isNaN(seat.vacantSince)) {
@@ -100,52 +101,51 @@
       }
       seat.vacantSince = Double.NaN;
     }
-    seat.post = post;
-    seat.highest = Math.max(seat.highest, post.term());
-    boolean after = post.heldBy(membership.self());
-    if (after) {
+    seat.post = current;
+    seat.highest = Math.max(seat.highest, current.term());
+    if (current.heldBy(membership.self())) {
       seat.heldSince = now;
       seat.unfitSince = Double.NaN;
       seat.taken++;
-      LOG.log(Level.INFO, "has the duty {0} in term {1}", duty.label(), post.term());
-    } else if (before) {
-      LOG.log(Level.INFO, "no longer has the duty {0}", duty.label());
+      LOG.log(Level.INFO, "acquired duty {0} in term {1}", duty.label(), current.term());
+    } else if (heldBefore) {
+      LOG.log(Level.INFO, "lost duty {0}", duty.label());
     }
   }
 
-  // ---- who has it ----
+  // ---- holder and term ----
 
-  /** The node that has the duty, or null. */
+  /** The node that holds the duty, or null. */
   public String holder(Duty duty) {
-    DutyRecord post = seats.get(duty).post;
-    return post.vacant() ? null : Membership.nodeOf(post.holder());
+    DutyRecord current = seats.get(duty).post;
+    return current.vacant() ? null : Membership.nodeOf(current.holder());
   }
 
-  /** The term in which this controller may act for the duty now, or 0. */
+  /** The term in which this controller may perform the duty now, or 0 if it may not. */
   public long term(Duty duty) {
     Seat seat = seats.get(duty);
-    boolean mine =
+    boolean own =
         seat.post.heldBy(membership.self())
             && seat.post.term() >= seat.highest
             && standstill.current();
-    return mine ? seat.post.term() : 0;
+    return own ? seat.post.term() : 0;
   }
 
-  /** Whether this controller may still act in that term. */
+  /** Whether this controller may still perform the duty in that term. */
   public boolean holds(Duty duty, long term) {
     return term > 0 && term == term(duty);
   }
 
-  /** Makes a write conditional on the duty: it fails once the duty has changed hands. */
+  /** Makes a write conditional on the term: it fails once the duty has another holder. */
   public Txn guard(Duty duty, long term, Txn txn) {
     return txn.when(duty.key(), term);
   }
 
-  // ---- what others do for it ----
+  // ---- requests from holders ----
 
   /**
-   * Whether an act that another controller asks for in a term is to be done; if a higher term is
-   * known the sender is told so.
+   * Whether to accept a request that another controller makes in a term of a duty. If a higher term
+   * is known, the request is rejected and the sender is informed of that term.
    */
   public boolean admits(Duty duty, long term, String from) {
     Seat seat = seats.get(duty);
@@ -153,7 +153,7 @@
       seat.refused++;
       LOG.log(
           Level.INFO,
-          "refuses {0} what it asks for the duty {1} in term {2}: term {3} is known",
+          "rejected a request from {0} for duty {1} in term {2}: term {3} is known",
           from,
           duty.label(),
           term,
@@ -165,7 +165,7 @@
     return true;
   }
 
-  /** Another controller has seen this term: whoever acts in a lower one was replaced. */
+  /** Handles a term known to another controller; a holder in a lower term has been replaced. */
   public void received(Message.DutyTerm m) {
     Duty duty = Duty.of(m.duty());
     if (duty != null) {
@@ -174,33 +174,34 @@
     }
   }
 
-  // ---- who shall have it ----
+  // ---- election ----
 
-  /** A controller within reach tells by how much its timers are late. */
-  public void load(String from, double lateS) {
-    lags.put(from, lateS);
+  /** Records the timer lag that a reachable controller reports. */
+  public void load(String from, double timerLagS) {
+    lags.put(from, timerLagS);
   }
 
+  /** Forgets the timer lag of a controller that is not reachable any more. */
   public void gone(String from) {
     lags.remove(from);
   }
 
   /**
-   * Whether this controller can do the duty at present, as far as the duty itself goes: while it
-   * cannot it takes none, and gives away what it has.
+   * Sets whether this controller can perform the duty at present. While it cannot, it does not
+   * acquire the duty, and it hands it over if it holds it.
    */
   public void able(Duty duty, boolean able) {
     seats.get(duty).unable = !able;
   }
 
-  /** Called several times a second. */
-  public void tick(double lateS) {
-    lagS = lateS;
+  /** Runs several times a second. */
+  public void tick(double timerLagS) {
+    lagS = timerLagS;
     if (!standstill.current() || !replica.ready() || store.down()) {
       return;
     }
     String self = membership.self();
-    // The least urgent first: it is what a controller with too many gives away.
+    // The least urgent duty first: a controller with too many duties hands that one over.
     for (int i = Duty.values().length - 1; i >= 0; i--) {
       Duty duty = Duty.values()[i];
       Seat seat = seats.get(duty);
@@ -236,8 +237,7 @@
         }
         case HAND_OVER -> {
           seat.handed++;
-
-          LOG.log(Level.INFO, "hands the duty {0} to {1}", duty.label(), step.to());
+          LOG.log(Level.INFO, "handing over duty {0} to {1}", duty.label(), step.to());
           write(duty, step.to());
         }
         case WAIT -> {}
@@ -246,19 +246,20 @@
   }
 
   /**
-   * Whether nobody has the duty: there is no record, or it names an earlier life of a controller
-   * that has come back before its lease ran out.
+   * Whether the duty has no holder: there is no record, or it names an earlier incarnation of a
+   * controller that restarted before its lease expired.
    */
-  private boolean vacant(DutyRecord post) {
-    if (post.vacant()) {
+  private boolean vacant(DutyRecord current) {
+    if (current.vacant()) {
       return true;
     }
-    String now = membership.incarnation(Membership.nodeOf(post.holder()));
-    return now != null && !now.equals(post.holder());
+    String incarnation = membership.incarnation(Membership.nodeOf(current.holder()));
+    return incarnation != null && !incarnation.equals(current.holder());
   }
 
-  private static double since(double at, double now) {
-    return Double.isNaN(at) ? 0 : now - at;
+  /** Seconds since a time on the steady clock; 0 if that is NaN. */
+  private static double since(double since, double now) {
+    return Double.isNaN(since) ? 0 : now - since;
   }
 
   private List<Election.Candidate> candidates() {
@@ -271,15 +272,17 @@
         duties += incarnation.equals(holder) ? 1 : 0;
       }
       boolean own = name.equals(node);
-      double late = own ? lagS : lags.getOrDefault(name, 0.0);
-      all.add(new Election.Candidate(incarnation, duties, late, own || lags.containsKey(name)));
+      double timerLagS = own ? lagS : lags.getOrDefault(name, 0.0);
+      all.add(
+          new Election.Candidate(incarnation, duties, timerLagS, own || lags.containsKey(name)));
     }
     return all;
   }
 
   /**
-   * Names an incarnation as holder, itself or another: on the condition of what is recorded now, be
-   * it nothing, under the lease of the one named. If that lease has ended nothing is written.
+   * Writes an incarnation, its own or another, as holder. The write is conditional on the current
+   * record or its absence and attached to the named incarnation's lease; if that lease has expired,
+   * nothing is written.
    */
   private void write(Duty duty, String incarnation) {
     Seat seat = seats.get(duty);
@@ -290,7 +293,7 @@
     long lease = Membership.leaseOf(incarnation);
     store.tryTxn(
         new Txn().when(duty.key(), term).put(duty.key(), value, lease),
-        // One small write on which much waits; it goes out once for each change of hands.
+        // A small write that much depends on, made once per change of holder; hence the priority.
         Store.Urgency.USER,
         done -> {
           if (done.ok()) {
@@ -301,10 +304,10 @@
   }
 
   /**
-   * Hands over all duties at once, for this process is about to end: each to the best candidate, or
-   * to nobody, so that whoever is first takes it.
+   * Hands over all duties before this process ends: each to the best candidate, or without one its
+   * record is removed, so that any controller can acquire it.
    *
-   * @param then runs when the state service has answered
+   * @param then runs when the state service has responded
    */
   public void leave(Runnable then) {
     String self = membership.self();
@@ -316,15 +319,15 @@
         seat.asking = true;
         seat.highest++;
         txn.when(duty.key(), seat.post.term());
-        Election.Candidate to = Election.best(duty, live, self);
-        if (to == null) {
+        Election.Candidate successor = Election.best(duty, live, self);
+        if (successor == null) {
           txn.remove(duty.key());
         } else {
           String mark = store.newMark();
           txn.put(
               duty.key(),
-              DutyRecord.write(to.incarnation(), mark),
-              Membership.leaseOf(to.incarnation()));
+              DutyRecord.write(successor.incarnation(), mark),
+              Membership.leaseOf(successor.incarnation()));
         }
       }
     }
@@ -335,29 +338,29 @@
     }
   }
 
-  // ---- for operators ----
+  // ---- metrics ----
 
-  /** Whether this controller has the duty, as a number. */
+  /** 1 if this controller holds the duty, 0 otherwise. */
   public int held(Duty duty) {
     return term(duty) > 0 ? 1 : 0;
   }
 
-  /** How often this controller was given or took the duty. */
+  /** How often this controller acquired the duty, including by a hand-over. */
   public int taken(Duty duty) {
     return seats.get(duty).taken;
   }
 
-  /** How often it handed the duty over for want of fitness or because it had too many. */
+  /** How often this controller handed the duty over, as unfit or to balance the duties. */
   public int handed(Duty duty) {
     return seats.get(duty).handed;
   }
 
-  /** Acts that were refused here because a higher term was known. */
+  /** Number of requests rejected here because a higher term was known. */
   public int refused(Duty duty) {
     return seats.get(duty).refused;
   }
 
-  /** The longest time in milliseconds for which nobody was seen to have the duty. */
+  /** The longest observed time without a holder, in milliseconds. */
   public int longestGapMs(Duty duty) {
     return (int) Math.min(Integer.MAX_VALUE, Math.round(seats.get(duty).longestGapS * 1000));
   }
--- a/src/main/java/dev/dunefront/duty/Duty.java
+++ b/src/main/java/dev/dunefront/duty/Duty.java
@@ -2,11 +2,11 @@
 
 import dev.dunefront.store.Replica;
 
-/** What only one controller at a time may do; the most urgent first. */
+/** A cluster-wide duty that at most one controller performs at a time; the most urgent first. */
 public enum Duty {
-  /** Renting and returning machines, and asking for lists and prices. */
+  /** Renting and returning machines, and fetching the machine list and prices. */
   RENT("rent"),
-  /** Removing records that nothing needs any more. */
+  /** Removing obsolete records. */
   CLEANUP("cleanup");
 
   static final String PREFIX = Replica.PREFIX + "u/";
@@ -22,12 +22,12 @@
     return label;
   }
 
-  /** The key that names the holder while its lease lives. */
+  /** The key of the record that names the holder; it expires with the holder's lease. */
   String key() {
     return PREFIX + label;
   }
 
-  /** The duty of a label, or null. */
+  /** The duty with that label, or null. */
   static Duty of(String label) {
     for (Duty d : values()) {
       if (d.label.equals(label)) {
--- a/src/main/java/dev/dunefront/duty/DutyRecord.java
+++ b/src/main/java/dev/dunefront/duty/DutyRecord.java
@@ -5,17 +5,17 @@
 import dev.dunefront.wire.Doc;
 
 /**
- * Who has a duty, as recorded. The record lives under the holder's lease and is written only when
- * the duty changes hands, so the stamp that the state service gave it serves as the term: revisions
- * rise with every change and never go back, not even when the record has vanished with a lease.
+ * The recorded holder of a duty. The record is attached to the holder's lease and written only when
+ * the holder changes, so its stamp in the state service serves as the term: revisions increase with
+ * every change and never decrease, even after the record has expired with a lease.
  *
- * @param holder the incarnation that has the duty, or null while nobody has
- * @param term the record's stamp, 0 while there is none
+ * @param holder the incarnation that holds the duty, or null if there is no record
+ * @param term the record's stamp, 0 if there is no record
  */
 record DutyRecord(String holder, long term) {
   static final DutyRecord VACANT = new DutyRecord(null, 0);
 
-  /** A record that cannot be read has a holder whom nobody knows; it ends with its lease. */
+  /** Decodes a record; a malformed one has an unknown holder and stays until its lease expires. */
   static DutyRecord read(Doc value, long stamp) {
     if (value == null) {
       return VACANT;
--- a/src/main/java/dev/dunefront/duty/Election.java
+++ b/src/main/java/dev/dunefront/duty/Election.java
@@ -4,37 +4,37 @@
 import java.util.List;
 
 /**
- * What a controller does about a duty, from what it sees. Whatever several decide at once, the
- * state service lets one of them through: a record is taken on the condition that there is none,
- * and handed over on the condition of its stamp.
+ * Decides whether a controller acquires, keeps or hands over a duty, from its own observation. If
+ * several controllers decide at once, the state service accepts only one write: a record is created
+ * on the condition that none exists, and replaced on the condition of its stamp.
  */
 final class Election {
-  /** How much longer each next candidate waits, so that the first is seldom contested. */
+  /** Additional wait per rank, so that candidates seldom compete. */
   static final double RANK_S = 0.3;
 
-  /** A candidate whose timers are so late comes after all that keep up. */
+  /** A candidate with at least this timer lag ranks after all others. */
   static final double BEHIND_S = 0.4;
 
   /**
-   * A holder whose timers are so late cannot do its duty. Well above {@link #BEHIND_S}: what the
-   * duty itself costs makes a small controller late now and then, wherever it is.
+   * A holder with at least this timer lag is unfit. Well above {@link #BEHIND_S}, since the load of
+   * the duty itself delays the timers of a small controller now and then, whichever holds it.
    */
   static final double UNFIT_LAG_S = 1;
 
-  /** A holder that cannot do its duty gives it away after this time. */
+  /** A holder that has been unfit for longer than this hands the duty over. */
   static final double UNFIT_S = 4;
 
-  /** A duty is kept at least so long before it is given away, or it would go round for ever. */
+  /** Minimum time for which a duty is held; without it, a duty could circulate endlessly. */
   static final double LEAST_HELD_S = 20;
 
   private Election() {}
 
   /**
-   * A living controller.
+   * A live controller.
    *
-   * @param duties how many duties it has
-   * @param lagS by how much its timers are late, as it tells
-   * @param heard whether it can be reached from here
+   * @param duties number of duties that it holds
+   * @param lagS timer lag that it reports, in seconds
+   * @param heard whether it is reachable from this controller
    */
   record Candidate(String incarnation, int duties, double lagS, boolean heard) {
     boolean behind() {
@@ -43,13 +43,13 @@
   }
 
   /**
-   * What is seen of one duty.
+   * This controller's view of one duty.
    *
    * @param self this incarnation, or null while it has no lease
-   * @param live all living controllers, this one among them
-   * @param vacantS for how long nobody has had it
-   * @param heldS for how long this controller has had it
-   * @param unfitS for how long this controller could not do it
+   * @param live all live controllers, including this one
+   * @param vacantS for how long the duty has had no holder
+   * @param heldS for how long this controller has held it
+   * @param unfitS for how long this controller has been unfit to perform it
    */
   record Sight(
       Duty duty,
@@ -60,7 +60,11 @@
       double heldS,
       double unfitS) {}
 
-  /** What to do: nothing, take the duty, or hand it to another incarnation. */
+  /**
+   * The decision: wait, take the duty, or hand it over.
+   *
+   * @param to incarnation to hand the duty over to; null for the other kinds
+   */
   record Step(Kind kind, String to) {
     enum Kind {
       WAIT,
@@ -89,11 +93,11 @@
       return Step.WAIT;
     }
     boolean unfit = s.unfitS > UNFIT_S;
-    boolean crowded = own.duties >= best.duties + 2;
-    return unfit || crowded ? new Step(Step.Kind.HAND_OVER, best.incarnation) : Step.WAIT;
+    boolean overloaded = own.duties >= best.duties + 2;
+    return unfit || overloaded ? new Step(Step.Kind.HAND_OVER, best.incarnation) : Step.WAIT;
   }
 
-  /** To whom a duty is handed: a controller within reach that keeps up, or null. */
+  /** The best reachable controller without notable timer lag to hand the duty over to, or null. */
   static Candidate best(Duty duty, List<Candidate> live, String self) {
     return live.stream()
         .filter(c -> !c.incarnation.equals(self) && c.heard && !c.behind())
@@ -101,7 +105,7 @@
         .orElse(null);
   }
 
-  /** This controller's place among those that may take the duty, or -1. */
+  /** This controller's rank among the live controllers, or -1 if it is not one of them. */
   private static int rank(Sight s) {
     Candidate own = find(s.live, s.self);
     if (own == null) {
@@ -115,7 +119,7 @@
     return live.stream().filter(c -> c.incarnation.equals(incarnation)).findFirst().orElse(null);
   }
 
-  /** Those that keep up first, then those with fewest duties, then by a draw of the duty's own. */
+  /** Orders by timer lag, then by number of duties, then by a hash of duty and incarnation. */
   private static Comparator<Candidate> order(Duty duty) {
     return Comparator.comparing(Candidate::behind)
         .thenComparing(Candidate::duties)
@@ -124,8 +128,8 @@
   }
 
   private static int draw(Duty duty, String incarnation) {
-    int draw = (duty.label() + "@" + incarnation).hashCode() * 0x9E3779B9;
-    draw ^= draw >>> 15;
-    return draw * 0x85EBCA6B;
+    int hash = (duty.label() + "@" + incarnation).hashCode() * 0x9E3779B9;
+    hash ^= hash >>> 15;
+    return hash * 0x85EBCA6B;
   }
 }
--- a/src/main/java/dev/dunefront/duty/Ledger.java
+++ b/src/main/java/dev/dunefront/duty/Ledger.java
@@ -8,13 +8,13 @@
 import java.util.function.Consumer;
 
 /**
- * What the holder of a duty leaves to its successor: one value, which only the holder writes, on
- * the condition of the duty's term. It lies outside of what everybody copies, for it changes with
- * every act and nobody but the next holder reads it.
+ * The state that the holder of a duty leaves to the next holder: one value, which only the holder
+ * writes, conditional on the duty's term. Its key is outside the replicated prefix, because it
+ * changes with every operation and only the next holder reads it.
  *
- * <p>Every write is conditional on the value's own stamp as well. A write whose answer was lost is
- * repeated; were it applied a second time, minutes late, it would put an old value in place of a
- * newer one of the same term.
+ * <p>Every write is also conditional on the value's own stamp. A write whose response was lost is
+ * repeated; if the first attempt were applied minutes later, it would otherwise replace a newer
+ * value of the same term.
  */
 public final class Ledger {
   private static final double PAUSE_S = 0.3;
@@ -39,7 +39,7 @@
     return "u/" + duty.label();
   }
 
-  /** Reads what the former holder left, for the holder of this term; null if there is nothing. */
+  /** Reads the previous holder's value at the start of a term; {@code then} gets null if none. */
   public void open(long inTerm, Consumer<Doc> then) {
     term = inTerm;
     writing = false;
@@ -63,18 +63,22 @@
         });
   }
 
-  /** Whether a write is under way; only one may be. */
+  /** Whether a write is in progress; only one may be. */
   public boolean writing() {
     return writing;
   }
 
   /**
-   * Writes the value, through refusals and lost answers. Hears whether it is there and the duty
-   * still this controller's; if not, nothing may be done that the value speaks of.
+   * Writes the value, with retries after refusals and lost responses. {@code then} gets true if the
+   * value is stored and this controller still holds the duty; otherwise no operation recorded in
+   * the value may be executed.
+   *
+   * @throws IllegalStateException if a write is in progress
    */
   public void write(Doc value, Consumer<Boolean> then) {
     if (writing) {
-      throw new IllegalStateException("a write for " + duty.label() + " is under way");
+      throw new IllegalStateException(
+          "a write for duty " + duty.label() + " is already in progress");
     }
     writing = true;
     long inTerm = term;
--- a/src/main/java/dev/dunefront/duty/package-info.java
+++ b/src/main/java/dev/dunefront/duty/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Duties that only one controller may do: who has each, under which term, and how acts for it are
- * fenced against a holder that was replaced. See {@code docs/duties.md}.
+ * Cluster-wide duties that one controller performs at a time: election of the holder, its term, and
+ * fencing of operations by a replaced holder. See {@code docs/duties.md}.
  */
 package dev.dunefront.duty;
--- a/src/main/java/dev/dunefront/fleet/Acts.java
+++ b/src/main/java/dev/dunefront/fleet/Acts.java
@@ -17,29 +17,32 @@
 import java.util.TreeMap;
 
 /**
- * What is asked of the cloud, in the order decide, record, ask, hear. The cloud knows no terms, so
- * nothing is asked for that is not on record under the duty's term before: whoever follows finds it
- * there and settles it first. A hire is asked for again under its name, which rents nothing twice;
- * a deletion only if it still stands by what is seen of the machine.
+ * Executes rent and delete operations against the cloud API. Each one is decided, recorded, sent
+ * and then completed by its response. The cloud API has no fencing by term, so every operation is
+ * recorded under the duty's term before it is sent, and the next holder of the duty finds it there
+ * and completes it first. A rent request is repeated under the same name, which is idempotent; a
+ * deletion is repeated only if its reason still applies to the current state of the machine.
  */
 final class Acts {
   private static final System.Logger LOG = System.getLogger(Acts.class.getName());
 
-  /** What was decided longer ago than this when its record is written is decided anew. */
+  /** A rent request that took longer than this to be recorded is dropped and decided again. */
   private static final double STALE_S = 5;
 
-  /** How often what has changed is written that no act waits for. */
+  /** Minimum interval between writes of changes that no operation waits for. */
   private static final double NOTE_S = 10;
 
-  /** The part of a value's limit that is used. */
+  /** Fraction of the state service's value size limit that is used. */
   private static final double VALUE_PART = 0.8;
 
-  /** Something on record, to be asked for. */
+  /** A recorded operation that has yet to be sent. */
   private sealed interface Act {}
 
   private record Rent(Hire hire) implements Act {}
 
-  /** {@code unclear} if it was asked for before and nobody knows what has come of that. */
+  /**
+   * @param unclear whether the deletion may have been sent before with an unknown outcome
+   */
   private record Return(List<String> hosts, boolean unclear) implements Act {}
 
   private final Ledger ledger;
@@ -56,7 +59,10 @@
   private final Runnable ready;
   private final ArrayDeque<Act> recorded = new ArrayDeque<>();
 
-  /** Machines whose deletion has no answer and does not stand yet, and until when that is so. */
+  /**
+   * Machines whose deletion has an unknown outcome and whose reason does not apply yet, with the
+   * time until which the deletion is deferred.
+   */
   private final Map<String, Double> waiting = new TreeMap<>();
 
   private Intents intents = new Intents();
@@ -69,8 +75,13 @@
   private int dropped;
 
   /**
-   * {@code refused} takes kinds that the cloud lacks, with the time until which that counts; {@code
-   * ready} runs when something can be asked for.
+   * Creates the executor.
+   *
+   * @param valueKb the state service's value size limit
+   * @param listLagS how far the cloud's machine list may lag behind
+   * @param refused receives the kinds that the cloud could not provide, with the time until which
+   *     they are not requested again
+   * @param onReady runs when an operation has been recorded and can be sent
    */
   Acts(
       Ledger ledger,
@@ -81,10 +92,10 @@
       Store store,
       Timers timers,
       double valueKb,
-      double lagS,
-      double leaseS,
+      double listLagS,
+      double workerLeaseS,
       Map<Kind, Double> refused,
-      Runnable ready) {
+      Runnable onReady) {
     this.ledger = ledger;
     this.cloud = cloud;
     this.inventory = inventory;
@@ -93,16 +104,18 @@
     this.store = store;
     this.timers = timers;
     this.valueBytes = (int) (valueKb * 1024 * VALUE_PART);
-    this.lagS = lagS;
-    this.leaseS = leaseS;
+    this.lagS = listLagS;
+    this.leaseS = workerLeaseS;
     this.refused = refused;
-    this.ready = ready;
+    this.ready = onReady;
   }
 
-  /** How long a refusal of a kind counts. */
+  /** How long a kind is not requested again after the cloud could not provide it. */
   static final double REFUSED_S = 12;
 
-  /** Begins a term: reads what the holder before has left open, which comes first. */
+  /**
+   * Starts a term: loads the operations that the previous holder left open and queues them first.
+   */
   void begin(long inTerm, Runnable then) {
     term = inTerm;
     recorded.clear();
@@ -130,7 +143,7 @@
           if (!recorded.isEmpty()) {
             LOG.log(
                 Level.INFO,
-                "settles first what the holder before left open: {0} hires, {1} deletions",
+                "completing operations left open by the previous holder: {0} rent requests, {1} deletions",
                 intents.hires.size(),
                 intents.deletions.size());
           }
@@ -143,32 +156,35 @@
     try {
       return Intents.read(value);
     } catch (BadMessage e) {
-      LOG.log(Level.ERROR, "what was left open cannot be read: {0}", e.getMessage());
+      LOG.log(
+          Level.ERROR,
+          "cannot read the recorded operations of the previous holder: {0}",
+          e.getMessage());
       return new Intents();
     }
   }
 
-  /** What the holder before has left, and what is on record now. */
+  /** The current intents, which include those left by the previous holder. */
   Intents intents() {
     return intents;
   }
 
-  /** Whether it is known what was left open, and nothing is being recorded. */
+  /** Whether the previous holder's intents are loaded and no write is in progress. */
   boolean ready() {
     return open && !ledger.writing();
   }
 
-  /** Whether the record was found changed by somebody else: the term has to be begun anew. */
+  /** Whether another writer changed the record, so that the term has to be started again. */
   boolean lost() {
     return lost;
   }
 
   void hire(Hire h) {
     intents.hires.put(h.name(), h);
-    double at = timers.now();
+    double decidedAt = timers.now();
     record(
         () -> {
-          if (timers.now() - at > STALE_S) {
+          if (timers.now() - decidedAt > STALE_S) {
             intents.hires.remove(h.name());
             dropped++;
           } else {
@@ -184,12 +200,12 @@
     record(() -> recorded.add(new Return(hosts, false)));
   }
 
-  /** What has changed in the intents is written when nothing waits for it, and not often. */
+  /** Marks the intents as changed; the change is written with a delay. */
   void note() {
     dirty = true;
   }
 
-  /** Writes what has been noted if it is time. */
+  /** Writes deferred changes if the interval has passed and the state service is not busy. */
   void tend() {
     double now = timers.now();
     if (dirty && ready() && now >= noteAt && !store.down() && store.writeDelayS() == 0) {
@@ -201,14 +217,15 @@
     double now = timers.now();
     dirty = false;
     noteAt = now + NOTE_S;
-    // By then the list shows them, and whoever follows reads it first.
+    // After four times the list lag the machine list shows these machines, and a new holder reads
+    // the list before it decides.
     long since = timers.timeOfDayMs() - Math.round(4000 * lagS);
     intents.came.removeIf(
         c -> c.atMs() < since || c.hosts().stream().noneMatch(inventory::isExpected));
     ledger.write(
         intents.write(valueBytes),
-        kept -> {
-          if (kept) {
+        written -> {
+          if (written) {
             then.run();
             ready.run();
           } else {
@@ -217,7 +234,7 @@
         });
   }
 
-  /** Asks for what is on record, one at a time; says whether anything was asked for. */
+  /** Sends the next recorded operation; returns whether one was sent. */
   boolean next() {
     for (Act act = recorded.poll(); act != null; act = recorded.poll()) {
       if (act instanceof Rent r) {
@@ -242,78 +259,79 @@
     long inTerm = term;
     cloud.hire(
         h,
-        rented -> {
+        result -> {
           if (inTerm != term) {
-            // Whoever has the duty now found the hire on record, and asks under its name.
+            // The current holder found the rent request in the record and repeats it by name.
             return;
           }
           double now = timers.now();
-          if (rented.outcome() == Cloud.Outcome.UNCLEAR) {
-            // The same name asks again, so that nothing is rented twice.
+          if (result.outcome() == Cloud.Outcome.UNCLEAR) {
+            // Repeated under the same name, so no machine is rented twice.
             recorded.add(new Rent(h));
             return;
           }
           intents.hires.remove(h.name());
           dirty = true;
-          if (rented.outcome() == Cloud.Outcome.RENTED) {
+          if (result.outcome() == Cloud.Outcome.RENTED) {
             LOG.log(
-                Level.INFO, "rented {0} of {1} {2}", rented.hosts().size(), h.count(), h.kind());
-            inventory.expect(rented.hosts(), h.kind(), now);
-            if (!rented.hosts().isEmpty()) {
-              intents.came.add(new Intents.Came(h.kind(), timers.timeOfDayMs(), rented.hosts()));
+                Level.INFO, "rented {0} of {1} {2}", result.hosts().size(), h.count(), h.kind());
+            inventory.expect(result.hosts(), h.kind(), now);
+            if (!result.hosts().isEmpty()) {
+              intents.came.add(new Intents.Came(h.kind(), timers.timeOfDayMs(), result.hosts()));
             }
           }
-          if (rented.outcome() != Cloud.Outcome.TOO_FAST && rented.hosts().size() < h.count()) {
+          if (result.outcome() != Cloud.Outcome.TOO_FAST && result.hosts().size() < h.count()) {
             refused.put(h.kind(), now + REFUSED_S);
           }
         });
   }
 
-  /** False if none of it stands any more. */
+  /** Returns false if no deletion of the operation applies any more. */
   private boolean ask(Return act) {
     double now = timers.now();
-    Map<String, ReturnReason> still = new LinkedHashMap<>();
-    List<String> over = new ArrayList<>();
+    Map<String, ReturnReason> applicable = new LinkedHashMap<>();
+    List<String> obsolete = new ArrayList<>();
     for (String host : act.hosts()) {
       ReturnReason why = intents.deletions.get(host);
       View view = view(host);
       Double until = waiting.get(host);
       if (why.stands(view)) {
-        still.put(host, why);
+        applicable.put(host, why);
         waiting.remove(host);
       } else if (act.unclear() && why.mayStand(view) && (until == null || now <= until)) {
-        // It may be on its way. After a restart of all, machines find their holders within a lease,
-        // and these close them; then nothing is there when it arrives.
+        // An earlier request may still be in flight. After a restart of all controllers, holders
+        // reach their machines within a lease and close them, so that no task runs on the machine
+        // when the request takes effect.
         waiting.putIfAbsent(host, now + leaseS);
       } else {
         waiting.remove(host);
-        LOG.log(Level.INFO, "does not return {0} after all", host);
-        over.add(host);
+        LOG.log(Level.INFO, "cancelled the deletion of {0}: its reason no longer applies", host);
+        obsolete.add(host);
       }
     }
-    dropped += over.size();
-    settled(over, false);
-    if (still.isEmpty()) {
+    dropped += obsolete.size();
+    settled(obsolete, false);
+    if (applicable.isEmpty()) {
       return false;
     }
-    List<String> asked = List.copyOf(still.keySet());
+    List<String> hosts = List.copyOf(applicable.keySet());
     long inTerm = term;
     cloud.delete(
-        asked,
-        answer -> {
-          if (answer == Cloud.Deletion.CONFIRMED) {
-            confirmedDeletions.record(asked);
+        hosts,
+        result -> {
+          if (result == Cloud.Deletion.CONFIRMED) {
+            confirmedDeletions.record(hosts);
           }
           if (inTerm != term) {
             return;
           }
-          if (answer == Cloud.Deletion.CONFIRMED) {
-            settled(asked, true);
-          } else if (answer == Cloud.Deletion.REFUSED && !act.unclear()) {
-            // Nothing is on its way, so it can be decided anew.
-            settled(asked, false);
+          if (result == Cloud.Deletion.CONFIRMED) {
+            settled(hosts, true);
+          } else if (result == Cloud.Deletion.REFUSED && !act.unclear()) {
+            // No request is in flight, so the return can be decided again.
+            settled(hosts, false);
           } else {
-            recorded.add(new Return(asked, true));
+            recorded.add(new Return(hosts, true));
           }
         });
     return true;
@@ -330,12 +348,12 @@
     dirty |= !hosts.isEmpty();
   }
 
-  /** Acts that were left open by a holder before and asked for again. */
+  /** Number of operations left open by a previous holder that were queued again here. */
   int repeated() {
     return repeated;
   }
 
-  /** Acts on record that were not asked for, for they no longer stood. */
+  /** Number of recorded operations that were dropped because they no longer applied. */
   int dropped() {
     return dropped;
   }
--- a/src/main/java/dev/dunefront/fleet/Catalog.java
+++ b/src/main/java/dev/dunefront/fleet/Catalog.java
@@ -19,15 +19,19 @@
 import java.util.TreeSet;
 
 /**
- * The machine types. The first controller ever asks the cloud and leaves a copy in the state
- * service, so that a restart need not wait for the cloud.
+ * The catalog of machine types. The first controller to start fetches it from the cloud and stores
+ * a copy in the state service, so that a restart does not depend on the cloud. It also tracks which
+ * task sizes and urgent jobs have been observed, which decides who may use which type.
  */
 public final class Catalog {
   private static final String KEY = "c/catalog";
   private static final double ASK_AGAIN_S = 2;
   private static final int MAX_SIZES = 100;
 
-  /** A type is dear to a replica if it costs this many times as much there as on the cheapest. */
+  /**
+   * A type is too expensive for a service replica if the replica costs more than this many times as
+   * much there as on its cheapest type.
+   */
   private static final double DEAR = 1.2;
 
   private final String cloud;
@@ -38,7 +42,7 @@
   private Map<String, MachineType> types = Map.of();
   private Set<String> zones = Set.of();
 
-  /** The sizes of tasks that have been seen; users have few of them. */
+  /** Task sizes observed so far, bounded by {@link #MAX_SIZES}; users submit few distinct sizes. */
   private final Set<Size> sizes =
       Collections.newSetFromMap(
           new LinkedHashMap<>() {
@@ -48,14 +52,15 @@
             }
           });
 
-  /** A job of each class of urgent arrays that has been seen. */
+  /** One observed job for each class of urgent arrays. */
   private final Map<String, JobSpec> urgentArrays = new LinkedHashMap<>();
 
+  /** Types that are the cheapest for some observed urgent job that excludes spot machines. */
   private final Set<String> urgentHomes = new HashSet<>();
 
   public Catalog(
-      String cloud, Caller caller, Store store, Timers timers, DecisionLock decisionLock) {
-    this.cloud = cloud;
+      String cloudAddress, Caller caller, Store store, Timers timers, DecisionLock decisionLock) {
+    this.cloud = cloudAddress;
     this.caller = caller;
     this.store = store;
     this.timers = timers;
@@ -74,15 +79,15 @@
     return types.values();
   }
 
-  /** From this many tasks on, a machine is larger than a task needs. */
+  /** A machine that fits at least this many tasks of a job is oversized for that job. */
   public static final int OVERSIZE = 8;
 
-  /** All zones in which there are machines. */
+  /** All zones in which a machine type is available. */
   public Set<String> zones() {
     return zones;
   }
 
-  /** A job has been seen: what it needs is remembered, for others leave room to it. */
+  /** Records a job's requirements, for which other jobs leave room. */
   public void seen(JobSpec spec) {
     sizes.add(spec.size());
     if (!spec.priority().urgent()) {
@@ -98,8 +103,8 @@
   }
 
   /**
-   * Whether urgent arrays may use machines of the kind. They come and go in bursts, and whether
-   * they start in time is a matter of images that a machine has or has not.
+   * Whether urgent arrays may use machines of the kind. They arrive in bursts, and they start in
+   * time only on machines that have their images cached.
    */
   boolean servesUrgentArrays(Kind kind) {
     MachineType t = types.get(kind.type());
@@ -114,8 +119,8 @@
   }
 
   /**
-   * The type on which a task costs least, for work that may not run on spot machines; null for work
-   * that may.
+   * The type on which a task of the job costs least, for a job that excludes spot machines; null
+   * for a job that allows them, or if no type fits.
    */
   public MachineType home(JobSpec spec) {
     MachineType home = null;
@@ -129,17 +134,17 @@
     return home;
   }
 
-  /** What a task costs on an ordinary machine of a type, if the machine is full. */
+  /** Cost of one task on a fully used on-demand machine of the type. */
   private static double taskPrice(JobSpec spec, MachineType t) {
     return t.price() / Math.max(1, spec.size().timesIn(t.size()));
   }
 
-  /** Whether there is urgent work that may not run on spot machines. */
+  /** Whether an urgent job that excludes spot machines has been observed. */
   public boolean ordinaryNeeded() {
     return !urgentHomes.isEmpty();
   }
 
-  /** Whether urgent work that may not run on spot machines is at home on the type. */
+  /** Whether the type is the cheapest for an urgent job that excludes spot machines. */
   public boolean urgentHome(String type) {
     return urgentHomes.contains(type);
   }
@@ -149,8 +154,8 @@
   }
 
   /**
-   * Whether a replica should wait for another type: it stays where it starts, and costs clearly
-   * less there.
+   * Whether a service replica should wait for a cheaper type than this one. A replica stays on the
+   * machine on which it starts, so it keeps costing the higher price.
    */
   public boolean dear(JobSpec spec, MachineType type) {
     MachineType home = spec.service() ? home(spec) : null;
@@ -158,22 +163,23 @@
   }
 
   /**
-   * Whether machines on which the job's tasks would be lost in space should be left to others:
-   * there is an allowed type that is not too large for it, and work that fits on no such type.
+   * Whether the job should avoid types that are oversized for it: it is allowed on a type that is
+   * not, and some observed task size fits only on oversized ones.
    */
   public boolean leavesLarge(JobSpec spec) {
-    boolean smallerServes = false;
+    boolean smallerAllowed = false;
     Set<Size> needLarge = new HashSet<>(sizes);
     for (MachineType t : types()) {
       int times = spec.size().timesIn(t.size());
       if (times > 0 && times < OVERSIZE) {
-        smallerServes |= spec.types() == null || spec.types().contains(t.name());
+        smallerAllowed |= spec.types() == null || spec.types().contains(t.name());
         needLarge.removeIf(s -> s.fits(t.size()));
       }
     }
-    return smallerServes && !needLarge.isEmpty();
+    return smallerAllowed && !needLarge.isEmpty();
   }
 
+  /** Loads the catalog from the state service, or from the cloud if it is not stored there. */
   public void start() {
     store.get(
         KEY,
@@ -186,7 +192,7 @@
         });
   }
 
-  private void ask(boolean keep) {
+  private void ask(boolean storeCopy) {
     decisionLock.then(
         () ->
             caller.call(
@@ -203,19 +209,19 @@
                             try {
                               doc = Doc.decode(reply.body());
                             } catch (BadMessage e) {
-                              // asked again below
+                              // fetched again below
                             }
                           }
                           if (doc == null || !take(doc)) {
                             timers.after(ASK_AGAIN_S, () -> decisionLock.run(this::start));
-                          } else if (keep) {
+                          } else if (storeCopy) {
                             store.tryTxn(
                                 new Txn().put(KEY, doc), Store.Urgency.BACKGROUND, done -> {});
                           }
                         })));
   }
 
-  /** Takes a catalog as the cloud gives it; false if it cannot be read. */
+  /** Loads a catalog in the cloud's format; returns false if it is malformed or empty. */
   boolean take(Doc doc) {
     Map<String, MachineType> read = new LinkedHashMap<>();
     try {
--- a/src/main/java/dev/dunefront/fleet/Cloud.java
+++ b/src/main/java/dev/dunefront/fleet/Cloud.java
@@ -11,19 +11,25 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** The cloud's interface for machines, asked one call at a time and no faster than its rate. */
+/** Client of the cloud's machine API; makes one call at a time within the API's rate limit. */
 final class Cloud {
   private static final System.Logger LOG = System.getLogger(Cloud.class.getName());
   private static final double CALL_S = 4;
   private static final int PAGE = 500;
 
-  /** After so many calls in a row without an answer the cloud cannot be reached from here. */
+  /** After this many consecutive calls without a response the cloud counts as unreachable. */
   private static final int CUT_OFF = 2;
 
-  /** The part of the cloud's rate that is used, for a former leader's calls may still count. */
+  /**
+   * Fraction of the rate limit that is used: a former holder's calls may still count towards it.
+   */
   private static final double RATE_PART = 0.9;
 
-  /** A machine as the cloud lists it, with the steady time at which it was first listed. */
+  /**
+   * A machine in the cloud's list.
+   *
+   * @param since time on the steady clock at which it was first listed with this status
+   */
   record Listed(String host, Kind kind, String status, double since) {
     boolean failed() {
       return status.equals("failed");
@@ -38,10 +44,10 @@
     }
   }
 
-  /** A request for machines; its name is never used again. */
+  /** A request to rent machines. Its name is unique and makes a repeated request idempotent. */
   record Hire(String name, Kind kind, int count) {}
 
-  /** What came of a request; TOO_FAST and UNCLEAR leave it open to be made again. */
+  /** Outcome of a request; after {@code TOO_FAST} or {@code UNCLEAR} it may be repeated. */
   enum Outcome {
     RENTED,
     REFUSED,
@@ -49,7 +55,7 @@
     UNCLEAR
   }
 
-  /** The machines rented, perhaps fewer than asked for. */
+  /** Result of a rent request; there may be fewer machines than requested. */
   record Rented(Outcome outcome, List<String> hosts) {}
 
   private final Settings settings;
@@ -63,18 +69,22 @@
   private double callsAt;
   private int unanswered;
 
-  /** {@code ready} runs whenever a call is over, so that the next need not wait for a tick. */
+  /** {@code onCallFinished} runs after each call, so that the next one need not wait for a tick. */
   Cloud(
-      Settings settings, Caller caller, Timers timers, DecisionLock decisionLock, Runnable ready) {
+      Settings settings,
+      Caller caller,
+      Timers timers,
+      DecisionLock decisionLock,
+      Runnable onCallFinished) {
     this.settings = settings;
     this.caller = caller;
     this.timers = timers;
     this.decisionLock = decisionLock;
-    this.ready = ready;
+    this.ready = onCallFinished;
     this.callsAt = timers.now();
   }
 
-  /** Whether a call may be made now: none is under way, and short bursts keep to the rate. */
+  /** Whether a call may be made now: none is in progress, and the token bucket has a token. */
   boolean free() {
     double now = timers.now();
     if (calling || now < nextCall) {
@@ -86,12 +96,14 @@
     return calls >= 1;
   }
 
-  /** A term begins: what was not answered in an earlier one says nothing of now. */
+  /**
+   * Resets the count of unanswered calls at the start of a term; those of earlier terms are stale.
+   */
   void begin() {
     unanswered = 0;
   }
 
-  /** Whether the cloud can be reached from here, as far as the last calls tell. */
+  /** Whether the cloud is reachable from this controller, judged by the latest calls. */
   boolean reachable() {
     return unanswered < CUT_OFF;
   }
@@ -120,7 +132,7 @@
                         })));
   }
 
-  /** Lists all machines; nothing is heard of a list that does not come whole. */
+  /** Lists all machines; {@code then} is not called if any page fails. */
   void list(Consumer<List<Listed>> then) {
     list("", new ArrayList<>(), then);
   }
@@ -149,12 +161,12 @@
               then.accept(all);
             }
           } catch (BadMessage e) {
-            LOG.log(Level.INFO, "the machine list cannot be read: {0}", e.getMessage());
+            LOG.log(Level.INFO, "cannot read the machine list: {0}", e.getMessage());
           }
         });
   }
 
-  /** Asks for the catalog with its current prices; nothing is heard of one that does not come. */
+  /** Fetches the catalog with current prices; {@code then} is not called if that fails. */
   void catalog(Consumer<Doc> then) {
     call(
         "GET",
@@ -165,20 +177,19 @@
             try {
               then.accept(Doc.decode(reply.body()));
             } catch (BadMessage e) {
-              LOG.log(Level.INFO, "the catalog cannot be read: {0}", e.getMessage());
+              LOG.log(Level.INFO, "cannot read the catalog: {0}", e.getMessage());
             }
           }
         });
   }
 
-  /** What came of a deletion; REFUSED means that nothing was deleted. */
+  /** Outcome of a deletion; {@code REFUSED} means that nothing was deleted. */
   enum Deletion {
     CONFIRMED,
     REFUSED,
     UNCLEAR
   }
 
-  /** Deletes machines. */
   void delete(List<String> hosts, Consumer<Deletion> then) {
     call(
         "POST",
@@ -191,6 +202,7 @@
                     : outcome(reply) == Outcome.UNCLEAR ? Deletion.UNCLEAR : Deletion.REFUSED));
   }
 
+  /** Rents machines. */
   void hire(Hire h, Consumer<Rented> then) {
     call(
         "POST",
@@ -207,7 +219,8 @@
             try {
               hosts = Doc.decode(reply.body()).texts("hosts");
             } catch (BadMessage e) {
-              LOG.log(Level.INFO, "the answer to a hire cannot be read: {0}", e.getMessage());
+              LOG.log(
+                  Level.INFO, "cannot read the response to a rent request: {0}", e.getMessage());
             }
           }
           then.accept(new Rented(outcome(reply), hosts));
--- a/src/main/java/dev/dunefront/fleet/ConfirmedDeletions.java
+++ b/src/main/java/dev/dunefront/fleet/ConfirmedDeletions.java
@@ -9,8 +9,9 @@
 import java.util.List;
 
 /**
- * Records the ends of machines that the cloud has confirmed, by which all that ran there is proven
- * gone. An end is true whoever writes it down, so this needs no duty.
+ * Records machine deletions that the cloud has confirmed; such a record proves that every task
+ * attempt on the machine is over. A confirmed deletion holds no matter which controller records it,
+ * so the write needs no duty.
  */
 final class ConfirmedDeletions {
   private static final double AGAIN_S = 0.5;
@@ -21,7 +22,7 @@
   private final DecisionLock decisionLock;
   private final int most;
 
-  /** At most {@code changes} records are written in one transaction. */
+  /** {@code changes} limits the records written in one transaction. */
   ConfirmedDeletions(
       Holds holds, Store store, Timers timers, DecisionLock decisionLock, int changes) {
     this.holds = holds;
@@ -32,15 +33,15 @@
   }
 
   void record(List<String> hosts) {
-    List<String> left = new ArrayList<>();
+    List<String> unrecorded = new ArrayList<>();
     for (String host : hosts) {
       Holds.Hold hold = holds.get(host);
       if (hold == null || !hold.dead()) {
-        left.add(host);
+        unrecorded.add(host);
       }
     }
-    for (int from = 0; from < left.size(); from += most) {
-      write(left.subList(from, Math.min(left.size(), from + most)));
+    for (int from = 0; from < unrecorded.size(); from += most) {
+      write(unrecorded.subList(from, Math.min(unrecorded.size(), from + most)));
     }
   }
 
@@ -57,7 +58,7 @@
         mark,
         done -> {
           if (!done.ok()) {
-            // Somebody has taken one of them meanwhile: the others need not wait for its record.
+            // One of the holds has changed: write each separately, so that it delays no other.
             timers.after(
                 AGAIN_S,
                 () -> decisionLock.run(() -> hosts.forEach(host -> record(List.of(host)))));
--- a/src/main/java/dev/dunefront/fleet/Fleet.java
+++ b/src/main/java/dev/dunefront/fleet/Fleet.java
@@ -22,27 +22,27 @@
 import java.util.Set;
 
 /**
- * Rents and returns machines while this controller has that duty: decides by {@link Planner} and
- * {@link Health} what to do next, and has {@link Acts} do it. A term begins with what the holder
- * before has left open.
+ * Rents and returns machines while this controller holds the rent duty. {@link Planner} and {@link
+ * Health} decide what to do next, and {@link Acts} executes it. A term starts with the operations
+ * that the previous holder left open.
  */
 public final class Fleet {
   private static final System.Logger LOG = System.getLogger(Fleet.class.getName());
   private static final int MAX_DELETE = 100;
 
-  /** How often current prices are asked for. */
+  /** How often current prices are fetched. */
   private static final double PRICES_S = 60;
 
   /**
-   * How soon is looked again after nothing was to be done. A look walks over all machines and all
-   * open jobs, which at a thousand machines is what the renting controller spends most on.
+   * Delay before planning again after a plan without operations. Planning visits all machines and
+   * all open jobs; at a thousand machines it is the largest cost of the renting controller.
    */
   private static final double PLAN_S = 0.5;
 
-  /** How often a machine that is to be returned is told so. */
+  /** How often a machine's holder is asked to close a machine that is to be returned. */
   private static final double RETIRE_S = 2;
 
-  /** How long a term waits at its beginning for the controllers to tell what they have waiting. */
+  /** How long a new term waits for all live controllers to report their demand. */
   private static final double HEAR_S = 1.5;
 
   private final double lagS;
@@ -62,7 +62,7 @@
   private final Map<Kind, Double> refused = new HashMap<>();
   private final Map<String, Double> retiredAt = new HashMap<>();
 
-  /** The term that has begun here; 0 for none. */
+  /** The term that was started here; 0 if none. */
   private long term;
 
   private long hires;
@@ -121,7 +121,7 @@
             this::tick);
   }
 
-  /** The controller that rents, or null. */
+  /** The controller that holds the rent duty, or null if none does. */
   public String leaderNode() {
     return duties.holder(Duty.RENT);
   }
@@ -134,29 +134,29 @@
     demands.remove(node);
   }
 
-  /** Acts left open by a holder before that were asked for again here. */
+  /** Number of operations left open by a previous holder that were repeated here. */
   public int repeated() {
     return acts.repeated();
   }
 
-  /** Acts on record that no longer stood when they were to be asked for. */
+  /** Number of recorded operations that no longer applied when they were due. */
   public int dropped() {
     return acts.dropped();
   }
 
-  /** Called several times a second; the cloud is called as often as its rate allows. */
+  /** Runs several times a second; calls the cloud as often as its rate limit allows. */
   public void tick() {
-    long mine = duties.term(Duty.RENT);
-    if (mine == 0 || !catalog.known()) {
-      // Whoever does not know the machine types yet leaves the duty to others.
+    long heldTerm = duties.term(Duty.RENT);
+    if (heldTerm == 0 || !catalog.known()) {
+      // A controller without a catalog cannot rent, so it leaves the duty to others.
       duties.able(Duty.RENT, catalog.known());
       term = 0;
       return;
     }
     interest.need(Detail.LOAD);
     double now = timers.now();
-    if (mine != term || acts.lost()) {
-      begin(mine, now);
+    if (heldTerm != term || acts.lost()) {
+      begin(heldTerm, now);
     }
     duties.able(Duty.RENT, cloud.reachable());
     acts.tend();
@@ -165,7 +165,8 @@
         .forEach(
             (host, why) -> {
               if (why == ReturnReason.IDLE) {
-                // Until the cloud has answered, or it would open and be used meanwhile.
+                // Repeated until the cloud responds; otherwise the machine would reopen and receive
+                // tasks.
                 close(host, now);
               }
             });
@@ -189,9 +190,9 @@
     }
   }
 
-  private void begin(long mine, double now) {
-    LOG.log(Level.INFO, "renting and returning machines from now on, in term {0}", mine);
-    term = mine;
+  private void begin(long newTerm, double now) {
+    LOG.log(Level.INFO, "started renting and returning machines in term {0}", newTerm);
+    term = newTerm;
     since = now;
     listed = false;
     nextPrices = now + PRICES_S;
@@ -201,14 +202,16 @@
     inventory.clear();
     retiredAt.clear();
     refused.clear();
-    // What was told in an earlier term is old; all tell the new holder within half a second.
+    // Demand reported in an earlier term is stale; every controller reports to the new holder
+    // within half a second.
     demands.clear();
-    acts.begin(mine, () -> health.begin(acts.intents(), timers.now(), timers.timeOfDayMs()));
+    acts.begin(newTerm, () -> health.begin(acts.intents(), timers.now(), timers.timeOfDayMs()));
   }
 
   /**
-   * Whether enough is known to decide by: the machines that there are, and what waits at every
-   * controller that lives, as the holder before knew it.
+   * Whether the inventory is loaded and every live controller has reported its demand, or the wait
+   * for those reports is over. Before that, a decision would be based on less than the previous
+   * holder knew.
    */
   private boolean heard(double now) {
     return listed && (now - since > HEAR_S || demands.keySet().containsAll(membership.liveNodes()));
@@ -231,7 +234,7 @@
     }
   }
 
-  /** Tells a machine's holder, now and then, to close it for some seconds. */
+  /** Asks the machine's holder, at a limited rate, to close the machine for some seconds. */
   private void close(String host, double now) {
     Room.Seen seen = room.get(host);
     if (seen != null && now - retiredAt.getOrDefault(host, Double.NEGATIVE_INFINITY) > RETIRE_S) {
@@ -240,17 +243,17 @@
     }
   }
 
-  /** Machines that are to be deleted, each for a reason of its own. */
+  /** Selects the machines to delete, each with its reason. */
   private Map<String, ReturnReason> toReturn(Planner.Plan plan, double now) {
     Map<String, ReturnReason> why = new HashMap<>();
-    Set<String> unheard = new HashSet<>();
-    demands.values().forEach(d -> unheard.addAll(d.unheard()));
-    health.check(now, now - since, demands.keySet(), unheard, why);
+    Set<String> unreported = new HashSet<>();
+    demands.values().forEach(d -> unreported.addAll(d.unheard()));
+    health.check(now, now - since, demands.keySet(), unreported, why);
     for (String host : planner.idlers(plan)) {
       if (room.get(host).view().retiring()) {
         why.put(host, ReturnReason.IDLE);
       } else {
-        // Its holder closes it first; only then can nothing be placed on it any more.
+        // The holder closes the machine first; only then can no task be placed on it any more.
         close(host, now);
       }
     }
--- a/src/main/java/dev/dunefront/fleet/Forecast.java
+++ b/src/main/java/dev/dunefront/fleet/Forecast.java
@@ -11,23 +11,23 @@
 import java.util.Set;
 
 /**
- * Urgent work that is to be expected while a machine would boot: it has no time to wait for one.
- * Arrays come and go, and a burst of them is in proportion to what is open. Services stay, so what
- * is open says nothing of what will come; what came lately does.
+ * Forecasts the urgent tasks that will arrive within the time that a new machine takes to boot;
+ * they cannot wait for one. Arrays are short-lived, and a burst of them is proportional to the open
+ * tasks. Services are long-lived, so the forecast for them uses recent arrivals instead.
  */
 final class Forecast {
-  /** Of a single job no more tasks than these count. */
+  /** Maximum number of tasks counted for a single job. */
   private static final int MAX_TASKS = 1000;
 
   private static final int WINDOWS = 2;
 
   /**
-   * What came in one window comes again, but only up to so many times what came in the one before:
-   * a single wave, as at the start of a day, is no habit.
+   * The arrivals of the latest window are expected again, up to this many times those of the window
+   * before it; a single wave, as at the start of a day, does not repeat.
    */
   private static final double GROWTH = 2;
 
-  /** Room for at least so many of the largest services that came lately is kept. */
+  /** Room is kept for at least this many services of the largest open size in a job class. */
   private static final int LARGEST = 2;
 
   private Forecast() {}
@@ -39,12 +39,18 @@
   }
 
   /**
+   * Returns the expected urgent tasks as needs.
+   *
    * @param zones all zones
-   * @param part how much of what is open is kept ready at most
-   * @param windowS how long a machine takes to come
+   * @param fraction room to keep ready, at most, as a fraction of the open tasks
+   * @param windowS time from the rent request until a machine takes tasks
    */
   static List<Need> urgent(
-      Collection<JobTable.Entry> jobs, Set<String> zones, double part, double windowS, long nowMs) {
+      Collection<JobTable.Entry> jobs,
+      Set<String> zones,
+      double fraction,
+      double windowS,
+      long nowMs) {
     List<Need> needs = new ArrayList<>();
     Map<String, Arrivals> services = new HashMap<>();
     for (JobTable.Entry e : jobs) {
@@ -54,7 +60,7 @@
       }
       int tasks = Math.min(spec.tasks(), MAX_TASKS);
       if (!spec.service()) {
-        needs.add(Need.expected(spec, tasks * part, zones(spec, tasks * part, zones)));
+        needs.add(Need.expected(spec, tasks * fraction, zones(spec, tasks * fraction, zones)));
         continue;
       }
       Arrivals a = services.computeIfAbsent(spec.jobClass(), c -> new Arrivals());
@@ -68,20 +74,20 @@
       }
     }
     for (Arrivals a : services.values()) {
-      double habit = Math.min(a.tasks[0], GROWTH * a.tasks[1]);
+      double recurring = Math.min(a.tasks[0], GROWTH * a.tasks[1]);
       double largest = Math.min(a.largest.tasks(), MAX_TASKS);
-      double tasks = Math.min(a.open * part, Math.max(habit, LARGEST * largest));
+      double tasks = Math.min(a.open * fraction, Math.max(recurring, LARGEST * largest));
       needs.add(Need.expected(a.largest, tasks, zones(a.largest, tasks, zones)));
     }
     return needs;
   }
 
-  /** Tasks that must be apart want room in more zones than one. */
+  /** Limits tasks that must be spread to half of them per zone; empty if any zone may take all. */
   private static Map<String, Integer> zones(JobSpec spec, double tasks, Set<String> all) {
-    Map<String, Integer> most = new HashMap<>();
+    Map<String, Integer> limits = new HashMap<>();
     if (spec.spread()) {
-      all.forEach(zone -> most.put(zone, (int) Math.ceil(tasks / 2)));
+      all.forEach(zone -> limits.put(zone, (int) Math.ceil(tasks / 2)));
     }
-    return most;
+    return limits;
   }
 }
--- a/src/main/java/dev/dunefront/fleet/Health.java
+++ b/src/main/java/dev/dunefront/fleet/Health.java
@@ -11,17 +11,20 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Which machines are to be deleted because they are of no use any more, and why. */
+/** Decides which machines to delete because they failed, are silent or are gone, and why. */
 final class Health {
-  /** A zone with at least so many silent machines, and this part of all, is cut off. */
+  /**
+   * A zone counts as partitioned if at least this many of its machines are silent, and more than
+   * {@link #CUT_PART} of all.
+   */
   private static final int CUT_LEAST = 4;
 
   private static final double CUT_PART = 0.3;
 
-  /** How often records are looked through for machines that are gone. */
+  /** How often the hold records are scanned for machines that no longer exist. */
   private static final double STRAYS_S = 10;
 
-  /** How many leases long machines in a cut zone are waited for. */
+  /** Timeout for silent machines in a partitioned zone, in worker leases. */
   private static final double CUT_LEASES = 10;
 
   private final Settings settings;
@@ -34,7 +37,7 @@
   private final Map<String, Double> unlistedSince = new HashMap<>();
   private final Map<String, Double> deafSince = new HashMap<>();
 
-  /** Machines on record that are neither heard nor listed, as of the last look. */
+  /** Recorded machines that neither report nor are listed, as of the last scan. */
   private Set<String> strays = Set.of();
 
   private double straysAt = Double.NEGATIVE_INFINITY;
@@ -54,7 +57,11 @@
     this.inventory = inventory;
   }
 
-  /** Begins with what a former holder of the duty has noted: times of day, now being one. */
+  /**
+   * Starts a term with the times that the previous holder recorded.
+   *
+   * @param nowMs the time of day that corresponds to {@code now} on the steady clock
+   */
   void begin(Intents left, double now, long nowMs) {
     restore(left.silent, silentSince, now, nowMs);
     restore(left.unlisted, unlistedSince, now, nowMs);
@@ -66,7 +73,10 @@
     from.forEach((host, ms) -> into.put(host, Math.min(now, now - (nowMs - ms) / 1000.0)));
   }
 
-  /** Notes since when machines are silent; says whether that has changed. */
+  /**
+   * Saves since when machines are silent or unlisted, as times of day; returns whether the set of
+   * such machines has changed.
+   */
   boolean note(Intents into, double now, long nowMs) {
     boolean changed = !into.silent.keySet().equals(silentSince.keySet());
     changed |= !into.unlisted.keySet().equals(unlistedSince.keySet());
@@ -84,23 +94,24 @@
   }
 
   /**
-   * Puts machines and reasons into the map.
+   * Adds the machines to delete to {@code why}, with their reasons.
    *
-   * @param watchedS for how long this controller has watched
-   * @param heardFrom controllers that tell what they have
-   * @param unheard machines with tasks of which nobody tells
+   * @param watchedS time since this controller started its term
+   * @param reporting controllers that have reported their demand
+   * @param unreported machines with tasks for which no controller reports a view; changed by the
+   *     call
    */
   void check(
       double now,
       double watchedS,
-      Set<String> heardFrom,
-      Set<String> unheard,
+      Set<String> reporting,
+      Set<String> unreported,
       Map<String, ReturnReason> why) {
     double lease = settings.workers().leaseS();
-    Set<String> silent = silentHosts(heardFrom);
-    Set<String> cut = cutZones(silent);
-    // What a former holder has noted counts, but this one must have listened for a lease as well.
-    boolean listened = watchedS > lease;
+    Set<String> silent = silentHosts(reporting);
+    Set<String> partitioned = cutZones(silent);
+    // The previous holder's times count, but this controller must have watched for a lease as well.
+    boolean watchedLease = watchedS > lease;
     Set<String> running = new HashSet<>();
     for (Listed l : inventory.listed()) {
       Room.Seen seen = room.get(l.host());
@@ -108,16 +119,16 @@
       if (l.failed()) {
         why.put(l.host(), ReturnReason.FAILED);
       } else if (l.booting()) {
-        double patience = 30 + 4 * (type == null ? 30 : type.bootS());
-        if (seen == null && now - l.since() > patience) {
+        double bootTimeout = 30 + 4 * (type == null ? 30 : type.bootS());
+        if (seen == null && now - l.since() > bootTimeout) {
           why.put(l.host(), ReturnReason.NOT_BOOTING);
         }
       } else if (silent.contains(l.host())) {
         running.add(l.host());
         double since = silentSince.computeIfAbsent(l.host(), h -> now);
-        double patience =
-            cut.contains(l.kind().zone()) ? CUT_LEASES * lease : patience(type, lease);
-        if (now - since > patience && listened) {
+        double timeout =
+            partitioned.contains(l.kind().zone()) ? CUT_LEASES * lease : patience(type, lease);
+        if (now - since > timeout && watchedLease) {
           why.put(l.host(), ReturnReason.SILENT);
         }
       }
@@ -126,59 +137,62 @@
       }
     }
     silentSince.keySet().retainAll(running);
-    deaf(now, lease, listened, why);
+    deaf(now, lease, watchedLease, why);
     if (now - straysAt > STRAYS_S) {
       straysAt = now;
       strays = strays();
     }
-    unheard.addAll(strays);
-    unlisted(now, listened && watchedS > 2 * settings.cloudLimits().listLagS(), unheard, why);
+    unreported.addAll(strays);
+    unlisted(
+        now, watchedLease && watchedS > 2 * settings.cloudLimits().listLagS(), unreported, why);
   }
 
   /**
-   * Machines that are heard but do not hear are of no more use than silent ones, and are waited for
-   * as long; but they say nothing of their zone, which is heard. How long that has been so is not
-   * handed over: whoever has the duty next waits anew.
+   * Finds machines whose reports arrive but which receive no messages. They are as useless as
+   * silent machines and get the same timeout, but do not count towards a partition of their zone,
+   * since their reports arrive from it. The times are not handed over: the next holder of the duty
+   * starts the timeout again.
    */
-  private void deaf(double now, double lease, boolean listened, Map<String, ReturnReason> why) {
-    Set<String> deaf = new HashSet<>();
+  private void deaf(double now, double lease, boolean watchedLease, Map<String, ReturnReason> why) {
+    Set<String> notReceiving = new HashSet<>();
     for (Room.Seen seen : room.all()) {
       if (seen.view().deaf()) {
         String host = seen.view().host();
-        deaf.add(host);
+        notReceiving.add(host);
         double since = deafSince.computeIfAbsent(host, h -> now);
-        double patience = patience(catalog.type(seen.view().type()), lease);
-        if (now - since > patience && listened) {
+        double timeout = patience(catalog.type(seen.view().type()), lease);
+        if (now - since > timeout && watchedLease) {
           why.put(host, ReturnReason.DEAF);
         }
       }
     }
-    deafSince.keySet().retainAll(deaf);
+    deafSince.keySet().retainAll(notReceiving);
   }
 
   /**
-   * Machines that nobody hears and that are no longer listed are gone, yet somebody has tasks
-   * placed on them: the holder ended together with the machine, and its next life never heard of
-   * it. Only the cloud's answer to a deletion proves those tasks gone; without it they would wait
-   * for ever.
+   * Finds machines that neither report nor are listed although they have tasks placed on them. The
+   * holder failed together with the machine, and after its restart the machine never reported to
+   * it. Only the cloud's confirmation of a deletion proves that those tasks are over; without it
+   * they would never be placed again.
    */
   private void unlisted(
-      double now, boolean watched, Set<String> unheard, Map<String, ReturnReason> why) {
-    unheard.removeIf(h -> inventory.isListed(h) || inventory.isDeleted(h) || heard(room.get(h)));
-    unlistedSince.keySet().retainAll(unheard);
-    // A new machine is listed within twice the lag, and listed until it is gone.
-    double patience = 2 * settings.workers().leaseS() + 3 * settings.cloudLimits().listLagS();
-    for (String host : unheard) {
+      double now, boolean watched, Set<String> unreported, Map<String, ReturnReason> why) {
+    unreported.removeIf(h -> inventory.isListed(h) || inventory.isDeleted(h) || heard(room.get(h)));
+    unlistedSince.keySet().retainAll(unreported);
+    // A new machine is listed within twice the list lag and stays listed until it is deleted.
+    double timeout = 2 * settings.workers().leaseS() + 3 * settings.cloudLimits().listLagS();
+    for (String host : unreported) {
       double since = unlistedSince.computeIfAbsent(host, h -> now);
-      if (now - since > patience && watched) {
+      if (now - since > timeout && watched) {
         why.put(host, ReturnReason.UNLISTED);
       }
     }
   }
 
   /**
-   * Machines that were taken back without notice, or ended while nobody held them, leave their
-   * record behind. Once they are deleted by name it says that they are gone, and can go itself.
+   * Finds hold records of machines that the cloud reclaimed without notice, or that ended while no
+   * controller held them. Deleting such a machine by name marks its record as deleted, after which
+   * the clean-up removes it.
    */
   private Set<String> strays() {
     Set<String> found = new HashSet<>();
@@ -193,18 +207,18 @@
   }
 
   /**
-   * How long a silent machine is waited for: about as long as another would take to come. What
-   * fails the cloud itself lists as failed; what is silent mostly hangs or is cut off, and is back
-   * with its images before another has them.
+   * Timeout for a silent machine: about the time that a replacement would take. The cloud lists
+   * failed machines as failed; a silent one mostly hangs or is partitioned, and returns with its
+   * cached images before a replacement has fetched them.
    */
   private double patience(MachineType type, double lease) {
-    double boot = type == null ? 30 : type.bootS();
-    return 2 * lease + 1.5 * boot + settings.cloudLimits().listLagS();
+    double bootS = type == null ? 30 : type.bootS();
+    return 2 * lease + 1.5 * bootS + settings.cloudLimits().listLagS();
   }
 
   /**
-   * Zones of which so much is silent at once that the zone must be cut off, not its machines
-   * broken. Inside, they may well be heard and run their tasks.
+   * Zones in which so many machines are silent at once that a network partition is more likely than
+   * broken machines. Inside the zone they may still be reachable and run their tasks.
    */
   private Set<String> cutZones(Set<String> silent) {
     Map<String, int[]> zones = new HashMap<>();
@@ -215,33 +229,33 @@
         counts[1] += silent.contains(l.host()) ? 1 : 0;
       }
     }
-    Set<String> cut = new HashSet<>();
+    Set<String> partitioned = new HashSet<>();
     zones.forEach(
         (zone, counts) -> {
           if (counts[1] >= CUT_LEAST && counts[1] > counts[0] * CUT_PART) {
-            cut.add(zone);
+            partitioned.add(zone);
           }
         });
-    return cut;
+    return partitioned;
   }
 
   private static boolean heard(Room.Seen seen) {
     return seen != null && seen.view().settled() && !seen.view().lost();
   }
 
-  /** Listed machines that should be heard and are not. */
-  private Set<String> silentHosts(Set<String> heardFrom) {
+  /** Running listed machines from which no controller receives reports. */
+  private Set<String> silentHosts(Set<String> reporting) {
     Set<String> silent = new HashSet<>();
     for (Listed l : inventory.listed()) {
-      if (!l.failed() && !l.booting() && silent(l, room.get(l.host()), heardFrom)) {
+      if (!l.failed() && !l.booting() && silent(l, room.get(l.host()), reporting)) {
         silent.add(l.host());
       }
     }
     return silent;
   }
 
-  /** Nobody hears the machine, as far as can be told here. */
-  private boolean silent(Listed l, Room.Seen seen, Set<String> heardFrom) {
+  /** Whether no controller receives the machine's reports, as far as this controller knows. */
+  private boolean silent(Listed l, Room.Seen seen, Set<String> reporting) {
     if (seen != null) {
       return seen.view().lost();
     }
@@ -249,8 +263,8 @@
     if (hold == null || hold.dead()) {
       return hold != null;
     }
-    // A live holder that can be heard would have told of the machine if it heard it itself.
+    // A live holder that reports to this controller would have sent a view of the machine.
     String holder = Membership.nodeOf(hold.holder());
-    return !membership.liveNodes().contains(holder) || heardFrom.contains(holder);
+    return !membership.liveNodes().contains(holder) || reporting.contains(holder);
   }
 }
--- a/src/main/java/dev/dunefront/fleet/Idle.java
+++ b/src/main/java/dev/dunefront/fleet/Idle.java
@@ -9,35 +9,40 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Which idle machines to return: those that have idled longer than it pays to wait, that nothing
- * waiting could use, and that are not part of the room kept ready. Idling costs as much as a new
- * machine's boot after about as long as that takes.
+ * Selects the idle machines to return: those that exceed the idle timeout, that no queued task
+ * could use and that are not part of the room kept ready. A machine idle for as long as a boot
+ * takes has cost about as much as booting a new one.
  */
 final class Idle {
-  /** A machine on which nothing runs, and for how long that has been so. */
+  /** A machine without tasks, and for how long it has been idle. */
   record Machine(String host, Kind kind, double idleS) {}
 
   private Idle() {}
 
   /**
-   * @param spare room beyond what is to be kept ready, in machines by kind
-   * @param wanted kinds that something waiting could use
-   * @param holdS how long a machine of a kind is kept
+   * Returns the hosts to return, longest idle first.
+   *
+   * @param surplus room beyond that kept ready, in machines by kind
+   * @param usable kinds that some queued task could use
+   * @param idleTimeoutS how long an idle machine of a kind is kept
    */
   static List<String> toReturn(
-      List<Machine> idle, Map<Kind, Double> spare, Set<Kind> wanted, ToDoubleFunction<Kind> holdS) {
-    Map<Kind, Double> left = new HashMap<>(spare);
-    List<Machine> longest = new ArrayList<>(idle);
-    longest.sort(Comparator.comparingDouble(m -> -m.idleS));
-    List<String> all = new ArrayList<>();
-    for (Machine m : longest) {
-      if (m.idleS >= holdS.applyAsDouble(m.kind)
-          && !wanted.contains(m.kind)
-          && left.getOrDefault(m.kind, 0.0) >= 1) {
-        left.merge(m.kind, -1.0, Double::sum);
-        all.add(m.host);
+      List<Machine> idle,
+      Map<Kind, Double> surplus,
+      Set<Kind> usable,
+      ToDoubleFunction<Kind> idleTimeoutS) {
+    Map<Kind, Double> remaining = new HashMap<>(surplus);
+    List<Machine> longestFirst = new ArrayList<>(idle);
+    longestFirst.sort(Comparator.comparingDouble(m -> -m.idleS));
+    List<String> hosts = new ArrayList<>();
+    for (Machine m : longestFirst) {
+      if (m.idleS >= idleTimeoutS.applyAsDouble(m.kind)
+          && !usable.contains(m.kind)
+          && remaining.getOrDefault(m.kind, 0.0) >= 1) {
+        remaining.merge(m.kind, -1.0, Double::sum);
+        hosts.add(m.host);
       }
     }
-    return all;
+    return hosts;
   }
 }
--- a/src/main/java/dev/dunefront/fleet/Intents.java
+++ b/src/main/java/dev/dunefront/fleet/Intents.java
@@ -10,43 +10,47 @@
 import java.util.TreeMap;
 
 /**
- * What whoever rents leaves on record for its successor: what it is about to ask the cloud for and
- * has no answer to, what has come of hires that the lagging list may not show yet, and since when
- * machines are silent.
+ * What the holder of the rent duty records for the next holder: the rent requests and deletions
+ * that it is about to send or that have no response yet, the machines rented so recently that the
+ * cloud's lagging list may not show them, and since when machines are silent.
  */
 final class Intents {
-  /** Times of silence are written in steps of so many milliseconds, so that few of them differ. */
+  /** Since-times are rounded down to this step, so that many hosts share one group. */
   private static final long STEP_MS = 5_000;
 
-  /** What a host's name takes besides its characters, as the state service counts. */
+  /** Encoding overhead of a host name, as the state service counts the size of a value. */
   private static final int PER_NAME = 3;
 
+  /** Upper bound of the encoded size of a group without its host names. */
   private static final int PER_GROUP = 120;
 
-  /** Machines that came by a hire at a time of day. */
+  /** Machines rented by one request; {@code atMs} is a time of day. */
   record Came(Kind kind, long atMs, List<String> hosts) {}
 
-  /** Asked for, or about to be; by name. */
+  /** Rent requests sent or about to be sent, by name. */
   final Map<String, Hire> hires = new LinkedHashMap<>();
 
-  /** Deletions asked for, or about to be: the reason by host. */
+  /** Deletions sent or about to be sent: the reason by host. */
   final Map<String, ReturnReason> deletions = new LinkedHashMap<>();
 
-  /** Answered hires, oldest first. */
+  /** Rent requests with a response, oldest first. */
   final List<Came> came = new ArrayList<>();
 
-  /** Time of day since when nobody hears a machine. */
+  /** Time of day since when no controller receives a machine's reports, by host. */
   final Map<String, Long> silent = new TreeMap<>();
 
-  /** Time of day since when machines with tasks are neither heard nor listed. */
+  /** Time of day since when a machine with tasks neither reports nor is listed, by host. */
   final Map<String, Long> unlisted = new TreeMap<>();
 
-  /** The value to be kept, within so many bytes: what is most easily found out anew goes first. */
-  Doc write(int bytes) {
-    int left = bytes;
-    List<Doc> asked = new ArrayList<>();
+  /**
+   * Encodes the intents within a size limit. Open requests and deletions are always kept; the
+   * entries that are easiest to determine again are left out first.
+   */
+  Doc write(int maxBytes) {
+    int left = maxBytes;
+    List<Doc> rentDocs = new ArrayList<>();
     for (Hire h : hires.values()) {
-      asked.add(kind(h.kind()).put("name", h.name()).put("n", h.count()));
+      rentDocs.add(kind(h.kind()).put("name", h.name()).put("n", h.count()));
       left -= PER_GROUP;
     }
     Map<String, List<String>> reasons = new LinkedHashMap<>();
@@ -54,10 +58,10 @@
       reasons.computeIfAbsent(e.getValue().name(), r -> new ArrayList<>()).add(e.getKey());
       left -= e.getKey().length() + PER_NAME;
     }
-    List<Doc> toReturn = new ArrayList<>();
-    reasons.forEach((r, hosts) -> toReturn.add(Doc.of().put("why", r).put("hosts", hosts)));
+    List<Doc> deletionDocs = new ArrayList<>();
+    reasons.forEach((r, hosts) -> deletionDocs.add(Doc.of().put("why", r).put("hosts", hosts)));
     left -= ReturnReason.values().length * PER_GROUP;
-    List<Doc> arrived = new ArrayList<>();
+    List<Doc> completedDocs = new ArrayList<>();
     for (int i = came.size() - 1; i >= 0; i--) {
       Came c = came.get(i);
       left -= PER_GROUP;
@@ -67,16 +71,17 @@
       if (left < 0) {
         break;
       }
-      arrived.add(0, kind(c.kind).put("at", c.atMs).put("hosts", c.hosts));
+      completedDocs.add(0, kind(c.kind).put("at", c.atMs).put("hosts", c.hosts));
     }
-    Doc value = Doc.of().put("hires", asked).put("deletions", toReturn).put("came", arrived);
+    Doc value =
+        Doc.of().put("hires", rentDocs).put("deletions", deletionDocs).put("came", completedDocs);
     left = since(value, "unlisted", unlisted, left);
     since(value, "silent", silent, left);
     return value;
   }
 
-  private static int since(Doc value, String name, Map<String, Long> times, int bytes) {
-    int left = bytes;
+  private static int since(Doc value, String name, Map<String, Long> times, int maxBytes) {
+    int left = maxBytes;
     TreeMap<Long, List<String>> groups = new TreeMap<>();
     for (var e : times.entrySet()) {
       groups
@@ -106,7 +111,7 @@
     return new Kind(d.text("type"), d.text("zone"), d.flag("spot"));
   }
 
-  /** Reads what was left; null, which is nothing, is nothing. */
+  /** Decodes recorded intents; a null value gives empty ones. */
   static Intents read(Doc value) throws BadMessage {
     Intents i = new Intents();
     if (value == null) {
--- a/src/main/java/dev/dunefront/fleet/Inventory.java
+++ b/src/main/java/dev/dunefront/fleet/Inventory.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 
 /**
- * What is known of machines from the cloud: those listed, those rented that the lagging list has
- * yet to show, those deleted that it still shows.
+ * The machines known from the cloud: those listed, those rented that the lagging list does not show
+ * yet, and those deleted that it still shows.
  */
 final class Inventory {
   private record Expected(Kind kind, double at) {}
@@ -26,18 +26,21 @@
     this.lagS = lagS;
   }
 
-  /** Whoever begins to rent knows nothing of what was listed before. */
+  /**
+   * Clears the inventory at the start of a term, except for confirmed deletions, which stay valid.
+   */
   void clear() {
     listed.clear();
     expected.clear();
     deleting.clear();
   }
 
-  /** Whether a machine that came by a hire has yet to show in the list. */
+  /** Whether the machine was rented and the list does not show it yet. */
   boolean isExpected(String host) {
     return expected.containsKey(host);
   }
 
+  /** Replaces the listed machines by a new list. */
   void took(List<Listed> all, double now) {
     Map<String, Listed> next = new HashMap<>();
     for (Listed l : all) {
@@ -52,15 +55,17 @@
     expected.values().removeIf(e -> now - e.at > 4 * lagS);
   }
 
-  /** Machines that were rented then, which the list may not show yet. */
+  /** Adds machines that were rented at a time on the steady clock and may not be listed yet. */
   void expect(List<String> hosts, Kind kind, double at) {
     hosts.forEach(h -> expected.put(h, new Expected(kind, at)));
   }
 
+  /** Marks machines whose deletion is recorded but not confirmed. */
   void deleting(List<String> hosts) {
     deleting.addAll(hosts);
   }
 
+  /** Ends pending deletions, either confirmed by the cloud or cancelled. */
   void deleted(List<String> hosts, boolean confirmed, double now) {
     deleting.removeAll(hosts);
     if (confirmed) {
@@ -91,15 +96,15 @@
     return listed.containsKey(host);
   }
 
-  /** Machines that are rented and not yet held by anybody. */
+  /** Counts the machines that are rented and that no controller holds yet. */
   Map<Kind, Double> coming(Room room) {
-    Map<Kind, Double> coming = new HashMap<>();
+    Map<Kind, Double> arriving = new HashMap<>();
     for (Listed l : listed.values()) {
       if (!l.failed() && !deleted.containsKey(l.host()) && room.get(l.host()) == null) {
-        coming.merge(l.kind(), 1.0, Double::sum);
+        arriving.merge(l.kind(), 1.0, Double::sum);
       }
     }
-    expected.values().forEach(e -> coming.merge(e.kind, 1.0, Double::sum));
-    return coming;
+    expected.values().forEach(e -> arriving.merge(e.kind, 1.0, Double::sum));
+    return arriving;
   }
 }
--- a/src/main/java/dev/dunefront/fleet/Kind.java
+++ b/src/main/java/dev/dunefront/fleet/Kind.java
@@ -1,9 +1,9 @@
 package dev.dunefront.fleet;
 
 /**
- * What is rented: a type of machine in a zone, spot or ordinary. A plan looks kinds up for every
- * machine there is, so both methods below are written out: names cache their hashes, and most kinds
- * that meet are the same object.
+ * A kind of machine that can be rented: a machine type in a zone, spot or on-demand. Planning looks
+ * up the kind of every machine, so both methods are written out for speed: strings cache their
+ * hashes, and most compared kinds are the same object.
  */
 record Kind(String type, String zone, boolean spot) {
   @Override
--- a/src/main/java/dev/dunefront/fleet/Market.java
+++ b/src/main/java/dev/dunefront/fleet/Market.java
@@ -8,22 +8,25 @@
 import java.util.Set;
 
 /**
- * Chooses what to rent. It is given what there is and what can be had, and decides without a look
- * at anything else; machines are counted with parts, for tasks of several jobs share one.
+ * Chooses the machine kinds to rent, from the given machines and available kinds alone. Machine
+ * counts are fractional, since tasks of several jobs share a machine.
  */
 final class Market {
   static final int MAX_HIRE = 50;
+
+  /** Tolerance for fractional counts. */
   private static final double NONE = 1e-6;
+
   private static final double URGENT_WEIGHT = 4;
 
-  /** What machines many times too large count as, in multiples of their price. */
+  /** Cost factor for oversized machines that should be left to other jobs. */
   private static final double OVERSIZE_COST = 2;
 
   private final Catalog catalog;
   private final Set<Kind> refused;
   private final Map<Kind, Double> planned = new LinkedHashMap<>();
 
-  /** Kinds of which urgent work needs some. */
+  /** Kinds planned for queued urgent tasks. */
   private final Set<Kind> urgent = new HashSet<>();
 
   Market(Catalog catalog, Set<Kind> refused) {
@@ -31,42 +34,42 @@
     this.refused = refused;
   }
 
-  /** Takes room for the tasks from machines that there are, or come, and that they would use. */
+  /** Allocates existing or arriving machines that the tasks would use, and reduces both counts. */
   void fill(Need need, Map<Kind, Double> machines) {
     for (var e : machines.entrySet()) {
-      int fit = couldUse(need.spec, e.getKey()) ? fit(need.spec, e.getKey()) : 0;
-      double wanted = need.wantedIn(e.getKey().zone());
-      if (fit > 0 && wanted > NONE) {
-        double used = Math.min(e.getValue(), wanted / fit);
-        need.found(e.getKey().zone(), used * fit);
+      int perMachine = couldUse(need.spec, e.getKey()) ? fit(need.spec, e.getKey()) : 0;
+      double unmet = need.wantedIn(e.getKey().zone());
+      if (perMachine > 0 && unmet > NONE) {
+        double used = Math.min(e.getValue(), unmet / perMachine);
+        need.found(e.getKey().zone(), used * perMachine);
         e.setValue(e.getValue() - used);
       }
     }
   }
 
   /**
-   * Adds machines for the tasks to the plan, the cheapest first, as far as they can be had. Of a
-   * kind that has been planned as often as one call rents, the rest is left to the next call: what
-   * is dearer is not taken for it.
+   * Adds machines for the tasks to the plan, the cheapest available kinds first. Once a kind
+   * reaches the limit of one rent request, the rest waits for the next request instead of using a
+   * more expensive kind.
    */
   void plan(Need need, boolean spotOnly) {
     Kind kind;
     while (need.missing() > NONE && (kind = choose(need, spotOnly)) != null) {
-      int fit = fit(need.spec, kind);
-      double had = planned.getOrDefault(kind, 0.0);
-      double more = Math.min(MAX_HIRE - had, need.wantedIn(kind.zone()) / fit);
+      int perMachine = fit(need.spec, kind);
+      double already = planned.getOrDefault(kind, 0.0);
+      double more = Math.min(MAX_HIRE - already, need.wantedIn(kind.zone()) / perMachine);
       if (more <= NONE) {
         return;
       }
-      planned.put(kind, had + more);
+      planned.put(kind, already + more);
       if (need.waits && need.spec.priority().urgent()) {
         urgent.add(kind);
       }
-      need.found(kind.zone(), more * fit);
+      need.found(kind.zone(), more * perMachine);
     }
   }
 
-  /** Whether spot machines that the job may use might still be had. */
+  /** Whether a spot kind that the job may use has not been refused by the cloud. */
   boolean spotToBeHad(JobSpec spec) {
     return catalog.types().stream().anyMatch(t -> toBeHad(spec, t, true));
   }
@@ -82,37 +85,37 @@
   }
 
   /**
-   * The kind of which most is planned, or null. Machines for urgent work count several times, but
-   * do not go first: its jobs come one by one, and each call for a few machines would keep hundreds
-   * waiting for theirs.
+   * The kind to rent next: the one with the most planned machines, or null if none is planned.
+   * Kinds for urgent tasks get a higher weight but no strict precedence: urgent jobs arrive one by
+   * one, and a request for a few machines each time would delay hundreds of others.
    */
   Kind most() {
-    Kind most = null;
+    Kind heaviest = null;
     for (Kind k : planned.keySet()) {
-      if (most == null || weight(k) > weight(most)) {
-        most = k;
+      if (heaviest == null || weight(k) > weight(heaviest)) {
+        heaviest = k;
       }
     }
-    return most;
+    return heaviest;
   }
 
   private double weight(Kind kind) {
     return planned.get(kind) * (urgent.contains(kind) ? URGENT_WEIGHT : 1);
   }
 
-  /** How many machines of the kind are planned. */
+  /** Number of planned machines of the kind, rounded up. */
   int count(Kind kind) {
     return (int) Math.ceil(planned.getOrDefault(kind, 0.0) - NONE);
   }
 
-  /** Whether the job's tasks would use a machine of the kind rather than wait for another. */
+  /** Whether the job's tasks would use a machine of the kind rather than wait for a cheaper one. */
   boolean couldUse(JobSpec spec, Kind kind) {
     return fit(spec, kind) > 0
         && (!catalog.dear(spec, catalog.type(kind.type()))
             || !toBeHad(spec, catalog.home(spec), false));
   }
 
-  /** How many tasks of the job a machine of the kind takes. */
+  /** How many tasks of the job fit on a machine of the kind; 0 if it is not allowed there. */
   int fit(JobSpec spec, Kind kind) {
     MachineType t = catalog.type(kind.type());
     return t != null && spec.allows(kind.type(), kind.zone(), kind.spot())
@@ -124,20 +127,20 @@
   private Kind choose(Need need, boolean spotOnly) {
     Kind best = null;
     double bestCost = Double.MAX_VALUE;
-    boolean leavesLarge = catalog.leavesLarge(need.spec);
+    boolean avoidsOversized = catalog.leavesLarge(need.spec);
     for (MachineType t : catalog.types()) {
       for (String zone : t.zones()) {
         for (boolean spot : new boolean[] {false, true}) {
           Kind kind = new Kind(t.name(), zone, spot);
-          int fit = fit(need.spec, kind);
-          if (fit == 0
+          int perMachine = fit(need.spec, kind);
+          if (perMachine == 0
               || spotOnly && !spot
               || refused.contains(kind)
               || need.wantedIn(zone) <= NONE) {
             continue;
           }
-          double cost = (spot ? t.spotPrice() : t.price()) / fit * bootPart(need, t, spot);
-          if (fit >= Catalog.OVERSIZE && leavesLarge) {
+          double cost = (spot ? t.spotPrice() : t.price()) / perMachine * bootPart(need, t, spot);
+          if (perMachine >= Catalog.OVERSIZE && avoidsOversized) {
             cost *= OVERSIZE_COST;
           }
           boolean full = planned.getOrDefault(kind, 0.0) >= MAX_HIRE;
@@ -152,12 +155,17 @@
     return best;
   }
 
-  /** Whether an ordinary machine is taken for a peak, where spot machines would do. */
+  /**
+   * Whether this is an on-demand machine for a load peak that spot machines could serve as well.
+   */
   private static boolean peak(Need need, boolean spot) {
     return need.spec.spot() && !need.spec.priority().urgent() && !spot;
   }
 
-  /** A machine for a peak boots for a single run; that adds to the price of a task, as a factor. */
+  /**
+   * Cost factor for the boot time: a machine rented for a load peak boots for a single run, so its
+   * boot is part of the cost of a task.
+   */
   private static double bootPart(Need need, MachineType type, boolean spot) {
     return peak(need, spot) && need.runS > 0 ? 1 + type.bootS() / need.runS : 1;
   }
--- a/src/main/java/dev/dunefront/fleet/Need.java
+++ b/src/main/java/dev/dunefront/fleet/Need.java
@@ -4,35 +4,36 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Tasks of a job that want machines; goes down as machines are found or planned for them. */
+/** Tasks of a job that need machines; the count decreases as machines are allocated or planned. */
 final class Need {
   final JobSpec spec;
 
-  /** How long a task takes, or 0 if that is not known. */
+  /** Expected run time of a task, or 0 if unknown. */
   final double runS;
 
-  /** Whether somebody waits, or it is only expected that somebody will. */
+  /** Whether the tasks are queued; false if they are only forecast. */
   final boolean waits;
 
   private double missing;
 
-  /** How many each zone may take; empty if that does not matter. */
+  /** How many tasks each zone may still take; empty if there is no limit per zone. */
   private final Map<String, Double> zones = new HashMap<>();
 
-  private Need(JobSpec spec, double tasks, Map<String, Integer> zones, double runS, boolean waits) {
+  private Need(
+      JobSpec spec, double tasks, Map<String, Integer> zones, double runS, boolean queued) {
     this.spec = spec;
     this.runS = runS;
-    this.waits = waits;
+    this.waits = queued;
     this.missing = tasks;
     zones.forEach((zone, n) -> this.zones.put(zone, (double) n));
   }
 
-  /** Tasks that wait, with the time that each takes. */
+  /** A need for queued tasks. */
   static Need waiting(JobSpec spec, double tasks, Map<String, Integer> zones, double runS) {
     return new Need(spec, tasks, zones, runS, true);
   }
 
-  /** Tasks that are expected. */
+  /** A need for forecast tasks. */
   static Need expected(JobSpec spec, double tasks, Map<String, Integer> zones) {
     return new Need(spec, tasks, zones, 0, false);
   }
@@ -41,7 +42,7 @@
     return missing;
   }
 
-  /** How many tasks a machine, or any number of machines, of the zone may take. */
+  /** How many of the unmet tasks the zone may take. */
   double wantedIn(String zone) {
     return zones.isEmpty() ? missing : Math.min(missing, zones.getOrDefault(zone, 0.0));
   }
@@ -51,7 +52,7 @@
     zones.computeIfPresent(zone, (z, n) -> n - tasks);
   }
 
-  /** Leaves out so many tasks; returns them as a need of their own. */
+  /** Moves up to this many tasks into a separate need. */
   Need split(double tasks) {
     Need part = new Need(spec, Math.min(tasks, missing), Map.of(), runS, waits);
     part.zones.putAll(zones);
--- a/src/main/java/dev/dunefront/fleet/Planner.java
+++ b/src/main/java/dev/dunefront/fleet/Planner.java
@@ -19,10 +19,11 @@
 import java.util.Set;
 
 /**
- * What to rent and which idle machines to return, from what waits, what there is and what comes.
+ * Plans what to rent and which idle machines to return, from queued and forecast tasks and from
+ * existing and arriving machines.
  */
 final class Planner {
-  /** What besides its boot passes until a rented machine takes tasks. */
+  /** Time besides its boot until a rented machine takes tasks. */
   private static final double ARRIVAL_S = 10;
 
   private final Tunables tunables;
@@ -34,10 +35,10 @@
   private final Inventory inventory;
   private final Collection<Message.Demand> demands;
 
-  /** By the index that kinds of seen machines have. */
+  /** Machine kinds by the index of {@link Room.Kind}. */
   private final List<Kind> kinds = new ArrayList<>();
 
-  /** {@code demands} is what the controllers have told last, kept up to date by the caller. */
+  /** {@code demands} holds the latest demand of each controller; the caller keeps it up to date. */
   Planner(
       Tunables tunables,
       JobTable jobs,
@@ -58,69 +59,77 @@
   }
 
   /**
-   * What to rent next, if anything, which kinds something waiting could use, and what room there is
-   * beyond that kept ready.
+   * The result of planning.
+   *
+   * @param most kind to rent next, or null if nothing is to be rented
+   * @param count number of machines to rent
+   * @param wanted kinds that some queued task could use
+   * @param spare room beyond that kept ready, in machines by kind
    */
   record Plan(Kind most, int count, Set<Kind> wanted, Map<Kind, Double> spare) {}
 
   /**
-   * All that waits is put together first: the cloud takes few calls a second but many machines a
-   * call, so a wave of work is answered with few large hires.
+   * Plans for all queued tasks at once. The cloud accepts few calls per second but many machines
+   * per call, so a wave of jobs is served by a few large rent requests.
    */
   Plan plan(Set<Kind> refused) {
-    Map<Kind, Double> coming = inventory.coming(room);
+    Map<Kind, Double> arriving = inventory.coming(room);
     Map<Kind, Double> free = free();
-    Map<Kind, Double> counts = counts(coming);
+    Map<Kind, Double> counts = counts(arriving);
     Market market = new Market(catalog, refused);
-    Set<Kind> wanted = new HashSet<>();
+    Set<Kind> usable = new HashSet<>();
     List<Waiter> waiting = waiting();
     List<Need> expected = expected();
-    boolean spared = false;
-    double ahead = 0;
+    boolean servicesPlanned = false;
+    double tasksAhead = 0;
     for (Waiter w : waiting) {
       JobSpec spec = w.need.spec;
-      if (!spared && !spec.priority().urgent()) {
-        // What comes for replicas is not for arrays, which would have it rented again and again.
-        planSpare(market, expected, true, free, coming);
-        spared = true;
+      if (!servicesPlanned && !spec.priority().urgent()) {
+        // Machines arriving for service replicas are not allocated to arrays; otherwise machines
+        // for
+        // the replicas would be rented again and again.
+        planSpare(market, expected, true, free, arriving);
+        servicesPlanned = true;
       }
-      market.fill(w.need, coming);
-      Need left = w.need;
+      market.fill(w.need, arriving);
+      Need remaining = w.need;
       if (spec.spot() && w.slackS < Double.POSITIVE_INFINITY) {
-        ahead += left.missing();
-        market.plan(left, true);
-        boolean more = market.spotToBeHad(spec);
-        // What spot machines get done in time waits for them; ordinary ones are for the rest.
-        double inTime = more ? ahead : slots(market, spec, counts) * w.slackS / left.runS;
-        left = left.split(Math.max(0, ahead - inTime));
+        tasksAhead += remaining.missing();
+        market.plan(remaining, true);
+        boolean spotAvailable = market.spotToBeHad(spec);
+        // Tasks that spot machines can finish in time wait for them; on-demand machines are only
+        // for the rest.
+        double inTime =
+            spotAvailable ? tasksAhead : slots(market, spec, counts) * w.slackS / remaining.runS;
+        remaining = remaining.split(Math.max(0, tasksAhead - inTime));
         counts.keySet().stream()
             .filter(k -> k.spot() && market.couldUse(spec, k))
-            .forEach(wanted::add);
+            .forEach(usable::add);
       }
-      if (left.missing() > 0) {
-        counts.keySet().stream().filter(k -> market.couldUse(spec, k)).forEach(wanted::add);
-        market.plan(left, false);
+      if (remaining.missing() > 0) {
+        counts.keySet().stream().filter(k -> market.couldUse(spec, k)).forEach(usable::add);
+        market.plan(remaining, false);
       }
     }
-    if (!spared) {
-      planSpare(market, expected, true, free, coming);
+    if (!servicesPlanned) {
+      planSpare(market, expected, true, free, arriving);
     }
-    planSpare(market, expected, false, free, coming);
-    Kind most = market.most();
-    return new Plan(most, most == null ? 0 : market.count(most), wanted, free);
+    planSpare(market, expected, false, free, arriving);
+    Kind kind = market.most();
+    return new Plan(kind, kind == null ? 0 : market.count(kind), usable, free);
   }
 
-  /** Urgent work that is to be expected while a machine would come. */
+  /** Forecast urgent tasks within the time until a rented machine takes tasks. */
   private List<Need> expected() {
     if (tunables.spare() <= 0) {
       return List.of();
     }
-    double window = ARRIVAL_S;
+    double windowS = ARRIVAL_S;
     for (MachineType t : catalog.types()) {
-      window = Math.max(window, t.bootS() + ARRIVAL_S);
+      windowS = Math.max(windowS, t.bootS() + ARRIVAL_S);
     }
     return Forecast.urgent(
-        jobs.all(), catalog.zones(), tunables.spare(), window, timers.timeOfDayMs());
+        jobs.all(), catalog.zones(), tunables.spare(), windowS, timers.timeOfDayMs());
   }
 
   private static void planSpare(
@@ -128,20 +137,20 @@
       List<Need> expected,
       boolean services,
       Map<Kind, Double> free,
-      Map<Kind, Double> coming) {
+      Map<Kind, Double> arriving) {
     for (Need need : expected) {
       if (need.spec.service() == services) {
         market.fill(need, free);
-        market.fill(need, coming);
+        market.fill(need, arriving);
         market.plan(need, false);
       }
     }
   }
 
-  /** A need with the part of its slack that it may wait. */
+  /** A queued need, and how long it may wait for spot machines. */
   private record Waiter(Need need, double slackS) {}
 
-  /** All that waits for room, most urgent first. */
+  /** All queued needs, most urgent first. */
   private List<Waiter> waiting() {
     List<Waiter> all = new ArrayList<>();
     for (Message.Demand d : demands) {
@@ -152,7 +161,7 @@
         }
       }
     }
-    // What nobody has claimed yet, for want of room, needs room no less.
+    // Jobs that no controller has claimed yet for lack of room need room as well.
     for (JobTable.Entry e : jobs.all()) {
       if (e.record().claim() == null && e.record().status() == JobRecord.Status.OPEN) {
         JobSpec spec = e.record().spec();
@@ -170,26 +179,28 @@
 
   private Waiter waiter(JobRecord record, int tasks, Map<String, Integer> zones) {
     JobSpec spec = record.spec();
-    double fetch = 0;
-    double boot = Double.POSITIVE_INFINITY;
+    double fetchS = 0;
+    double bootS = Double.POSITIVE_INFINITY;
     for (MachineType t : catalog.types()) {
       if (spec.size().fits(t.size()) && t.fetchGbPerS() > 0) {
-        fetch = Math.max(fetch, spec.imageGb() / t.fetchGbPerS());
-        boot = Math.min(boot, t.bootS());
+        fetchS = Math.max(fetchS, spec.imageGb() / t.fetchGbPerS());
+        bootS = Math.min(bootS, t.bootS());
       }
     }
-    double run = urgencies.runS(spec) + fetch;
-    double age = (timers.timeOfDayMs() - record.acceptedMs()) / 1000.0;
-    Double slack = spec.priority().urgent() ? null : urgencies.slackS(spec, age, run);
-    // An ordinary machine must have the time to boot, and what runs now has half its run to go.
-    double patience =
-        slack == null
+    double runS = urgencies.runS(spec) + fetchS;
+    double ageS = (timers.timeOfDayMs() - record.acceptedMs()) / 1000.0;
+    Double slackS = spec.priority().urgent() ? null : urgencies.slackS(spec, ageS, runS);
+    // Time must remain for an on-demand machine to boot, and running tasks have on average half
+    // their
+    // run time left.
+    double maxSpotWaitS =
+        slackS == null
             ? Double.POSITIVE_INFINITY
-            : tunables.patience() * Math.max(0, slack - boot - run / 2);
-    return new Waiter(Need.waiting(spec, tasks, zones, Math.max(1, run)), patience);
+            : tunables.patience() * Math.max(0, slackS - bootS - runS / 2);
+    return new Waiter(Need.waiting(spec, tasks, zones, Math.max(1, runS)), maxSpotWaitS);
   }
 
-  /** How many of the job's tasks run at once on the spot machines that there are. */
+  /** How many of the job's tasks run concurrently on the existing and arriving spot machines. */
   private static double slots(Market market, JobSpec spec, Map<Kind, Double> counts) {
     double slots = 0;
     for (var e : counts.entrySet()) {
@@ -201,32 +212,32 @@
   }
 
   /**
-   * Room that nothing takes, in machines. Ordinary machines on which replicas would be at home and
-   * arrays are count as free: these leave soon, and were they counted, whatever they take of the
-   * room kept ready would be rented anew.
+   * Free room, in machines by kind. On-demand machines of a type that is cheapest for urgent work
+   * count as free while they run no urgent tasks: such tasks end soon, and if their room counted as
+   * used, machines to replace it would be rented.
    */
   private Map<Kind, Double> free() {
     Map<Kind, Double> free = new HashMap<>();
     for (Room.Seen s : room.all()) {
       MachineType t = catalog.type(s.view().type());
       if (t != null && t.size().cpu() > 0 && (s.view().open() || s.view().retiring())) {
-        boolean lent =
+        boolean borrowed =
             !s.view().spot() && !s.view().runsUrgent() && catalog.urgentHome(s.view().type());
-        double part = lent ? 1 : Math.max(0, (double) s.view().free().cpu() / t.size().cpu());
+        double part = borrowed ? 1 : Math.max(0, (double) s.view().free().cpu() / t.size().cpu());
         free.merge(kind(s), part, Double::sum);
       }
     }
     return free;
   }
 
-  /** All machines by kind, those that come included. */
-  private Map<Kind, Double> counts(Map<Kind, Double> coming) {
-    Map<Kind, Double> counts = new HashMap<>(coming);
+  /** Number of existing and arriving machines by kind. */
+  private Map<Kind, Double> counts(Map<Kind, Double> arriving) {
+    Map<Kind, Double> counts = new HashMap<>(arriving);
     room.all().forEach(s -> counts.merge(kind(s), 1.0, Double::sum));
     return counts;
   }
 
-  /** The kind of a machine that is seen; made once for each kind, not for each machine. */
+  /** The kind of a machine; cached by kind index, so that no object is created per machine. */
   private Kind kind(Room.Seen s) {
     int index = s.kind().index();
     while (kinds.size() <= index) {
@@ -242,12 +253,12 @@
 
   // ---- returning ----
 
-  /** Machines that idle and are to be returned. */
+  /** Idle machines to return. */
   List<String> idlers(Plan plan) {
     List<Idle.Machine> idle = new ArrayList<>();
     long now = timers.timeOfDayMs();
     for (Room.Seen s : room.all()) {
-      // Its holder says since when, so that whoever rents next knows it as well.
+      // The holder reports this time, so the next holder of the rent duty knows it as well.
       long since = s.view().idleSinceMs();
       if (since > 0 && !inventory.isDeleted(s.view().host())) {
         idle.add(new Idle.Machine(s.view().host(), kind(s), (now - since) / 1000.0));
@@ -257,17 +268,17 @@
   }
 
   /**
-   * How long an idle machine is kept: the less it costs, the longer, for what comes next starts as
-   * much sooner on a cheap machine as on a dear one.
+   * How long an idle machine is kept. Cheaper machines are kept longer: keeping one saves the next
+   * task as much startup time as keeping an expensive one.
    */
   private double holdS(Kind kind) {
     MachineType t = catalog.type(kind.type());
     if (t == null) {
       return Double.POSITIVE_INFINITY;
     }
-    double cheapness = kind.spot() && t.spotPrice() > 0 ? t.price() / t.spotPrice() : 1;
+    double discount = kind.spot() && t.spotPrice() > 0 ? t.price() / t.spotPrice() : 1;
     return Math.max(
-        tunables.idleBoots() * t.bootS() * Math.max(1, cheapness),
+        tunables.idleBoots() * t.bootS() * Math.max(1, discount),
         catalog.servesUrgentArrays(kind) ? tunables.idleWarmS() : 0);
   }
 }
--- a/src/main/java/dev/dunefront/fleet/ReturnReason.java
+++ b/src/main/java/dev/dunefront/fleet/ReturnReason.java
@@ -2,55 +2,58 @@
 
 import dev.dunefront.peer.Message.View;
 
-/** Why a machine is returned, and what its successor does with a return that has no answer yet. */
+/**
+ * Why a machine is returned, and whether a recorded deletion without a confirmation still applies
+ * when the next holder of the duty finds it.
+ */
 enum ReturnReason {
-  IDLE("it idles"),
-  FAILED("it failed"),
-  NOT_BOOTING("it does not boot"),
-  SILENT("it is silent"),
-  DEAF("it is heard but does not hear"),
-  QUARANTINED("tasks fail on it"),
-  UNLISTED("it is neither heard nor listed");
+  IDLE("it is idle"),
+  FAILED("the cloud lists it as failed"),
+  NOT_BOOTING("it did not finish booting in time"),
+  SILENT("no controller receives its reports"),
+  DEAF("it reports but receives no messages"),
+  QUARANTINED("it is quarantined because tasks fail on it"),
+  UNLISTED("it neither reports nor is listed");
 
   private final String reason;
 
-  ReturnReason(String reason) {
-    this.reason = reason;
+  ReturnReason(String description) {
+    this.reason = description;
   }
 
-  /** As operators read it. */
+  /** The reason as it appears in the log. */
   String reason() {
     return reason;
   }
 
-  /** A reason that a later version has written is as good as one that says least. */
+  /** The reason of that name; {@code IDLE}, the most restrictive, for one of a newer version. */
   static ReturnReason of(String name) {
-    for (ReturnReason d : values()) {
-      if (d.name().equals(name)) {
-        return d;
+    for (ReturnReason r : values()) {
+      if (r.name().equals(name)) {
+        return r;
       }
     }
     return IDLE;
   }
 
   /**
-   * Whether the deletion may stand before long: nobody holds the machine yet, or its holder has yet
-   * to close it.
+   * Whether a deletion that does not apply now may apply later: no controller holds the machine
+   * yet, or its holder has not closed it yet.
    */
   boolean mayStand(View view) {
     return this == IDLE && (view == null || view.idle() && !stands(view));
   }
 
   /**
-   * Whether the deletion may be asked for, now that it is on record: by what is seen of the machine
-   * at this moment, for the one that decided it may have been replaced since, and tasks may have
-   * been placed on a machine that was closed for its sake and has opened again.
+   * Whether a recorded deletion may be sent, judged by the current view of the machine. The
+   * controller that decided it may have been replaced since, and the machine, which was closed for
+   * the deletion, may have reopened and received tasks.
    *
-   * @param view what its holder shows, or null if nobody holds it
+   * @param view the holder's view of the machine, or null if no controller holds it
    */
   boolean stands(View view) {
     if (view == null) {
-      // Whoever held it may hold it on in a moment, with what was placed there since.
+      // Its former holder may hold it again shortly, with tasks placed on it in the meantime.
       return this != IDLE;
     }
     if (view.lost()) {
@@ -59,7 +62,7 @@
     return switch (this) {
       case IDLE -> view.retiring() && view.idle();
       case QUARANTINED -> view.quarantined();
-      // The cloud itself says so, and lists nothing that still runs as failed.
+      // The cloud reported the failure, and it lists no running machine as failed.
       case FAILED -> true;
       case UNLISTED -> !view.settled();
       case DEAF -> view.deaf();
--- a/src/main/java/dev/dunefront/fleet/package-info.java
+++ b/src/main/java/dev/dunefront/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** Machine types, renting, health and returning of machines. */
+/** Catalog of machine types; renting, health and returning of machines. */
 package dev.dunefront.fleet;
--- a/src/test/java/dev/dunefront/duty/ElectionTest.java
+++ b/src/test/java/dev/dunefront/duty/ElectionTest.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Who takes a duty, and when it is given away. */
+/** Which controller takes a vacant duty, and when a holder hands it over. */
 class ElectionTest {
   private static final DutyRecord VACANT = DutyRecord.VACANT;
 
@@ -71,7 +71,10 @@
         }
       }
     }
-    assertEquals(2 * Duty.values().length, first.size(), "each duty falls to either now and then");
+    assertEquals(
+        2 * Duty.values().length,
+        first.size(),
+        "each duty goes to either controller in some draws");
   }
 
   @Test
@@ -80,23 +83,26 @@
     assertEquals(Step.WAIT, next(new DutyRecord("a#1", 7), "b#1", live, 0, 0, 0));
     assertEquals(Step.WAIT, next(new DutyRecord("", 7), "b#1", live, 0, 0, 0));
     assertEquals(Step.WAIT, next(VACANT, null, live, 100, 0, 0));
-    assertEquals(Step.WAIT, next(VACANT, "x#1", live, 100, 0, 0), "not among the living");
+    assertEquals(Step.WAIT, next(VACANT, "x#1", live, 100, 0, 0), "not among the live controllers");
   }
 
   @Test
   void whoeverCannotDoItHandsItToOneWhoCan() {
     Candidate self = new Candidate("a#1", 1, 2, true);
     Candidate good = keepsUp("b", 1);
-    Candidate unheard = new Candidate("c#1", 0, 0, false);
+    Candidate unreachable = new Candidate("c#1", 0, 0, false);
     Candidate late = new Candidate("d#1", 0, 1, true);
     DutyRecord mine = new DutyRecord("a#1", 7);
     double held = Election.LEAST_HELD_S;
     double unfit = Election.UNFIT_S + 0.1;
-    List<Candidate> live = List.of(self, good, unheard, late);
+    List<Candidate> live = List.of(self, good, unreachable, late);
     assertEquals("b#1", next(mine, "a#1", live, 0, held, unfit).to());
     assertEquals(Step.WAIT, next(mine, "a#1", live, 0, held, Election.UNFIT_S / 2));
-    assertEquals(Step.WAIT, next(mine, "a#1", live, 0, held / 2, unfit), "or it goes round");
-    assertEquals(Step.WAIT, next(mine, "a#1", List.of(self, unheard, late), 0, held, unfit));
+    assertEquals(
+        Step.WAIT,
+        next(mine, "a#1", live, 0, held / 2, unfit),
+        "minimum hold time, or the duty would circulate");
+    assertEquals(Step.WAIT, next(mine, "a#1", List.of(self, unreachable, late), 0, held, unfit));
   }
 
   @Test
@@ -115,7 +121,7 @@
     assertEquals(VACANT, DutyRecord.read(null, 99));
     DutyRecord garbled = DutyRecord.read(Doc.of().put("inc", 3), 5);
     assertEquals(5, garbled.term());
-    assertEquals(false, garbled.vacant(), "it is somebody's until its lease ends");
+    assertEquals(false, garbled.vacant(), "held by an unknown holder until its lease expires");
     assertNull(Duty.of("no such"));
   }
 }
--- a/src/test/java/dev/dunefront/fleet/IntentsTest.java
+++ b/src/test/java/dev/dunefront/fleet/IntentsTest.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What a holder leaves on record, and which of it its successor still does. */
+/** Encoding of recorded intents, and which recorded deletions the next holder still executes. */
 class IntentsTest {
   private static final Kind SMALL = new Kind("small", "a", true);
 
@@ -41,7 +41,7 @@
     assertTrue(Intents.read(null).hires.isEmpty());
   }
 
-  /** The state service refuses larger values, and nothing would be rented any more. */
+  /** The state service rejects larger values, after which no machine could be rented any more. */
   @Test
   void aThousandMachinesComeAndSilentStayWithinTheLimit() throws BadMessage {
     Intents i = some();
@@ -60,13 +60,16 @@
     }
     for (int limit : new int[] {12_000, 24_000}) {
       Doc value = i.write(limit);
-      // Counted as the state service does, in the form of JSON, which the text is no shorter than.
+      // The state service counts the size as JSON, and the text form is at least as long.
       assertTrue(value.toString().length() < limit * 1.2, value.toString().length() + " bytes");
       Intents back = Intents.read(value);
-      assertEquals(i.deletions, back.deletions, "what is open is never left out");
+      assertEquals(i.deletions, back.deletions, "open deletions are never left out");
       assertEquals(i.hires, back.hires);
       Intents.Came newest = i.came.get(i.came.size() - 1);
-      assertEquals(newest, back.came.get(back.came.size() - 1), "the newest is listed last");
+      assertEquals(
+          newest,
+          back.came.get(back.came.size() - 1),
+          "the newest completed request is kept, in last place");
     }
   }
 
@@ -94,7 +97,11 @@
         List.of());
   }
 
-  /** For each reason: nobody holds it, closed and empty, open, running, quarantined, lost. */
+  /**
+   * The columns for each reason: not held, closed and empty, open, running, quarantined, lost. The
+   * controller that recorded a deletion may be replaced before it is sent, and tasks may have been
+   * placed on the machine in the meantime.
+   */
   @Test
   void aDeletionOnRecordStandsOnlyWhileNothingCanHaveBeenPlacedSince() {
     Map<ReturnReason, String> table =
@@ -124,6 +131,8 @@
     View closedButUsed = view(true, false, false, true, 1);
     assertEquals(false, ReturnReason.IDLE.stands(closedButUsed));
     assertEquals(
-        true, ReturnReason.UNLISTED.stands(view(false, false, false, false, 1)), "never heard");
+        true,
+        ReturnReason.UNLISTED.stands(view(false, false, false, false, 1)),
+        "no report under this token");
   }
 }
--- a/src/test/java/dev/dunefront/fleet/MarketTest.java
+++ b/src/test/java/dev/dunefront/fleet/MarketTest.java
@@ -18,7 +18,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What is rented and what is returned, by cases. */
+/** Choice of machine kinds to rent, idle machines to return, and the forecast of urgent tasks. */
 class MarketTest {
   private static final Kind WIDE_A = new Kind("wide", "a", false);
   private static final Kind WIDE_B = new Kind("wide", "b", false);
@@ -89,7 +89,7 @@
     return all;
   }
 
-  /** Nothing needs the large type for itself, and a replica is cheapest there. */
+  /** A replica is cheapest on the large type, and no other job needs that type. */
   @Test
   void smallTasksGoToTheLargeTypeWhenNobodyElseNeedsIt() {
     catalog.seen(replicas);
@@ -103,21 +103,21 @@
     assertEquals(Map.of(new Kind("slim", "a", false), 8), planned(other));
   }
 
-  /** What comes for an array's peak is no room for replicas, which wait for the cheaper type. */
+  /** Machines that arrive for arrays are not room for replicas, which wait for the cheaper type. */
   @Test
   void replicasDoNotCountOnMachinesThatTheyWouldNotTake() {
     catalog.seen(replicas);
     Kind slim = new Kind("slim", "c", false);
     Market market = new Market(catalog, refused);
-    Need calm = Need.waiting(replicas, 12, Map.of(), 0);
-    market.fill(calm, new HashMap<>(Map.of(slim, 9.0)));
-    assertEquals(12, calm.missing());
+    Need need = Need.waiting(replicas, 12, Map.of(), 0);
+    market.fill(need, new HashMap<>(Map.of(slim, 9.0)));
+    assertEquals(12, need.missing());
     refused.addAll(Set.of(WIDE_A, WIDE_B));
-    market.fill(calm, new HashMap<>(Map.of(slim, 9.0)));
-    assertEquals(0, calm.missing(), "where the cheaper type cannot be had the other serves");
+    market.fill(need, new HashMap<>(Map.of(slim, 9.0)));
+    assertEquals(0, need.missing(), "the other type is used while the cheaper one is refused");
   }
 
-  /** Machines of one zone alone would never serve tasks that must be apart. */
+  /** Tasks that must be spread could never all be placed on machines of a single zone. */
   @Test
   void tasksThatMustBeApartGetMachinesInTheZonesThatAreLeftToThem() {
     Market market = new Market(catalog, refused);
@@ -131,7 +131,10 @@
     assertEquals(6, need.missing());
   }
 
-  /** Half of such a job runs and the rest waits; machines for it would be rented for ever. */
+  /**
+   * Half of such a job runs and no zone may take the rest; machines for it would be rented
+   * endlessly.
+   */
   @Test
   void nothingIsRentedForTasksThatNoZoneMayTake() {
     Market market = new Market(catalog, refused);
@@ -139,7 +142,7 @@
     assertNull(market.most());
   }
 
-  /** What one call does not bring the next one does; meanwhile nothing dearer is taken for it. */
+  /** The rest is rented by the next request; until then no more expensive kind is used. */
   @Test
   void aKindThatIsPlannedInFullIsWaitedFor() {
     refused.add(new Kind("wide", "a", true));
@@ -193,14 +196,16 @@
         .sum();
   }
 
-  /** Services stay: room in proportion to what is open would be rented for ever and never used. */
+  /**
+   * Services are long-lived: room in proportion to the open ones would be rented but never used.
+   */
   @Test
   void roomForServicesIsKeptByHowManyComeNotByHowManyThereAre() {
     accepted(200, 4, 500);
-    assertEquals(2 * 4, forecast(), "room for the largest, twice");
+    assertEquals(2 * 4, forecast(), "room for two of the largest service");
     accepted(200, 4, 10);
-    assertEquals(2 * 4, forecast(), "a single wave is no habit");
+    assertEquals(2 * 4, forecast(), "a single wave is not expected again");
     accepted(10, 4, 70);
-    assertEquals(2 * 40, forecast(), "twice what came in the span before");
+    assertEquals(2 * 40, forecast(), "twice the arrivals of the window before");
   }
 }
