--- a/src/main/java/dev/dunefront/duty/Duties.java
+++ b/src/main/java/dev/dunefront/duty/Duties.java
@@ -103,7 +103,8 @@
     }
     seat.post = current;
     seat.highest = Math.max(seat.highest, current.term());
-    if (current.heldBy(membership.self())) {
+    boolean heldNow = current.heldBy(membership.self());
+    if (heldNow) {
       seat.heldSince = now;
       seat.unfitSince = Double.NaN;
       seat.taken++;
--- a/src/main/java/dev/dunefront/fleet/Catalog.java
+++ b/src/main/java/dev/dunefront/fleet/Catalog.java
@@ -20,8 +20,8 @@
 
 /**
  * The catalog of machine types. The first controller to start fetches it from the cloud and stores
- * a copy in the state service, so that a restart does not depend on the cloud. It also tracks which
- * task sizes and urgent jobs have been observed, which decides who may use which type.
+ * a copy in the state service, so that a restart does not depend on the cloud. It also records the
+ * observed task sizes and urgent jobs, which placement and scaling take into account.
  */
 public final class Catalog {
   private static final String KEY = "c/catalog";
--- a/src/main/java/dev/dunefront/fleet/Planner.java
+++ b/src/main/java/dev/dunefront/fleet/Planner.java
@@ -85,9 +85,8 @@
     for (Waiter w : waiting) {
       JobSpec spec = w.need.spec;
       if (!servicesPlanned && !spec.priority().urgent()) {
-        // Machines arriving for service replicas are not allocated to arrays; otherwise machines
-        // for
-        // the replicas would be rented again and again.
+        // Machines arriving for service replicas are not allocated to arrays; otherwise they would
+        // be rented again and again.
         planSpare(market, expected, true, free, arriving);
         servicesPlanned = true;
       }
@@ -190,9 +189,7 @@
     double runS = urgencies.runS(spec) + fetchS;
     double ageS = (timers.timeOfDayMs() - record.acceptedMs()) / 1000.0;
     Double slackS = spec.priority().urgent() ? null : urgencies.slackS(spec, ageS, runS);
-    // Time must remain for an on-demand machine to boot, and running tasks have on average half
-    // their
-    // run time left.
+    // Time must remain for an on-demand machine to boot; running tasks have half their run left.
     double maxSpotWaitS =
         slackS == null
             ? Double.POSITIVE_INFINITY
