--- a/src/main/java/dev/dunefront/book/HoldChanges.java
+++ b/src/main/java/dev/dunefront/book/HoldChanges.java
@@ -7,23 +7,23 @@
 /** What becomes of the machines held here when the records of who holds them change. */
 final class HoldChanges {
   private final Settings settings;
-  private final Holds holds;
-  private final Books books;
+  private final HoldTable holds;
+  private final HeldMachines heldMachines;
 
   /** The stamp of the roster by which machines without a record are held. */
-  private long rosterStamp;
+  private long rosterRevision;
 
-  HoldChanges(ControllerContext context, Books books) {
+  HoldChanges(ControllerContext context, HeldMachines books) {
     this.settings = context.settings();
     this.holds = context.holds();
-    this.books = books;
+    this.heldMachines = books;
   }
 
   /** Called several times a second. */
   void tick() {
-    long stamp = holds.roster().stamp();
-    if (stamp != rosterStamp) {
-      rosterStamp = stamp;
+    long stamp = holds.roster().revision();
+    if (stamp != rosterRevision) {
+      rosterRevision = stamp;
       rosterChanged();
     }
   }
@@ -32,25 +32,28 @@
    * This controller has become another incarnation. Machines that nobody has taken meanwhile are
    * held on: their records still name this controller.
    */
-  void reborn() {
-    for (Machine m : List.copyOf(books.all())) {
-      Holds.Hold hold = holds.of(m.host, m.zone);
-      if (hold == null || hold.stamp() != m.holdStamp && !m.raising) {
-        books.dropHold(m, "another controller has taken it");
+  void incarnationChanged() {
+    for (Machine m : List.copyOf(heldMachines.all())) {
+      HoldTable.Hold hold = holds.holdOf(m.host, m.zone);
+      if (hold == null || hold.revision() != m.holdRevision && !m.raisingToken) {
+        heldMachines.release(m, "another controller has taken it");
       }
     }
   }
 
   /** The replica shows a changed hold record. */
-  void changed(String host) {
-    Machine m = books.held(host);
-    Holds.Hold hold = holds.get(host);
-    if (m != null && hold == null && m.holdStamp > 0 && !m.raising) {
+  void holdChanged(String host) {
+    Machine m = heldMachines.held(host);
+    HoldTable.Hold hold = holds.recordOf(host);
+    if (m != null && hold == null && m.holdRevision > 0 && !m.raisingToken) {
       // Forgotten, as machines are that are gone; nothing more can be recorded under that stamp.
-      books.dropHold(m, "its record has been removed");
-    } else if (m != null && hold != null && hold.stamp() > m.holdStamp && !m.raising) {
-      if (hold.dead() || !holds.heldBy(settings.node(), hold) || hold.token() != m.token) {
-        books.dropHold(m, hold.dead() ? "deleted" : "another controller has taken it");
+      heldMachines.release(m, "its record has been removed");
+    } else if (m != null && hold != null && hold.revision() > m.holdRevision && !m.raisingToken) {
+      if (hold.machineDeleted()
+          || !holds.isHeldBy(settings.node(), hold)
+          || hold.token() != m.token) {
+        heldMachines.release(
+            m, hold.machineDeleted() ? "deleted" : "another controller has taken it");
       }
     }
   }
@@ -62,24 +65,24 @@
    * after a raised token, will never be carried out.
    */
   private void rosterChanged() {
-    for (Machine m : List.copyOf(books.all())) {
-      if (m.holdStamp > 0 || m.holdStamp == -rosterStamp) {
+    for (Machine m : List.copyOf(heldMachines.all())) {
+      if (m.holdRevision > 0 || m.holdRevision == -rosterRevision) {
         continue;
       }
-      Holds.Hold hold = holds.of(m.host, m.zone);
-      if (m.raising || !holds.heldBy(settings.node(), hold) || !hold.natural()) {
-        books.dropHold(m, "by the new roster another controller holds it");
+      HoldTable.Hold hold = holds.holdOf(m.host, m.zone);
+      if (m.raisingToken || !holds.isHeldBy(settings.node(), hold) || !hold.isDefault()) {
+        heldMachines.release(m, "by the new roster another controller holds it");
       } else {
         m.token = hold.token();
-        m.holdStamp = hold.stamp();
-        m.settled = false;
-        m.ours = false;
-        m.doubt = false;
+        m.holdRevision = hold.revision();
+        m.tokenAcknowledged = false;
+        m.holdAcknowledged = false;
+        m.commandOutcomeUnknown = false;
         m.resumed = false;
-        m.fence.clear();
+        m.deniedAttempts.clear();
         m.offers.clear();
-        m.dirty = true;
-        books.act(m);
+        m.viewChanged = true;
+        heldMachines.reconcile(m);
       }
     }
   }
--- a/src/main/java/dev/dunefront/book/Machine.java
+++ b/src/main/java/dev/dunefront/book/Machine.java
@@ -1,15 +1,15 @@
 package dev.dunefront.book;
 
-import dev.dunefront.evidence.Blame;
-import dev.dunefront.evidence.Freshness;
+import dev.dunefront.evidence.FailureScore;
+import dev.dunefront.evidence.ReportSequence;
 import dev.dunefront.evidence.Responsiveness;
+import dev.dunefront.peer.Message.ExitReason;
+import dev.dunefront.peer.Message.MachineView;
 import dev.dunefront.peer.Message.State;
-import dev.dunefront.peer.Message.TaskState;
-import dev.dunefront.peer.Message.View;
-import dev.dunefront.peer.Message.Why;
+import dev.dunefront.peer.Message.TaskStatus;
 import dev.dunefront.wire.MachineType;
 import dev.dunefront.wire.Report;
-import dev.dunefront.wire.Size;
+import dev.dunefront.wire.Resources;
 import dev.dunefront.wire.TaskId;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -22,41 +22,41 @@
 /** A machine that this controller holds. */
 final class Machine {
   /** A start under way; {@code sentUnder} is the token it went out with, 0 if it has not yet. */
-  static final class Pending {
+  static final class PendingStart {
     final long attempt;
-    long sentUnder;
+    long sentUnderToken;
 
-    Pending(long attempt) {
+    PendingStart(long attempt) {
       this.attempt = attempt;
     }
   }
 
-  record Offered(String node, String job, Size size, double until) {
-    Offered until(double later) {
-      return new Offered(node, job, size, later);
+  record OutstandingOffer(String node, String job, Resources size, double expiresAt) {
+    OutstandingOffer expiresAt(double later) {
+      return new OutstandingOffer(node, job, size, later);
     }
   }
 
   /** An attempt to be stopped or cleared, repeated until the worker's report shows it. */
-  static final class Wish {
+  static final class RepeatedCommand {
     private static final double NEVER = Double.NEGATIVE_INFINITY;
 
     final long attempt;
     final double graceS;
 
     /** When it was wished for; matters for clears alone. */
-    final double since;
+    final double requestedAt;
 
-    double sentAt = NEVER;
+    double lastSentAt = NEVER;
 
-    Wish(long attempt, double graceS, double since) {
+    RepeatedCommand(long attempt, double graceS, double since) {
       this.attempt = attempt;
       this.graceS = graceS;
-      this.since = since;
+      this.requestedAt = since;
     }
 
     boolean sent() {
-      return sentAt != NEVER;
+      return lastSentAt != NEVER;
     }
   }
 
@@ -66,40 +66,40 @@
   final String zone;
   final boolean spot;
   long token;
-  long holdStamp;
+  long holdRevision;
   long session;
-  double heard;
+  double lastContactAt;
 
   /**
    * When its session was first seen, be it by a report, an answer or another controller's word, or
    * when the worker first showed a token of this hold, if that was later.
    */
-  double begun;
+  double sessionStartedAt;
 
   /** What its worker has said so far, by which copies of old reports are told from news. */
-  Freshness fresh = Freshness.NONE;
+  ReportSequence reportSequence = ReportSequence.NONE;
 
   /** Whether what is said to it arrives. */
-  Responsiveness responsiveness = Responsiveness.GOOD;
+  Responsiveness responsiveness = Responsiveness.INITIAL;
 
   /** It has been asked what it is at, and the answer is not here yet. */
-  boolean questioned;
+  boolean statusCheckPending;
 
   /** When a report of it was last answered. */
-  double answered = Double.NEGATIVE_INFINITY;
+  double lastAnsweredAt = Double.NEGATIVE_INFINITY;
 
-  Double noticeS;
-  double noticeAt;
-  double looked;
-  boolean settled;
+  Double reclaimNoticeS;
+  double reclaimNoticeAt;
+  double lastCheckedAt;
+  boolean tokenAcknowledged;
 
   /** The worker has reported under a token of this hold: nobody else can renew its lease. */
-  boolean ours;
+  boolean holdAcknowledged;
 
-  boolean lost;
-  boolean doubt;
-  boolean raising;
-  boolean ordering;
+  boolean leaseExpired;
+  boolean commandOutcomeUnknown;
+  boolean raisingToken;
+  boolean commandsInFlight;
 
   /** Until when it is closed because it is to be returned; 0 if it is not. */
   double retiringUntil;
@@ -108,40 +108,40 @@
   private long idleSinceMs;
 
   /** The controller to which its next report is sent, or null. */
-  String sendTo;
+  String redirectTo;
 
   /** Orders of an earlier incarnation may still be on their way to the worker. */
   boolean resumed;
 
   final Map<TaskId, Report.Task> tasks = new LinkedHashMap<>();
-  final Map<TaskId, Pending> pending = new LinkedHashMap<>();
+  final Map<TaskId, PendingStart> pendingStarts = new LinkedHashMap<>();
   final Map<TaskId, Double> startedAt = new HashMap<>();
-  final Map<TaskId, Wish> stops = new HashMap<>();
-  final Map<TaskId, Wish> clears = new HashMap<>();
-  final Map<TaskId, Long> fence = new HashMap<>();
-  final Map<Long, Offered> offers = new HashMap<>();
+  final Map<TaskId, RepeatedCommand> pendingStops = new HashMap<>();
+  final Map<TaskId, RepeatedCommand> pendingClears = new HashMap<>();
+  final Map<TaskId, Long> deniedAttempts = new HashMap<>();
+  final Map<Long, OutstandingOffer> offers = new HashMap<>();
 
   /** Jobs that have failed on it since anything was done there. */
-  Blame blame = Blame.NONE;
+  FailureScore failureScore = FailureScore.NONE;
 
-  final Set<String> images = new LinkedHashSet<>();
+  final Set<String> cachedImages = new LinkedHashSet<>();
   final WantBook book = new WantBook();
   boolean quarantined;
 
   /** What others know of it has changed. */
-  boolean dirty = true;
+  boolean viewChanged = true;
 
   /** It is about to be told to the others. */
-  boolean telling;
+  boolean publishScheduled;
 
   /** What was last to be told of it, without tasks; null before that. */
-  View latest;
+  MachineView latestView;
 
   /** When that was. */
-  double latestAt;
+  double latestViewAt;
 
   /** What each controller was last told of it. */
-  final Map<String, View> toldTo = new HashMap<>();
+  final Map<String, MachineView> lastViewByNode = new HashMap<>();
 
   Machine(Report r, long token, long holdStamp, double now) {
     this.host = r.host();
@@ -150,24 +150,24 @@
     this.zone = r.zone();
     this.spot = r.spot();
     this.token = token;
-    this.holdStamp = holdStamp;
-    this.heard = now;
+    this.holdRevision = holdStamp;
+    this.lastContactAt = now;
   }
 
   boolean open() {
-    return settled
-        && !lost
+    return tokenAcknowledged
+        && !leaseExpired
         && !quarantined
-        && !doubt
-        && !raising
+        && !commandOutcomeUnknown
+        && !raisingToken
         && responsiveness.trusted()
-        && noticeS == null
+        && reclaimNoticeS == null
         && retiringUntil == 0;
   }
 
   /** When the lease of its session can have been renewed last, as far as is known here. */
-  double renewed() {
-    return Math.max(heard, begun);
+  double leaseRenewedAt() {
+    return Math.max(lastContactAt, sessionStartedAt);
   }
 
   /** Whether it is closed because it is to be returned. */
@@ -177,7 +177,7 @@
 
   /** Since when it idles, in milliseconds of the day's time; 0 while it does not. */
   long idleSince(long nowMs) {
-    if (!unfinished().isEmpty() || !open() && retiringUntil == 0) {
+    if (!unfinishedTasks().isEmpty() || !open() && retiringUntil == 0) {
       idleSinceMs = 0;
     } else if (idleSinceMs == 0) {
       idleSinceMs = nowMs;
@@ -186,45 +186,45 @@
   }
 
   /** Room left on a machine of the type, or none while any task's size is unknown. */
-  Size free(MachineType type, java.util.function.Function<String, Size> sizes) {
+  Resources freeRoom(MachineType type, java.util.function.Function<String, Resources> sizes) {
     if (type == null) {
-      return Size.NONE;
+      return Resources.NONE;
     }
-    Size free = type.size();
-    for (TaskId id : unfinished()) {
-      Size s = sizes.apply(id.job());
+    Resources free = type.resources();
+    for (TaskId id : unfinishedTasks()) {
+      Resources s = sizes.apply(id.job());
       if (s == null) {
-        return Size.NONE;
+        return Resources.NONE;
       }
       free = free.minus(s);
     }
-    for (Offered o : offers.values()) {
+    for (OutstandingOffer o : offers.values()) {
       free = free.minus(o.size());
     }
     return free;
   }
 
   /** An attempt is to be stopped, with so much time to save; a shorter time replaces a longer. */
-  void stop(TaskId id, long attempt, double graceS) {
-    Wish old = stops.get(id);
+  void requestStop(TaskId id, long attempt, double graceS) {
+    RepeatedCommand old = pendingStops.get(id);
     if (old == null || old.attempt != attempt || old.graceS > graceS) {
-      stops.put(id, new Wish(attempt, graceS, heard));
+      pendingStops.put(id, new RepeatedCommand(attempt, graceS, lastContactAt));
     }
   }
 
   /** Whether starts are under way that a change of hands would disturb. */
-  boolean busy() {
-    return ordering || !pending.isEmpty() || !offers.isEmpty();
+  boolean startsInProgress() {
+    return commandsInFlight || !pendingStarts.isEmpty() || !offers.isEmpty();
   }
 
   /** Whether a task of the job is here or about to be. */
-  boolean has(String job) {
+  boolean hasTaskOf(String job) {
     for (TaskId id : tasks.keySet()) {
       if (id.job().equals(job)) {
         return true;
       }
     }
-    for (TaskId id : pending.keySet()) {
+    for (TaskId id : pendingStarts.keySet()) {
       if (id.job().equals(job)) {
         return true;
       }
@@ -233,14 +233,14 @@
   }
 
   /** Tasks that take room or are about to. */
-  List<TaskId> unfinished() {
+  List<TaskId> unfinishedTasks() {
     List<TaskId> all = new ArrayList<>();
     for (Report.Task t : tasks.values()) {
       if (!t.exited()) {
         all.add(t.id());
       }
     }
-    for (TaskId id : pending.keySet()) {
+    for (TaskId id : pendingStarts.keySet()) {
       if (!tasks.containsKey(id) || tasks.get(id).exited()) {
         all.add(id);
       }
@@ -248,8 +248,8 @@
     return all;
   }
 
-  List<TaskState> states() {
-    List<TaskState> all = new ArrayList<>();
+  List<TaskStatus> taskStates() {
+    List<TaskStatus> all = new ArrayList<>();
     for (Report.Task t : tasks.values()) {
       State state =
           switch (t.state()) {
@@ -258,21 +258,22 @@
             case "exited" -> State.EXITED;
             default -> State.RUNNING;
           };
-      Why why =
-          switch (t.why()) {
-            case "" -> Why.NONE;
-            case "done" -> Why.DONE;
-            case "error" -> Why.FAILED;
-            case "stopped" -> Why.STOPPED;
-            default -> Why.REFUSED;
+      ExitReason why =
+          switch (t.exitReason()) {
+            case "" -> ExitReason.NONE;
+            case "done" -> ExitReason.DONE;
+            case "error" -> ExitReason.FAILED;
+            case "stopped" -> ExitReason.STOPPED;
+            default -> ExitReason.REFUSED;
           };
-      all.add(new TaskState(t.id().job(), t.id().number(), t.attempt(), state, why));
+      all.add(new TaskStatus(t.id().job(), t.id().number(), t.attempt(), state, why));
     }
-    pending.forEach(
+    pendingStarts.forEach(
         (id, p) -> {
           Report.Task t = tasks.get(id);
           if (t == null || t.attempt() != p.attempt) {
-            all.add(new TaskState(id.job(), id.number(), p.attempt, State.PENDING, Why.NONE));
+            all.add(
+                new TaskStatus(id.job(), id.number(), p.attempt, State.PENDING, ExitReason.NONE));
           }
         });
     return all;
--- a/src/main/java/dev/dunefront/book/Reports.java
+++ b/src/main/java/dev/dunefront/book/ReportApplier.java
@@ -1,8 +1,8 @@
 package dev.dunefront.book;
 
 import dev.dunefront.claim.ControllerContext;
-import dev.dunefront.evidence.Blame;
-import dev.dunefront.evidence.Freshness;
+import dev.dunefront.evidence.FailureScore;
+import dev.dunefront.evidence.ReportSequence;
 import dev.dunefront.job.JobTable;
 import dev.dunefront.net.Timers;
 import dev.dunefront.wire.Report;
@@ -12,31 +12,31 @@
 import java.util.Map;
 
 /** What a worker's report changes in what is known of its machine. */
-final class Reports {
-  private static final System.Logger LOG = System.getLogger(Reports.class.getName());
-  private static final int MAX_IMAGES = 12;
+final class ReportApplier {
+  private static final System.Logger LOG = System.getLogger(ReportApplier.class.getName());
+  private static final int MAX_CACHED_IMAGES = 12;
 
   private final JobTable jobs;
   private final Timers timers;
 
-  Reports(ControllerContext context) {
+  ReportApplier(ControllerContext context) {
     this.jobs = context.jobs();
     this.timers = context.timers();
   }
 
   /** Takes over a report that came by itself and is no copy of an old one. */
-  void reported(Machine m, Report r) {
-    take(m, r, m.fresh.reported(r));
+  void applyReport(Machine m, Report r) {
+    applyIfNewer(m, r, m.reportSequence.reported(r));
   }
 
   /** Takes over an answer to orders or to a question. */
-  void answered(Machine m, Report r) {
-    take(m, r, m.fresh.answered(r));
+  void applyReply(Machine m, Report r) {
+    applyIfNewer(m, r, m.reportSequence.afterReply(r));
   }
 
-  private void take(Machine m, Report r, Freshness next) {
-    boolean news = r.newerThan(m.fresh.session(), m.fresh.serial());
-    m.fresh = next;
+  private void applyIfNewer(Machine m, Report r, ReportSequence next) {
+    boolean news = r.newerThan(m.reportSequence.session(), m.reportSequence.highestSerial());
+    m.reportSequence = next;
     if (news) {
       apply(m, r);
     }
@@ -47,36 +47,36 @@
    * sessions' numbers, which it may use again. So its token has to be raised before anything is
    * sent to it or called gone.
    */
-  void begunAnew(Machine m, Report r) {
+  void workerRestarted(Machine m, Report r) {
     LOG.log(Level.INFO, "{0} has begun anew, in session {1}", m.host, r.session());
-    m.fresh = Freshness.NONE.answered(r);
+    m.reportSequence = ReportSequence.NONE.afterReply(r);
     m.session = 0;
-    m.settled = false;
-    m.doubt = true;
+    m.tokenAcknowledged = false;
+    m.commandOutcomeUnknown = true;
     apply(m, r);
-    m.settled = false;
+    m.tokenAcknowledged = false;
   }
 
   /** Another controller has seen the worker in a later session: what ran in the earlier is gone. */
-  void laterSession(Machine m, long session) {
-    m.fresh = new Freshness(session, -1, -1, m.fresh.token());
+  void sessionSeenElsewhere(Machine m, long session) {
+    m.reportSequence = new ReportSequence(session, -1, -1, m.reportSequence.highestToken());
     m.session = session;
-    endSession(m);
+    resetForNewSession(m);
     m.tasks.clear();
-    m.dirty = true;
+    m.viewChanged = true;
   }
 
-  private void endSession(Machine m) {
+  private void resetForNewSession(Machine m) {
     // The new session's lease has only begun. Were it counted from the last report of the earlier
     // one, a session learned of by an answer or from another controller would be called over while
     // it lives, and what had just been started in it would be placed a second time.
-    m.begun = timers.now();
+    m.sessionStartedAt = timers.now();
     // The earlier session's tasks are gone, and orders for it are refused.
-    m.pending.clear();
-    m.stops.clear();
-    m.clears.clear();
+    m.pendingStarts.clear();
+    m.pendingStops.clear();
+    m.pendingClears.clear();
     m.offers.clear();
-    m.lost = false;
+    m.leaseExpired = false;
   }
 
   private void apply(Machine m, Report r) {
@@ -84,63 +84,65 @@
       if (m.session > 0) {
         LOG.log(Level.DEBUG, "{0} is in session {1}, after {2}", m.host, r.session(), m.session);
       }
-      endSession(m);
+      resetForNewSession(m);
     }
-    m.dirty |=
+    m.viewChanged |=
         r.session() != m.session
-            || (r.noticeS() == null) != (m.noticeS == null)
-            || r.token() == m.token && !m.settled
-            || !m.pending.isEmpty()
+            || (r.reclaimNoticeS() == null) != (m.reclaimNoticeS == null)
+            || r.token() == m.token && !m.tokenAcknowledged
+            || !m.pendingStarts.isEmpty()
             || !sameTasks(m, r);
     m.session = r.session();
     if (!r.endpoint().isEmpty()) {
       m.endpoint = r.endpoint();
     }
-    if (r.noticeS() != null && m.noticeS == null) {
-      LOG.log(Level.INFO, "{0} will be taken back in {1} s", m.host, r.noticeS());
+    if (r.reclaimNoticeS() != null && m.reclaimNoticeS == null) {
+      LOG.log(Level.INFO, "{0} will be taken back in {1} s", m.host, r.reclaimNoticeS());
     }
-    m.noticeS = r.noticeS();
-    m.noticeAt = timers.now();
+    m.reclaimNoticeS = r.reclaimNoticeS();
+    m.reclaimNoticeAt = timers.now();
     Map<TaskId, Report.Task> before = new HashMap<>(m.tasks);
     m.tasks.clear();
     for (Report.Task t : r.tasks()) {
       m.tasks.put(t.id(), t);
       Report.Task was = before.get(t.id());
-      if (t.exited() && t.why().equals("done") && (was == null || !was.exited())) {
-        m.blame = Blame.NONE;
+      if (t.exited() && t.exitReason().equals("done") && (was == null || !was.exited())) {
+        m.failureScore = FailureScore.NONE;
       }
-      if (!t.state().equals("fetching") && !t.why().equals("no_room")) {
+      if (!t.state().equals("fetching") && !t.exitReason().equals("no_room")) {
         JobTable.Entry job = jobs.get(t.id().job());
         if (job != null && job.record().spec().image() != null) {
-          m.images.remove(job.record().spec().image());
-          m.images.add(job.record().spec().image());
-          if (m.images.size() > MAX_IMAGES) {
-            m.images.remove(m.images.iterator().next());
+          m.cachedImages.remove(job.record().spec().image());
+          m.cachedImages.add(job.record().spec().image());
+          if (m.cachedImages.size() > MAX_CACHED_IMAGES) {
+            m.cachedImages.remove(m.cachedImages.iterator().next());
           }
         }
       }
     }
     if (r.token() == m.token) {
-      m.settled = true;
-      if (!m.ours) {
+      m.tokenAcknowledged = true;
+      if (!m.holdAcknowledged) {
         // Until the worker saw this token another controller, which does not know that it has lost
         // the machine, may have renewed its lease under an older one.
-        m.ours = true;
-        m.begun = timers.now();
+        m.holdAcknowledged = true;
+        m.sessionStartedAt = timers.now();
       }
       // Orders sent under an earlier token can no longer be carried out.
-      m.pending.values().removeIf(p -> p.sentUnder != 0 && p.sentUnder < m.token);
+      m.pendingStarts.values().removeIf(p -> p.sentUnderToken != 0 && p.sentUnderToken < m.token);
     }
-    m.pending
+    m.pendingStarts
         .entrySet()
         .removeIf(
             e -> {
               Report.Task t = m.tasks.get(e.getKey());
               return t != null && t.attempt() == e.getValue().attempt;
             });
-    m.startedAt.keySet().removeIf(id -> !m.tasks.containsKey(id) && !m.pending.containsKey(id));
-    forget(m.stops, m, true);
-    forget(m.clears, m, false);
+    m.startedAt
+        .keySet()
+        .removeIf(id -> !m.tasks.containsKey(id) && !m.pendingStarts.containsKey(id));
+    removeCompleted(m.pendingStops, m, true);
+    removeCompleted(m.pendingClears, m, false);
   }
 
   private static boolean sameTasks(Machine m, Report r) {
@@ -155,16 +157,17 @@
     return true;
   }
 
-  private static void forget(Map<TaskId, Machine.Wish> wishes, Machine m, boolean untilExited) {
+  private static void removeCompleted(
+      Map<TaskId, Machine.RepeatedCommand> wishes, Machine m, boolean untilExited) {
     wishes
         .entrySet()
         .removeIf(
             e -> {
               Report.Task t = m.tasks.get(e.getKey());
-              return t == null && !m.pending.containsKey(e.getKey())
+              return t == null && !m.pendingStarts.containsKey(e.getKey())
                   || t != null
                       && t.attempt() != e.getValue().attempt
-                      && !m.pending.containsKey(e.getKey())
+                      && !m.pendingStarts.containsKey(e.getKey())
                   || untilExited && t != null && t.exited() && t.attempt() == e.getValue().attempt;
             });
   }
--- a/src/main/java/dev/dunefront/book/Roster.java
+++ b/src/main/java/dev/dunefront/book/Roster.java
@@ -1,7 +1,7 @@
 package dev.dunefront.book;
 
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -14,44 +14,44 @@
  * heard of, and no other.
  *
  * @param epoch counts the changes, from 1
- * @param stamp of the record; what is recorded of a machine that has no record of its own is
+ * @param revision of the record; what is recorded of a machine that has no record of its own is
  *     conditional on it
  */
-public record Roster(List<Member> members, long epoch, long stamp) {
+public record Roster(List<Member> members, long epoch, long revision) {
   /** A controller and its zone. */
   public record Member(String node, String zone) {}
 
   static final Roster NONE = new Roster(List.of(), 0, 0);
 
   /** Tokens of an epoch; a machine's token is raised far fewer times. */
-  private static final int EPOCH_BITS = 32;
+  private static final int TOKEN_BITS_PER_EPOCH = 32;
 
   /** The token under which machines without a record are held. */
-  long token() {
-    return (epoch - 1 << EPOCH_BITS) + 1;
+  long defaultToken() {
+    return (epoch - 1 << TOKEN_BITS_PER_EPOCH) + 1;
   }
 
-  static Roster read(Doc value, long stamp) throws BadMessage {
+  static Roster read(Document value, long stamp) throws MalformedMessageException {
     List<Member> members = new ArrayList<>();
     List<String> zones = value.texts("zones");
     for (String node : value.texts("nodes")) {
       if (members.size() == zones.size()) {
-        throw new BadMessage("a controller without a zone");
+        throw new MalformedMessageException("a controller without a zone");
       }
       members.add(new Member(node, zones.get(members.size())));
     }
     return new Roster(members, value.countOr("epoch", 1), stamp);
   }
 
-  Doc write() {
-    return Doc.of()
+  Document write() {
+    return Document.create()
         .put("nodes", members.stream().map(Member::node).toList())
         .put("zones", members.stream().map(Member::zone).toList())
         .put("epoch", epoch);
   }
 
   /** The controller that holds a machine without a record, or null while there is none. */
-  String holder(String host, String zone) {
+  String defaultHolder(String host, String zone) {
     Member best = null;
     boolean bestNear = false;
     int bestDraw = 0;
@@ -87,23 +87,23 @@
     for (Member m : members) {
       String zone = settled.get(m.node);
       if (zone != null && !zone.equals(m.zone)) {
-        return with(m, new Member(m.node, zone));
+        return replacing(m, new Member(m.node, zone));
       }
     }
     for (String node : settled.keySet().stream().sorted().toList()) {
       if (members.stream().noneMatch(m -> m.node.equals(node))) {
-        return with(null, new Member(node, settled.get(node)));
+        return replacing(null, new Member(node, settled.get(node)));
       }
     }
     for (Member m : members) {
       if (!present.contains(m.node) && !named.contains(m.node) && members.size() > 1) {
-        return with(m, null);
+        return replacing(m, null);
       }
     }
     return null;
   }
 
-  private Roster with(Member gone, Member come) {
+  private Roster replacing(Member gone, Member come) {
     List<Member> next = new ArrayList<>(members);
     next.remove(gone);
     if (come != null) {
--- a/src/main/java/dev/dunefront/book/Upkeep.java
+++ b/src/main/java/dev/dunefront/book/TaskTermination.java
@@ -3,7 +3,7 @@
 import dev.dunefront.claim.ControllerContext;
 import dev.dunefront.config.Settings;
 import dev.dunefront.job.JobTable;
-import dev.dunefront.store.Store;
+import dev.dunefront.store.StateStore;
 import dev.dunefront.wire.JobSpec;
 import dev.dunefront.wire.Report;
 import java.util.Collection;
@@ -11,15 +11,15 @@
 import java.util.Map;
 
 /** What is stopped on machines without a claimant's asking. */
-final class Upkeep {
+final class TaskTermination {
   /** So long before a machine is taken back, what still runs on it is stopped. */
-  private static final double LAST_S = 1.5;
+  private static final double FINAL_STOP_S = 1.5;
 
   private final Settings settings;
   private final JobTable jobs;
-  private final Map<String, Double> lookedUp = new HashMap<>();
+  private final Map<String, Double> lookupTimes = new HashMap<>();
 
-  Upkeep(ControllerContext context) {
+  TaskTermination(ControllerContext context) {
     this.settings = context.settings();
     this.jobs = context.jobs();
   }
@@ -30,7 +30,7 @@
    * end: what has exited is placed again at once, what vanishes with its machine only when its
    * lease is over.
    */
-  void clearOut(Machine m, double leftS, double now) {
+  void drainBeforeReclaim(Machine m, double leftS, double now) {
     for (Report.Task t : m.tasks.values()) {
       JobTable.Entry e = jobs.get(t.id().job());
       if (e == null || t.exited()) {
@@ -38,15 +38,15 @@
       }
       JobSpec spec = e.record().spec();
       boolean running = t.state().equals("running");
-      if (running && spec.checkpointS() > 0) {
-        if (leftS < spec.saveS() + settings.workers().reportS() + 1) {
-          m.stop(t.id(), t.attempt(), Math.max(spec.saveS() + 1, leftS));
+      if (running && spec.checkpointIntervalS() > 0) {
+        if (leftS < spec.checkpointDurationS() + settings.workers().reportS() + 1) {
+          m.requestStop(t.id(), t.attempt(), Math.max(spec.checkpointDurationS() + 1, leftS));
         }
       } else if (running || t.state().equals("fetching")) {
         double ranS = now - m.startedAt.getOrDefault(t.id(), now);
         boolean overdue = running && ranS > spec.estimateS();
-        if (leftS < LAST_S || !overdue && spec.estimateS() - ranS > leftS) {
-          m.stop(t.id(), t.attempt(), 0);
+        if (leftS < FINAL_STOP_S || !overdue && spec.estimateS() - ranS > leftS) {
+          m.requestStop(t.id(), t.attempt(), 0);
         }
       }
     }
@@ -58,19 +58,19 @@
    * claimant may be out of reach. Where no live record names a job it is over, or news of it has
    * yet to come.
    */
-  void stopWhatIsOver(Collection<Machine> held, double now) {
-    lookedUp.values().removeIf(at -> now - at > 10);
+  void stopTasksOfEndedJobs(Collection<Machine> held, double now) {
+    lookupTimes.values().removeIf(at -> now - at > 10);
     for (Machine m : held) {
       for (Report.Task t : m.tasks.values()) {
         String job = t.id().job();
-        if (jobs.over(job)) {
+        if (jobs.isEndingOrEnded(job)) {
           if (!t.exited()) {
-            m.stop(t.id(), t.attempt(), 0);
+            m.requestStop(t.id(), t.attempt(), 0);
           } else if (jobs.get(job) == null && jobs.finalStatus(job) != null) {
-            m.clears.putIfAbsent(t.id(), new Machine.Wish(t.attempt(), 0, now));
+            m.pendingClears.putIfAbsent(t.id(), new Machine.RepeatedCommand(t.attempt(), 0, now));
           }
-        } else if (jobs.get(job) == null && lookedUp.putIfAbsent(job, now) == null) {
-          jobs.read(job, Store.Urgency.BACKGROUND, found -> {});
+        } else if (jobs.get(job) == null && lookupTimes.putIfAbsent(job, now) == null) {
+          jobs.readCurrent(job, StateStore.RequestPriority.BACKGROUND, found -> {});
         }
       }
     }
@@ -80,17 +80,17 @@
   void stopJob(Machine m, String job) {
     for (Report.Task t : m.tasks.values()) {
       if (t.id().job().equals(job) && !t.exited()) {
-        m.stop(t.id(), t.attempt(), 0);
+        m.requestStop(t.id(), t.attempt(), 0);
       }
     }
-    for (var e : Map.copyOf(m.pending).entrySet()) {
+    for (var e : Map.copyOf(m.pendingStarts).entrySet()) {
       if (e.getKey().job().equals(job)) {
-        if (e.getValue().sentUnder == 0) {
-          m.pending.remove(e.getKey());
-          m.fence.merge(e.getKey(), e.getValue().attempt, Math::max);
-          m.dirty = true;
+        if (e.getValue().sentUnderToken == 0) {
+          m.pendingStarts.remove(e.getKey());
+          m.deniedAttempts.merge(e.getKey(), e.getValue().attempt, Math::max);
+          m.viewChanged = true;
         } else {
-          m.stop(e.getKey(), e.getValue().attempt, 0);
+          m.requestStop(e.getKey(), e.getValue().attempt, 0);
         }
       }
     }
--- a/src/main/java/dev/dunefront/book/WantBook.java
+++ b/src/main/java/dev/dunefront/book/WantBook.java
@@ -1,6 +1,6 @@
 package dev.dunefront.book;
 
-import dev.dunefront.wire.Size;
+import dev.dunefront.wire.Resources;
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
@@ -19,17 +19,17 @@
   static final class Want {
     final String node;
     final String job;
-    final double since;
+    final double queuedAt;
     int priority;
     int rank;
-    Size size;
+    Resources size;
     int count;
 
     Want(String node, String job, int priority, double since) {
       this.node = node;
       this.job = job;
       this.priority = priority;
-      this.since = since;
+      this.queuedAt = since;
     }
   }
 
@@ -37,15 +37,15 @@
   private final List<Want> wants = new ArrayList<>();
 
   /** For each priority the controllers in the order in which they are next served. */
-  private final List<List<String>> rings = new ArrayList<>();
+  private final List<List<String>> rotations = new ArrayList<>();
 
   WantBook() {
     for (int i = 0; i < PRIORITIES; i++) {
-      rings.add(new ArrayList<>());
+      rotations.add(new ArrayList<>());
     }
   }
 
-  void park(String node, String job, int priority, int rank, Size size, int count, double now) {
+  void put(String node, String job, int priority, int rank, Resources size, int count, double now) {
     Want want = null;
     for (Iterator<Want> i = wants.iterator(); i.hasNext() && want == null; ) {
       Want w = i.next();
@@ -63,8 +63,8 @@
       want = new Want(node, job, priority, now);
       wants.add(want);
     }
-    if (!rings.get(priority).contains(node)) {
-      rings.get(priority).add(0, node);
+    if (!rotations.get(priority).contains(node)) {
+      rotations.get(priority).add(0, node);
     }
     want.priority = priority;
     want.rank = rank;
@@ -72,12 +72,12 @@
     want.count = count;
   }
 
-  void drop(String node) {
+  void removeController(String node) {
     wants.removeIf(w -> w.node.equals(node));
-    rings.forEach(r -> r.remove(node));
+    rotations.forEach(r -> r.remove(node));
   }
 
-  void dropJob(String job) {
+  void removeJob(String job) {
     wants.removeIf(w -> w.job.equals(job));
   }
 
@@ -89,30 +89,30 @@
    * The want that is served next from this room, taken down by one; null if there is none, or if
    * the room gathers for one that has been parked since before {@code gatherBefore}.
    */
-  Want take(Size room, Size whole, double gatherBefore) {
+  Want take(Resources room, Resources whole, double gatherBefore) {
     Want best = null;
     int bestTurn = 0;
     Want gatherer = null;
     for (Want w : wants) {
-      if (best != null && level(w) > level(best)) {
+      if (best != null && servingOrder(w) > servingOrder(best)) {
         continue;
       }
-      if (w.size.fits(room)) {
-        int turn = rings.get(w.priority).indexOf(w.node);
-        if (best == null || level(w) < level(best) || turn < bestTurn) {
+      if (w.size.fitsIn(room)) {
+        int turn = rotations.get(w.priority).indexOf(w.node);
+        if (best == null || servingOrder(w) < servingOrder(best) || turn < bestTurn) {
           best = w;
           bestTurn = turn;
         }
-      } else if (w.since < gatherBefore
-          && w.size.fits(whole)
-          && (gatherer == null || level(w) < level(gatherer))) {
+      } else if (w.queuedAt < gatherBefore
+          && w.size.fitsIn(whole)
+          && (gatherer == null || servingOrder(w) < servingOrder(gatherer))) {
         gatherer = w;
       }
     }
-    if (best == null || gatherer != null && level(gatherer) < level(best)) {
+    if (best == null || gatherer != null && servingOrder(gatherer) < servingOrder(best)) {
       return null;
     }
-    List<String> ring = rings.get(best.priority);
+    List<String> ring = rotations.get(best.priority);
     ring.add(ring.remove(bestTurn));
     if (--best.count <= 0) {
       wants.remove(best);
@@ -121,7 +121,7 @@
   }
 
   /** Wants of a lower level are served before all of a higher one. */
-  private static int level(Want w) {
+  private static int servingOrder(Want w) {
     return w.priority * RANKS + w.rank;
   }
 }
--- a/src/main/java/dev/dunefront/book/Leaving.java
+++ b/src/main/java/dev/dunefront/book/WorkerEvacuation.java
@@ -4,7 +4,7 @@
 import dev.dunefront.config.Settings;
 import dev.dunefront.evidence.Isolation;
 import dev.dunefront.net.Timers;
-import dev.dunefront.store.Store;
+import dev.dunefront.store.StateStore;
 import java.lang.System.Logger.Level;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -15,59 +15,60 @@
  * Isolation}. A worker that is sent on keeps its lease for as long as it finds another in time; the
  * hold's record still names this controller, so one that comes back is held on without a write.
  */
-final class Leaving {
-  private static final System.Logger LOG = System.getLogger(Leaving.class.getName());
+final class WorkerEvacuation {
+  private static final System.Logger LOG = System.getLogger(WorkerEvacuation.class.getName());
 
   /** All are sent within this part of a lease: whoever takes them writes once for each. */
-  private static final double SPAN = 0.5;
+  private static final double EVACUATION_LEASE_FRACTION = 0.5;
 
   private final Settings settings;
-  private final Store store;
+  private final StateStore store;
   private final Timers timers;
-  private final Neighbours neighbours;
-  private final List<String> others = new ArrayList<>();
-  private Isolation alone = Isolation.NOT;
-  private int turn;
-  private double next;
-  private int sent;
+  private final ControllerLoads controllerLoads;
+  private final List<String> otherNodes = new ArrayList<>();
+  private Isolation alone = Isolation.NOT_ISOLATED;
+  private int nextTargetIndex;
+  private double nextSendAt;
+  private int sentCount;
 
-  Leaving(ControllerContext context, Neighbours neighbours) {
+  WorkerEvacuation(ControllerContext context, ControllerLoads neighbours) {
     this.settings = context.settings();
     this.store = context.store();
     this.timers = context.timers();
-    this.neighbours = neighbours;
+    this.controllerLoads = neighbours;
     // Those of this zone first: they hear its machines when it is cut off.
     settings.peers().stream()
         .sorted(
             (a, b) ->
                 Boolean.compare(b.zone().equals(settings.zone()), a.zone().equals(settings.zone())))
-        .forEach(p -> others.add(p.node()));
+        .forEach(p -> otherNodes.add(p.node()));
   }
 
   /** Whether neither the state service nor any other controller answers. */
   boolean alone() {
-    return store.down() && neighbours.none() && !others.isEmpty();
+    return store.unavailable() && controllerLoads.noneReachable() && !otherNodes.isEmpty();
   }
 
   /** Machines sent away so far. */
-  int sent() {
-    return sent;
+  int sentCount() {
+    return sentCount;
   }
 
   /** Time has passed. */
   void tick(double now) {
-    Isolation.Step before = alone.step();
-    alone = alone.passed(now, alone(), others.size(), settings.workers().leaseS());
-    if (alone.step() != before && alone.step() == Isolation.Step.GO) {
-      LOG.log(Level.INFO, "alone, and {0} found somebody else: the others follow", alone.trial());
+    Isolation.Phase before = alone.phase();
+    alone = alone.advance(now, alone(), otherNodes.size(), settings.workers().leaseS());
+    if (alone.phase() != before && alone.phase() == Isolation.Phase.EVACUATE) {
+      LOG.log(
+          Level.INFO, "alone, and {0} found somebody else: the others follow", alone.trialHost());
     }
   }
 
   /** A machine's report has come. */
-  void reported(String host) {
-    Isolation.Step before = alone.step();
-    alone = alone.reported(host, timers.now());
-    if (before != alone.step()) {
+  void reportReceived(String host) {
+    Isolation.Phase before = alone.phase();
+    alone = alone.reportReceived(host, timers.now());
+    if (before != alone.phase()) {
       LOG.log(Level.INFO, "alone, and {0} came back: nobody else is to be had", host);
     }
   }
@@ -76,27 +77,28 @@
    * To which controller a machine that has just reported is to be sent, or null if it stays. Sent
    * ahead is one on which nothing runs, if any.
    */
-  String whereTo(Machine m, Collection<Machine> held) {
+  String redirectTarget(Machine m, Collection<Machine> held) {
     double now = timers.now();
-    boolean first = alone.step() == Isolation.Step.TRY;
-    if (!first && (alone.step() != Isolation.Step.GO || now < next)) {
+    boolean first = alone.phase() == Isolation.Phase.SEND_TRIAL;
+    if (!first && (alone.phase() != Isolation.Phase.EVACUATE || now < nextSendAt)) {
       return null;
     }
-    if (first && !m.unfinished().isEmpty() && anyIdle(held)) {
+    if (first && !m.unfinishedTasks().isEmpty() && anyIdle(held)) {
       return null;
     }
     if (first) {
-      alone = alone.sent(m.host, now);
+      alone = alone.trialSent(m.host, now);
       LOG.log(Level.INFO, "alone with its workers; {0} is sent ahead", m.host);
     }
-    next = now + settings.workers().leaseS() * SPAN / Math.max(1, held.size());
-    sent++;
-    return others.get(turn++ % others.size());
+    nextSendAt =
+        now + settings.workers().leaseS() * EVACUATION_LEASE_FRACTION / Math.max(1, held.size());
+    sentCount++;
+    return otherNodes.get(nextTargetIndex++ % otherNodes.size());
   }
 
   private static boolean anyIdle(Collection<Machine> held) {
     for (Machine m : held) {
-      if (!m.lost && m.unfinished().isEmpty()) {
+      if (!m.leaseExpired && m.unfinishedTasks().isEmpty()) {
         return true;
       }
     }
--- a/src/main/java/dev/dunefront/claim/RoomInterest.java
+++ b/src/main/java/dev/dunefront/claim/CapacitySubscription.java
@@ -1,9 +1,9 @@
 package dev.dunefront.claim;
 
 import dev.dunefront.net.Timers;
-import dev.dunefront.peer.Detail;
 import dev.dunefront.peer.Message;
 import dev.dunefront.peer.Peers;
+import dev.dunefront.peer.ViewDetail;
 
 /**
  * Subscribes to what the other controllers tell of their machines: to room while a job here looks
@@ -11,29 +11,29 @@
  * a fall with the next tick, and whatever holds is declared again and again, so that a declaration
  * that is lost is missed for a moment only.
  */
-public final class RoomInterest {
+public final class CapacitySubscription {
   /** A need that is not expressed again is over after so long, in seconds. */
-  static final double LINGER_S = 1;
+  static final double NEED_EXPIRY_S = 1;
 
   /** What holds is declared again so often, in seconds. */
-  static final double REPEAT_S = 2;
+  static final double REDECLARE_S = 2;
 
   /** So long after a rise holders will have told what was missed, in seconds. */
-  static final double SETTLE_S = 0.04;
+  static final double PROPAGATION_S = 0.04;
 
   private final Peers peers;
   private final Timers timers;
-  private final Runnable settled;
-  private final double[] neededUntil = new double[Detail.values().length];
-  private Detail declared = Detail.STANDING;
+  private final Runnable onReliable;
+  private final double[] neededUntil = new double[ViewDetail.values().length];
+  private ViewDetail declared = ViewDetail.STATUS;
   private double declaredAt = Double.NEGATIVE_INFINITY;
-  private double settledAt = Double.NEGATIVE_INFINITY;
+  private double reliableAt = Double.NEGATIVE_INFINITY;
 
   /** {@code settled} is run some time after a rise, when it is time to look again. */
-  RoomInterest(Peers peers, Timers timers, Runnable settled) {
+  CapacitySubscription(Peers peers, Timers timers, Runnable settled) {
     this.peers = peers;
     this.timers = timers;
-    this.settled = settled;
+    this.onReliable = settled;
   }
 
   /**
@@ -41,39 +41,39 @@
    *
    * @return when what is known can be relied on: a time past, or shortly after now
    */
-  public double need(Detail detail) {
+  public double require(ViewDetail detail) {
     double now = timers.now();
-    neededUntil[detail.ordinal()] = now + LINGER_S;
+    neededUntil[detail.ordinal()] = now + NEED_EXPIRY_S;
     if (detail.compareTo(declared) > 0) {
       declare(detail, now);
-      settledAt = now + SETTLE_S;
-      timers.after(SETTLE_S, settled);
+      reliableAt = now + PROPAGATION_S;
+      timers.after(PROPAGATION_S, onReliable);
     }
-    return settledAt;
+    return reliableAt;
   }
 
   /** Called several times a second. */
   void tick() {
     double now = timers.now();
-    Detail needed = Detail.STANDING;
-    for (Detail detail : Detail.values()) {
+    ViewDetail needed = ViewDetail.STATUS;
+    for (ViewDetail detail : ViewDetail.values()) {
       if (now < neededUntil[detail.ordinal()]) {
         needed = detail;
       }
     }
-    if (needed != declared || now - declaredAt >= REPEAT_S) {
+    if (needed != declared || now - declaredAt >= REDECLARE_S) {
       declare(needed, now);
     }
   }
 
   /** A controller can be reached again, perhaps in another life. */
-  void reached(String node) {
-    peers.send(node, new Message.Interest(declared));
+  void peerConnected(String node) {
+    peers.send(node, new Message.ViewSubscription(declared));
   }
 
-  private void declare(Detail detail, double now) {
+  private void declare(ViewDetail detail, double now) {
     declared = detail;
     declaredAt = now;
-    peers.broadcast(new Message.Interest(detail));
+    peers.broadcast(new Message.ViewSubscription(detail));
   }
 }
--- a/src/main/java/dev/dunefront/claim/Chunk.java
+++ b/src/main/java/dev/dunefront/claim/Chunk.java
@@ -1,9 +1,9 @@
 package dev.dunefront.claim;
 
 import dev.dunefront.evidence.EndProof;
-import dev.dunefront.store.Store;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.store.StateStore;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
@@ -22,13 +22,13 @@
    * Tasks in a chunk. A placement takes some 12 bytes and a machine's name some 15, so the value
    * mostly stays below 16 KiB even if every task is on a machine of its own.
    */
-  static final int TASKS = 512;
+  static final int TASKS_PER_CHUNK = 512;
 
   /** The most that a placement's numbers take as text, and a run's, and all that is around them. */
   private static final int PLACEMENT_BYTES = 16;
 
-  private static final int RUN_BYTES = 8;
-  private static final int FRAME_BYTES = 200;
+  private static final int RANGE_BYTES = 8;
+  private static final int OVERHEAD_BYTES = 200;
 
   static String prefix(String job) {
     return "t/" + job + "/";
@@ -40,7 +40,7 @@
 
   record Placement(long attempt, String host, long session) {
     /** The attempt, for whoever looks for a proof that it is over. */
-    EndProof.Attempt asAttempt() {
+    EndProof.Attempt toAttempt() {
       return new EndProof.Attempt(attempt, host, session);
     }
 
@@ -58,13 +58,13 @@
     }
   }
 
-  final long stamp;
+  final long revision;
   final BitSet done = new BitSet();
   final Map<Integer, Placement> placed = new HashMap<>();
-  final Map<Integer, Long> tries = new HashMap<>();
+  final Map<Integer, Long> lastAttempts = new HashMap<>();
 
   Chunk(long stamp) {
-    this.stamp = stamp;
+    this.revision = stamp;
   }
 
   /** A copy to be changed; only when it is written does it take the original's place. */
@@ -72,12 +72,12 @@
     Chunk c = new Chunk(newStamp);
     c.done.or(done);
     c.placed.putAll(placed);
-    c.tries.putAll(tries);
+    c.lastAttempts.putAll(lastAttempts);
     return c;
   }
 
   /** About how large the value is as text; the state service limits that. */
-  int bytes() {
+  int estimatedBytes() {
     int runs = 0;
     for (int from = done.nextSetBit(0);
         from >= 0;
@@ -89,18 +89,18 @@
     for (Placement p : placed.values()) {
       names += hosts.add(p.host) ? p.host.length() + 3 : 0;
     }
-    return FRAME_BYTES
+    return OVERHEAD_BYTES
         + names
-        + RUN_BYTES * runs
-        + PLACEMENT_BYTES * Math.max(placed.size(), tries.size());
+        + RANGE_BYTES * runs
+        + PLACEMENT_BYTES * Math.max(placed.size(), lastAttempts.size());
   }
 
   /** How much another placement may add. */
-  static int bytesFor(String host) {
+  static int placementBytes(String host) {
     return PLACEMENT_BYTES + host.length() + 3;
   }
 
-  static Chunk read(Doc d, long stamp) throws BadMessage {
+  static Chunk read(Document d, long stamp) throws MalformedMessageException {
     Chunk c = new Chunk(stamp);
     List<Long> done = d.counts("done");
     for (int i = 0; i + 1 < done.size(); i += 2) {
@@ -112,22 +112,22 @@
     for (int i = 0; i + 3 < placed.size(); i += 4) {
       int host = placed.get(i + 2).intValue();
       if (host < 0 || host >= hosts.size()) {
-        throw new BadMessage("a placement on a machine that is not listed");
+        throw new MalformedMessageException("a placement on a machine that is not listed");
       }
       int n = placed.get(i).intValue();
       Placement placement = new Placement(placed.get(i + 1), hosts.get(host), placed.get(i + 3));
       c.placed.put(n, placement);
-      c.tries.put(n, placement.attempt);
+      c.lastAttempts.put(n, placement.attempt);
     }
     List<Long> tries = d.counts("tries");
     for (int i = 0; i + 1 < tries.size(); i += 2) {
-      c.tries.put(tries.get(i).intValue(), tries.get(i + 1));
+      c.lastAttempts.put(tries.get(i).intValue(), tries.get(i + 1));
     }
     return c;
   }
 
   /** Done tasks as runs (first, length); placements as (task, attempt, index of host, session). */
-  Doc write(String mark) {
+  Document write(String mark) {
     List<Object> runs = new ArrayList<>();
     for (int from = done.nextSetBit(0); from >= 0; ) {
       int to = done.nextClearBit(from);
@@ -152,15 +152,15 @@
           placements.add(p.session);
         });
     List<Object> attempts = new ArrayList<>();
-    tries.forEach(
+    lastAttempts.forEach(
         (n, a) -> {
           if (!placed.containsKey(n) && !done.get(n)) {
             attempts.add((long) n);
             attempts.add(a);
           }
         });
-    return Doc.of()
-        .put(Store.MARK, mark)
+    return Document.create()
+        .put(StateStore.WRITE_ID_FIELD, mark)
         .put("done", runs)
         .put("hosts", hosts)
         .put("placed", placements)
--- a/src/main/java/dev/dunefront/claim/ClaimShare.java
+++ b/src/main/java/dev/dunefront/claim/ClaimAdmission.java
@@ -7,13 +7,13 @@
 import java.util.Collection;
 
 /** How much a controller claims: its part of the room that fits, and a little ahead. */
-final class ClaimShare {
+final class ClaimAdmission {
   private final ControllerContext context;
-  private final Room room;
+  private final MachineTable machineTable;
 
-  ClaimShare(ControllerContext context, Room room) {
+  ClaimAdmission(ControllerContext context, MachineTable room) {
     this.context = context;
-    this.room = room;
+    this.machineTable = room;
   }
 
   /**
@@ -22,7 +22,7 @@
    * dozen small ones would keep a large one unclaimed that waits for other machines.
    */
   boolean admits(JobSpec spec, Collection<Claim> claims) {
-    if (context.membership().self() == null) {
+    if (context.membership().ownIncarnation() == null) {
       return false;
     }
     boolean any = false;
@@ -32,13 +32,13 @@
       any |= unstarted > 0;
       // A job waits only behind work that would be dealt before it anyway.
       if (unstarted > 0 && c.spec.priority().compareTo(spec.priority()) <= 0) {
-        load += (double) unstarted / Math.max(1, fittingRoom(c.spec));
+        load += (double) unstarted / Math.max(1, fittingTasks(c.spec));
       }
     }
     if (!any) {
       return true;
     }
-    long fitting = fittingRoom(spec);
+    long fitting = fittingTasks(spec);
     int controllers = Math.max(1, context.membership().liveNodes().size());
     long share = (fitting + controllers - 1) / controllers + context.tunables().headroom();
     return load * fitting + Math.min(spec.tasks(), share) <= share;
@@ -50,7 +50,7 @@
    */
   boolean admitsAtOnce(JobSpec spec, Collection<Claim> claims) {
     for (JobTable.Entry e : context.jobs().all()) {
-      if (e.record().claim() == null
+      if (e.record().claimant() == null
           && e.record().status() == Status.OPEN
           && e.record().spec().priority().compareTo(spec.priority()) <= 0) {
         return false;
@@ -60,12 +60,13 @@
   }
 
   /** How many tasks of the job the machines could hold if they were empty. */
-  private long fittingRoom(JobSpec spec) {
+  private long fittingTasks(JobSpec spec) {
     long fitting = 0;
-    for (Room.Kind k : room.kinds()) {
+    for (MachineTable.Kind k : machineTable.kinds()) {
       MachineType t = context.catalog().type(k.type());
       if (t != null && spec.allows(k.type(), k.zone(), k.spot())) {
-        fitting += (long) room.count(k) * spec.size().timesIn(t.size());
+        fitting +=
+            (long) machineTable.count(k) * spec.taskResources().countFittingIn(t.resources());
       }
     }
     return fitting;
--- a/src/main/java/dev/dunefront/claim/ClaimLoader.java
+++ b/src/main/java/dev/dunefront/claim/ClaimLoader.java
@@ -1,8 +1,8 @@
 package dev.dunefront.claim;
 
-import dev.dunefront.store.Store;
-import dev.dunefront.store.Store.Outcome;
-import dev.dunefront.wire.BadMessage;
+import dev.dunefront.store.StateStore;
+import dev.dunefront.store.StateStore.Outcome;
+import dev.dunefront.wire.MalformedMessageException;
 
 /**
  * Reads what is recorded of a claimed job: its record, and which of its tasks are placed or done.
@@ -28,31 +28,31 @@
         .store()
         .range(
             Chunk.prefix(c.id()),
-            Store.Urgency.CORE,
+            StateStore.RequestPriority.CORE,
             range -> {
-              if (c.dropped) {
+              if (c.released) {
                 return;
               }
               if (range.outcome() != Outcome.OK) {
-                context.later(RETRY_S, () -> load(c));
+                context.schedule(RETRY_S, () -> load(c));
                 return;
               }
-              c.forgetChunks();
-              for (Store.Pair p : range.pairs()) {
+              c.clearChunks();
+              for (StateStore.KeyValue p : range.pairs()) {
                 try {
                   int index = Integer.parseInt(p.key().substring(Chunk.prefix(c.id()).length()));
-                  c.install(index, Chunk.read(p.value(), p.stamp()));
-                } catch (BadMessage | NumberFormatException e) {
+                  c.installChunk(index, Chunk.read(p.value(), p.revision()));
+                } catch (MalformedMessageException | NumberFormatException e) {
                   throw new IllegalStateException("chunk " + p.key() + " cannot be read", e);
                 }
               }
               c.loading = false;
               double now = context.now();
               // Holders that have yet to learn who claims the job now show it in a moment.
-              c.live.values().forEach(l -> l.probedAt = now);
-              c.unread.addAll(c.hosts());
-              reconciliation.readAgain(c);
-              claims.review(c);
+              c.liveAttempts.values().forEach(l -> l.probedAt = now);
+              c.hostsToCompare.addAll(c.hosts());
+              reconciliation.comparePending(c);
+              claims.reevaluate(c);
             });
   }
 
@@ -61,26 +61,26 @@
     c.loading = true;
     context
         .jobs()
-        .read(
+        .readCurrent(
             c.id(),
-            Store.Urgency.CORE,
+            StateStore.RequestPriority.CORE,
             found -> {
-              if (c.dropped) {
+              if (c.released) {
                 return;
               }
               if (found.outcome() == Outcome.OK && found.entry() != null) {
-                String self = context.membership().self();
-                if (self == null || !self.equals(found.entry().record().claim())) {
-                  claims.drop(c);
+                String self = context.membership().ownIncarnation();
+                if (self == null || !self.equals(found.entry().record().claimant())) {
+                  claims.release(c);
                   return;
                 }
                 c.record = found.entry().record();
-                c.stamp = found.entry().stamp();
+                c.revision = found.entry().revision();
                 load(c);
-              } else if (found.outcome() == Outcome.OK || found.outcome() == Outcome.MISSING) {
-                claims.drop(c);
+              } else if (found.outcome() == Outcome.OK || found.outcome() == Outcome.NOT_FOUND) {
+                claims.release(c);
               } else {
-                context.later(RETRY_S, () -> reload(c));
+                context.schedule(RETRY_S, () -> reload(c));
               }
             });
   }
--- a/src/main/java/dev/dunefront/claim/Claims.java
+++ b/src/main/java/dev/dunefront/claim/Claims.java
@@ -1,12 +1,12 @@
 package dev.dunefront.claim;
 
-import dev.dunefront.book.Holds;
-import dev.dunefront.claim.Claim.Held;
-import dev.dunefront.claim.Claim.Live;
+import dev.dunefront.book.HoldTable;
+import dev.dunefront.claim.Claim.LiveAttempt;
+import dev.dunefront.claim.Claim.ReceivedOffer;
 import dev.dunefront.job.JobRecord.Status;
 import dev.dunefront.job.JobTable;
 import dev.dunefront.peer.Message;
-import dev.dunefront.peer.Message.View;
+import dev.dunefront.peer.Message.MachineView;
 import dev.dunefront.wire.JobSpec;
 import java.lang.System.Logger.Level;
 import java.util.ArrayList;
@@ -19,91 +19,102 @@
 
 /**
  * The jobs that this controller has claimed: claims them and gives them up, and hands what happens
- * to {@link WantPlacement}, which asks for room, {@link Recorder}, which writes what is placed and
- * what has ended, and {@link Reconciliation}, which finds out how attempts ended.
+ * to {@link WantPlacement}, which asks for room, {@link ClaimWriter}, which writes what is placed
+ * and what has ended, and {@link Reconciliation}, which finds out how attempts ended.
  */
 public final class Claims {
   private static final System.Logger LOG = System.getLogger(Claims.class.getName());
-  private static final double REPEAT_S = 1.5;
-  private static final double REVIEW_S = 0.02;
+  private static final double STOP_RETRY_S = 1.5;
+  private static final double REEVALUATION_DELAY_S = 0.02;
 
   private final ControllerContext context;
   private final Quotas quotas;
-  private final Room room = new Room();
-  private final RoomInterest interest;
+  private final MachineTable machineTable = new MachineTable();
+  private final CapacitySubscription capacitySubscription;
   private final Turnover turnover;
-  private final IdleRoom idle;
+  private final IdleCapacity idleCapacity;
   private final WantPlacement wantPlacement;
-  private final Recorder recorder;
+  private final ClaimWriter claimWriter;
   private final Reconciliation reconciliation;
-  private final Urgencies urgencies;
-  private final Zones zones;
+  private final DeadlineRanking ranking;
+  private final ZoneConstraints zoneConstraints;
   private final Map<String, Claim> claims = new HashMap<>();
   private final Takeover takeover;
   private final ClaimLoader loader;
-  private final ClaimShare share;
-  private final Account account;
+  private final ClaimAdmission admission;
+  private final JobStatistics statistics;
 
   /** Jobs whose size has been learned from. */
-  private final Set<String> sized = new HashSet<>();
+  private final Set<String> learnedJobs = new HashSet<>();
 
-  private boolean reviewing;
+  private boolean reevaluationScheduled;
 
   public Claims(ControllerContext context) {
     this.context = context;
-    urgencies = new Urgencies(context.settings());
-    zones = new Zones(room);
-    quotas = new Quotas(context.settings(), context.replica(), this::reviewSoon);
-    turnover = new Turnover(context, room, this);
-    idle = new IdleRoom(context, room);
-    interest =
-        new RoomInterest(
-            context.peers(), context.timers(), () -> context.decisionLock().run(this::reviewSoon));
+    ranking = new DeadlineRanking(context.settings());
+    zoneConstraints = new ZoneConstraints(machineTable);
+    quotas = new Quotas(context.settings(), context.replica(), this::scheduleReevaluation);
+    turnover = new Turnover(context, machineTable, this);
+    idleCapacity = new IdleCapacity(context, machineTable);
+    capacitySubscription =
+        new CapacitySubscription(
+            context.peers(),
+            context.timers(),
+            () -> context.decisionLock().run(this::scheduleReevaluation));
     wantPlacement =
-        new WantPlacement(context, room, interest, idle, quotas, urgencies, zones, turnover);
-    recorder = new Recorder(context, quotas, zones, wantPlacement, room, this);
-    AttemptEnds ends = new AttemptEnds(context, room, urgencies, turnover);
-    reconciliation = new Reconciliation(context, room, recorder, ends);
+        new WantPlacement(
+            context,
+            machineTable,
+            capacitySubscription,
+            idleCapacity,
+            quotas,
+            ranking,
+            zoneConstraints,
+            turnover);
+    claimWriter =
+        new ClaimWriter(context, quotas, zoneConstraints, wantPlacement, machineTable, this);
+    AttemptTermination ends = new AttemptTermination(context, machineTable, ranking, turnover);
+    reconciliation = new Reconciliation(context, machineTable, claimWriter, ends);
     takeover = new Takeover(context, this);
     loader = new ClaimLoader(context, this, reconciliation);
-    share = new ClaimShare(context, room);
-    account = new Account(context, claims, quotas, zones, room);
+    admission = new ClaimAdmission(context, machineTable);
+    statistics = new JobStatistics(context, claims, quotas, zoneConstraints, machineTable);
   }
 
-  public Room room() {
-    return room;
+  public MachineTable machineTable() {
+    return machineTable;
   }
 
   /** What this controller asks the others to tell of their machines. */
-  public RoomInterest interest() {
-    return interest;
+  public CapacitySubscription capacitySubscription() {
+    return capacitySubscription;
   }
 
-  public Urgencies urgencies() {
-    return urgencies;
+  public DeadlineRanking ranking() {
+    return ranking;
   }
 
   /** What there is to tell of jobs. */
-  public Account account() {
-    return account;
+  public JobStatistics statistics() {
+    return statistics;
   }
 
   // ---- claiming ----
 
   /** Whether a job may be claimed beside what is claimed already. */
   boolean admits(JobSpec spec) {
-    return share.admits(spec, claims.values());
+    return admission.admits(spec, claims.values());
   }
 
   /** Whether a job that has just come may be claimed at once. */
   public boolean admitsAtOnce(JobSpec spec) {
-    return share.admitsAtOnce(spec, claims.values());
+    return admission.admitsAtOnce(spec, claims.values());
   }
 
   /** Whether a claimed job like these has yet to begin. */
-  boolean waitsAlike(Queue.Shape shape) {
+  boolean hasUnstartedEquivalent(SearchThrottle.EquivalenceClass shape) {
     for (Claim c : claims.values()) {
-      if (c.shape.equals(shape) && !Begin.begun(c)) {
+      if (c.equivalenceClass.equals(shape) && !StartEscalation.startedOrClosed(c)) {
         return true;
       }
     }
@@ -125,17 +136,19 @@
    */
   public void adopt(String id, boolean fresh) {
     JobTable.Entry e = context.jobs().get(id);
-    if (claims.containsKey(id) || e == null || !e.record().heldBy(context.membership().self())) {
+    if (claims.containsKey(id)
+        || e == null
+        || !e.record().isClaimedBy(context.membership().ownIncarnation())) {
       return;
     }
-    Claim c = new Claim(e.record(), e.stamp(), context.tunables().reach(), context.now());
-    c.halted = context.jobs().over(id);
+    Claim c = new Claim(e.record(), e.revision(), context.tunables().reach(), context.now());
+    c.endRequested = context.jobs().isEndingOrEnded(id);
     claims.put(c.id(), c);
-    reconciliation.began(c);
+    reconciliation.claimStarted(c);
     takeover.adopted(c.id());
-    account.forget(c.id());
+    statistics.forgetRemote(c.id());
     if (fresh) {
-      review(c);
+      reevaluate(c);
     } else {
       loader.load(c);
     }
@@ -147,189 +160,189 @@
   }
 
   /** Gives a claim up: another controller has the job, or it is over. */
-  void drop(Claim c) {
-    c.dropped = true;
-    reconciliation.ended(c);
-    wantPlacement.withdraw(c);
-    recorder.declineAll(c);
+  void release(Claim c) {
+    c.released = true;
+    reconciliation.claimEnded(c);
+    wantPlacement.withdrawWants(c);
+    claimWriter.declineAll(c);
     claims.remove(c.id(), c);
   }
 
   /** Another controller has recorded that the job is to end. */
-  public void cancelled(String id) {
+  public void jobCancelled(String id) {
     Claim c = claims.get(id);
-    if (c != null && c.starts()) {
-      c.halted = true;
-      wantPlacement.withdraw(c);
-      recorder.declineAll(c);
+    if (c != null && c.startable()) {
+      c.endRequested = true;
+      wantPlacement.withdrawWants(c);
+      claimWriter.declineAll(c);
     }
   }
 
   /** The job's end is written. */
-  void finished(Claim c, Status last, long revision) {
-    c.dropped = true;
-    reconciliation.ended(c);
+  void jobFinished(Claim c, Status last, long revision) {
+    c.released = true;
+    reconciliation.claimEnded(c);
     claims.remove(c.id(), c);
-    wantPlacement.withdraw(c);
-    recorder.declineAll(c);
+    wantPlacement.withdrawWants(c);
+    claimWriter.declineAll(c);
     LOG.log(Level.INFO, "{0} is {1}", c.id(), last);
-    context.jobs().finished(c.id(), last, revision);
+    context.jobs().applyOwnFinalWrite(c.id(), last, revision);
     // Users ask anywhere; told so, nobody need read it.
-    context.peers().broadcast(new Message.Ended(c.id(), last == Status.DONE));
+    context.peers().broadcast(new Message.JobEnded(c.id(), last == Status.DONE));
   }
 
   /** Forgets all claims, for this controller has become another incarnation. */
-  public void reborn() {
+  public void incarnationChanged() {
     for (Claim c : List.copyOf(claims.values())) {
-      drop(c);
+      release(c);
     }
-    takeover.reborn();
+    takeover.incarnationChanged();
   }
 
   /** A live record has changed; null means that it is gone. */
   public void jobChanged(String id, JobTable.Entry before, JobTable.Entry entry) {
     takeover.jobChanged(before, entry);
     if (entry == null) {
-      account.forget(id);
-      sized.remove(id);
-    } else if (sized.add(id)) {
-      urgencies.seen(entry.record().spec());
-      idle.came(entry.record());
+      statistics.forgetRemote(id);
+      learnedJobs.remove(id);
+    } else if (learnedJobs.add(id)) {
+      ranking.jobSeen(entry.record().spec());
+      idleCapacity.arrived(entry.record());
     }
     Claim c = claims.get(id);
-    if (c == null || entry != null && entry.stamp() <= c.stamp) {
+    if (c == null || entry != null && entry.revision() <= c.revision) {
       return;
     }
-    if (entry == null || !entry.record().heldBy(context.membership().self())) {
-      drop(c);
+    if (entry == null || !entry.record().isClaimedBy(context.membership().ownIncarnation())) {
+      release(c);
       return;
     }
     c.record = entry.record();
-    c.stamp = entry.stamp();
+    c.revision = entry.revision();
     if (!c.open()) {
-      wantPlacement.withdraw(c);
-      recorder.declineAll(c);
+      wantPlacement.withdrawWants(c);
+      claimWriter.declineAll(c);
     }
-    review(c);
+    reevaluate(c);
   }
 
   // ---- messages ----
 
   public void received(String from, Message message) {
-    if (message instanceof View v) {
-      Room.Seen old = room.put(from, v, context.now());
+    if (message instanceof MachineView v) {
+      MachineTable.Entry old = machineTable.put(from, v, context.now());
       if (old != null && (!old.holder().equals(from) || old.view().token() != v.token())) {
-        unpark(v.host());
+        wantsLost(v.host());
       }
-      reconciliation.heard(room.get(v.host()), claims);
-      reviewSoon();
-    } else if (message instanceof Message.Unheld u) {
-      if (room.remove(from, u.host())) {
-        unpark(u.host());
-        reviewSoon();
+      reconciliation.viewReceived(machineTable.get(v.host()), claims);
+      scheduleReevaluation();
+    } else if (message instanceof Message.HoldReleased u) {
+      if (machineTable.remove(from, u.host())) {
+        wantsLost(u.host());
+        scheduleReevaluation();
       }
     } else if (message instanceof Message.Offer o) {
-      offered(from, o);
-    } else if (message instanceof Message.Absent a) {
+      offerReceived(from, o);
+    } else if (message instanceof Message.AttemptAbsent a) {
       Claim c = claims.get(a.job());
-      Live l = c == null ? null : c.live.get(a.number());
+      LiveAttempt l = c == null ? null : c.liveAttempts.get(a.number());
       if (l != null
-          && !l.ending
+          && !l.ended
           && l.placement.attempt() == a.attempt()
           && l.placement.host().equals(a.host())) {
-        reconciliation.denied(from, a, c, l);
+        reconciliation.attemptDenied(from, a, c, l);
       }
-    } else if (message instanceof Message.Progress p) {
-      account.told(p);
+    } else if (message instanceof Message.JobProgress p) {
+      statistics.progressReceived(p);
     }
   }
 
-  private void offered(String from, Message.Offer o) {
+  private void offerReceived(String from, Message.Offer o) {
     Claim c = claims.get(o.job());
     if (c != null) {
-      c.parked.computeIfPresent(o.host(), (h, n) -> n > 1 ? n - 1 : null);
+      c.queuedWants.computeIfPresent(o.host(), (h, n) -> n > 1 ? n - 1 : null);
     }
     // While the state cannot be written an offer would only keep room from others.
     if (c == null
         || c.loading
-        || !c.starts()
-        || context.store().down()
+        || !c.startable()
+        || context.store().unavailable()
         || !context.standstill().current()) {
-      context.peers().send(from, new Message.Decline(o.offer(), o.host()));
+      context.peers().send(from, new Message.DeclineOffer(o.offerId(), o.host()));
     } else {
-      c.offers.add(new Held(from, o, context.now()));
-      recorder.chooseSoon(c);
+      c.offers.add(new ReceivedOffer(from, o, context.now()));
+      claimWriter.scheduleFlush(c);
     }
   }
 
   /** A controller's link here is gone: what it told of its machines no longer holds. */
-  public void gone(String node) {
-    for (String host : room.removeAll(node)) {
-      unpark(host);
+  public void peerDisconnected(String node) {
+    for (String host : machineTable.removeAll(node)) {
+      wantsLost(host);
     }
-    reviewSoon();
+    scheduleReevaluation();
   }
 
   /** A controller can be reached again: all wants are parked anew with it. */
-  public void reached(String node) {
-    interest.reached(node);
-    for (Room.Seen s : room.all()) {
+  public void peerConnected(String node) {
+    capacitySubscription.peerConnected(node);
+    for (MachineTable.Entry s : machineTable.all()) {
       if (s.holder().equals(node)) {
-        unpark(s.view().host());
+        wantsLost(s.view().host());
       }
     }
-    reviewSoon();
+    scheduleReevaluation();
   }
 
   /** The hold record of a machine has changed; only its confirmed end matters here. */
   public void holdChanged(String host) {
-    Holds.Hold hold = context.holds().get(host);
-    if (hold != null && hold.dead()) {
+    HoldTable.Hold hold = context.holds().recordOf(host);
+    if (hold != null && hold.machineDeleted()) {
       for (Claim c : List.copyOf(claims.values())) {
-        reconciliation.endAllOn(c, host);
+        reconciliation.endAttemptsOn(c, host);
       }
     }
   }
 
-  private void unpark(String host) {
+  private void wantsLost(String host) {
     for (Claim c : claims.values()) {
-      wantPlacement.lostBook(c, host);
+      wantPlacement.wantsLost(c, host);
     }
   }
 
   // ---- time ----
 
   /** Looks at all claims shortly; changes that come together are looked at once. */
-  private void reviewSoon() {
-    if (reviewing) {
+  private void scheduleReevaluation() {
+    if (reevaluationScheduled) {
       return;
     }
-    reviewing = true;
-    context.later(
-        REVIEW_S,
+    reevaluationScheduled = true;
+    context.schedule(
+        REEVALUATION_DELAY_S,
         () -> {
-          reviewing = false;
-          reviewAll();
+          reevaluationScheduled = false;
+          reevaluateAll();
         });
   }
 
-  private void reviewAll() {
+  private void reevaluateAll() {
     List<Claim> all = new ArrayList<>(claims.values());
     all.sort(
         Comparator.comparing((Claim c) -> c.spec.priority())
             .thenComparing(c -> c.record.acceptedMs()));
-    Queue.line(all);
-    all.forEach(c -> context.decisionLock().run(() -> review(c)));
+    SearchThrottle.throttle(all);
+    all.forEach(c -> context.decisionLock().run(() -> reevaluate(c)));
   }
 
-  void review(Claim c) {
-    if (c.dropped || c.loading) {
+  void reevaluate(Claim c) {
+    if (c.released || c.loading) {
       return;
     }
-    reconciliation.readAgain(c);
-    recorder.flush(c);
-    if (!c.dropped && !context.store().down()) {
-      wantPlacement.review(c);
+    reconciliation.comparePending(c);
+    claimWriter.flush(c);
+    if (!c.released && !context.store().unavailable()) {
+      wantPlacement.updateWants(c);
     }
   }
 
@@ -344,25 +357,25 @@
           .decisionLock()
           .run(
               () -> {
-                if (!c.starts() && !c.loading) {
-                  stopAll(c, now);
+                if (!c.startable() && !c.loading) {
+                  stopAllAttempts(c, now);
                 }
-                reconciliation.lookAgain(c);
-                sayIfLate(c);
+                reconciliation.recheckMissing(c);
+                logIfStartOverdue(c);
               });
     }
-    reviewAll();
-    interest.tick();
+    reevaluateAll();
+    capacitySubscription.tick();
   }
 
   /** Names what the fleet has not served in time, once. */
-  private void sayIfLate(Claim c) {
-    if (c.saidLate || c.loading || Begin.begun(c)) {
+  private void logIfStartOverdue(Claim c) {
+    if (c.overdueLogged || c.loading || StartEscalation.startedOrClosed(c)) {
       return;
     }
-    double ageS = c.ageS(context.timers().timeOfDayMs());
+    double ageS = c.ageS(context.timers().wallClockMs());
     if (ageS > context.tunables().beginS()) {
-      c.saidLate = true;
+      c.overdueLogged = true;
       LOG.log(
           Level.INFO,
           "{0}, a {1} of {2}, has not begun after {3} s: its tasks take {4} CPUs, {5} GB, types {6}",
@@ -372,21 +385,21 @@
           Math.round(ageS),
           c.size.cpu(),
           c.size.ram(),
-          c.spec.types());
+          c.spec.machineTypes());
     }
   }
 
-  private void stopAll(Claim c, double now) {
-    for (var e : c.live.entrySet()) {
-      Live l = e.getValue();
-      Room.Seen s = room.get(l.placement.host());
-      if (s != null && now - l.stoppedAt > REPEAT_S) {
-        l.stoppedAt = now;
+  private void stopAllAttempts(Claim c, double now) {
+    for (var e : c.liveAttempts.entrySet()) {
+      LiveAttempt l = e.getValue();
+      MachineTable.Entry s = machineTable.get(l.placement.host());
+      if (s != null && now - l.stopSentAt > STOP_RETRY_S) {
+        l.stopSentAt = now;
         context
             .peers()
             .send(
                 s.holder(),
-                new Message.Stop(
+                new Message.StopTask(
                     l.placement.host(),
                     c.record.term(),
                     c.id(),
--- a/src/main/java/dev/dunefront/claim/ControllerContext.java
+++ b/src/main/java/dev/dunefront/claim/ControllerContext.java
@@ -1,19 +1,19 @@
 package dev.dunefront.claim;
 
-import dev.dunefront.book.Holds;
+import dev.dunefront.book.HoldTable;
 import dev.dunefront.config.Settings;
 import dev.dunefront.config.Tunables;
 import dev.dunefront.duty.Duties;
-import dev.dunefront.fleet.Catalog;
+import dev.dunefront.fleet.MachineCatalog;
 import dev.dunefront.job.JobTable;
 import dev.dunefront.metrics.SafetyMonitor;
 import dev.dunefront.net.DecisionLock;
 import dev.dunefront.net.Timers;
 import dev.dunefront.peer.Peers;
 import dev.dunefront.store.Membership;
+import dev.dunefront.store.PauseDetector;
 import dev.dunefront.store.Replica;
-import dev.dunefront.store.Standstill;
-import dev.dunefront.store.Store;
+import dev.dunefront.store.StateStore;
 
 /** What the parts of a controller share. */
 public record ControllerContext(
@@ -21,14 +21,14 @@
     Tunables tunables,
     Membership membership,
     Replica replica,
-    Holds holds,
+    HoldTable holds,
     JobTable jobs,
-    Catalog catalog,
-    Store store,
+    MachineCatalog catalog,
+    StateStore store,
     Peers peers,
     Timers timers,
     DecisionLock decisionLock,
-    Standstill standstill,
+    PauseDetector standstill,
     Duties duties,
     SafetyMonitor safety) {
 
@@ -37,7 +37,7 @@
   }
 
   /** Runs a decision after a while. */
-  void later(double seconds, Runnable decision) {
+  void schedule(double seconds, Runnable decision) {
     timers.after(seconds, () -> decisionLock.run(decision));
   }
 }
--- a/src/main/java/dev/dunefront/claim/Urgencies.java
+++ b/src/main/java/dev/dunefront/claim/DeadlineRanking.java
@@ -14,71 +14,72 @@
  * little: a few large ones would make many late. How long tasks run, and how many a job of a class
  * has, is learned, for owners' estimates are biased.
  */
-public final class Urgencies {
-  static final int PRESSING = 0;
-  static final int IN_TIME = 1;
+public final class DeadlineRanking {
+  static final int AT_RISK = 0;
+  static final int ON_TIME = 1;
 
   /** What is added to the two above for a job with much left to start. */
-  private static final int LARGE = 2;
+  private static final int LARGE_JOB_OFFSET = 2;
 
   static final int LATE = 4;
   private static final int LATE_LARGE = 5;
-  static final int LOST = 6;
+  static final int MISSED_ALL = 6;
 
-  private static final double PRESSING_S = 15;
-  private static final double LEARN = 0.1;
+  private static final double AT_RISK_SLACK_S = 15;
+  private static final double LEARNING_RATE = 0.1;
 
   /** A job has much left if it is this many times what a job of its class has in all. */
-  private static final double MUCH = 1.4;
+  private static final double LARGE_JOB_FACTOR = 1.4;
 
-  private static final double LEAST = 0.3;
-  private static final double MOST = 3;
+  private static final double MIN_BIAS = 0.3;
+  private static final double MAX_BIAS = 3;
 
   private final Settings settings;
 
   /** By class: how long tasks ran, as a multiple of their estimate. */
-  private final Map<String, Double> bias = new HashMap<>();
+  private final Map<String, Double> estimateBias = new HashMap<>();
 
   /** By class: how many tasks a job has. */
-  private final Map<String, Double> tasks = new HashMap<>();
+  private final Map<String, Double> meanTasks = new HashMap<>();
 
-  Urgencies(Settings settings) {
+  DeadlineRanking(Settings settings) {
     this.settings = settings;
   }
 
   /** A task of the job has run to its end in this time. */
-  void ran(JobSpec spec, double seconds) {
+  void taskCompleted(JobSpec spec, double seconds) {
     if (spec.estimateS() > 0) {
-      double ratio = Math.max(LEAST, Math.min(MOST, seconds / spec.estimateS()));
-      bias.merge(spec.jobClass(), ratio, (old, now) -> old + LEARN * (now - old));
+      double ratio = Math.max(MIN_BIAS, Math.min(MAX_BIAS, seconds / spec.estimateS()));
+      estimateBias.merge(spec.jobClass(), ratio, (old, now) -> old + LEARNING_RATE * (now - old));
     }
   }
 
   /** A job has been seen, which tells how large jobs of its class are. */
-  void seen(JobSpec spec) {
-    tasks.merge(spec.jobClass(), (double) spec.tasks(), (old, now) -> old + LEARN * (now - old));
+  void jobSeen(JobSpec spec) {
+    meanTasks.merge(
+        spec.jobClass(), (double) spec.tasks(), (old, now) -> old + LEARNING_RATE * (now - old));
   }
 
   int rank(JobSpec spec, int unstarted, double ageS, double fetchS) {
-    boolean large = unstarted > MUCH * tasks.getOrDefault(spec.jobClass(), 1e9);
+    boolean large = unstarted > LARGE_JOB_FACTOR * meanTasks.getOrDefault(spec.jobClass(), 1e9);
 
-    List<Double> aims = aims(spec);
-    double needs = runS(spec) + fetchS;
+    List<Double> aims = objectiveAgesS(spec);
+    double needs = expectedRunS(spec) + fetchS;
     for (int i = 0; i < aims.size(); i++) {
       double slack = aims.get(i) - ageS - needs;
       if (slack >= 0) {
         if (i > 0) {
           return large ? LATE_LARGE : LATE;
         }
-        return (slack < PRESSING_S ? PRESSING : IN_TIME) + (large ? LARGE : 0);
+        return (slack < AT_RISK_SLACK_S ? AT_RISK : ON_TIME) + (large ? LARGE_JOB_OFFSET : 0);
       }
     }
-    return aims.isEmpty() ? IN_TIME + (large ? LARGE : 0) : LOST;
+    return aims.isEmpty() ? ON_TIME + (large ? LARGE_JOB_OFFSET : 0) : MISSED_ALL;
   }
 
   /** How long the job's tasks are expected to run. */
-  public double runS(JobSpec spec) {
-    return spec.estimateS() * bias.getOrDefault(spec.jobClass(), 1.0);
+  public double expectedRunS(JobSpec spec) {
+    return spec.estimateS() * estimateBias.getOrDefault(spec.jobClass(), 1.0);
   }
 
   /**
@@ -86,7 +87,7 @@
    * can still be met; null if there is none.
    */
   public Double slackS(JobSpec spec, double ageS, double needsS) {
-    for (double aim : aims(spec)) {
+    for (double aim : objectiveAgesS(spec)) {
       if (aim - ageS - needsS >= 0) {
         return aim - ageS - needsS;
       }
@@ -106,7 +107,7 @@
     }
     boolean any = false;
     double slack = Double.POSITIVE_INFINITY;
-    for (Settings.StartAim a : settings.startAims()) {
+    for (Settings.StartObjective a : settings.startObjectives()) {
       if (a.jobClass() == null || a.jobClass().equals(spec.jobClass())) {
         any = true;
         if (a.withinS() > ageS) {
@@ -117,19 +118,19 @@
     if (slack < Double.POSITIVE_INFINITY) {
       return slack;
     }
-    Double left = slackS(spec, ageS, runS(spec));
-    return left != null ? left : any || !aims(spec).isEmpty() ? slack : 0;
+    Double left = slackS(spec, ageS, expectedRunS(spec));
+    return left != null ? left : any || !objectiveAgesS(spec).isEmpty() ? slack : 0;
   }
 
   /** The ages at which a job should be done, soonest first. */
-  private List<Double> aims(JobSpec spec) {
+  private List<Double> objectiveAgesS(JobSpec spec) {
     List<Double> aims = new ArrayList<>();
-    for (Settings.Objective o : settings.objectives()) {
+    for (Settings.CompletionObjective o : settings.objectives()) {
       if (o.jobClass().equals(spec.jobClass())) {
         if (o.withinS() != null) {
           aims.add(o.withinS());
         } else if (spec.deadlineS() != null) {
-          aims.add(o.deadlineTimes() * spec.deadlineS());
+          aims.add(o.deadlineFactor() * spec.deadlineS());
         }
       }
     }
--- a/src/main/java/dev/dunefront/claim/Account.java
+++ b/src/main/java/dev/dunefront/claim/JobStatistics.java
@@ -12,19 +12,23 @@
 import java.util.Set;
 
 /** What users, operators and the other controllers are told of jobs: counts, and what waits. */
-public final class Account {
+public final class JobStatistics {
   private final ControllerContext context;
   private final Map<String, Claim> claims;
   private final Quotas quotas;
-  private final Zones zones;
-  private final Room room;
+  private final ZoneConstraints zones;
+  private final MachineTable room;
 
   /** Task counts of jobs that others have claimed, as they tell. */
-  private final Map<String, Counts> elsewhere = new HashMap<>();
+  private final Map<String, Counts> remoteCounts = new HashMap<>();
 
   /** The claims are those of this controller, by job, as they are at any time. */
-  Account(
-      ControllerContext context, Map<String, Claim> claims, Quotas quotas, Zones zones, Room room) {
+  JobStatistics(
+      ControllerContext context,
+      Map<String, Claim> claims,
+      Quotas quotas,
+      ZoneConstraints zones,
+      MachineTable room) {
     this.context = context;
     this.claims = claims;
     this.quotas = quotas;
@@ -33,15 +37,15 @@
   }
 
   /** What another controller has told of a job no longer counts: it is claimed here, or over. */
-  void forget(String id) {
-    elsewhere.remove(id);
+  void forgetRemote(String id) {
+    remoteCounts.remove(id);
   }
 
   /** Another controller tells of the jobs that it has claimed. */
-  void told(Message.Progress progress) {
-    for (Message.Count n : progress.counts()) {
+  void progressReceived(Message.JobProgress progress) {
+    for (Message.JobCounts n : progress.counts()) {
       if (!claims.containsKey(n.job()) && context.jobs().get(n.job()) != null) {
-        elsewhere.put(n.job(), new Counts(n.done(), n.running(), n.placed()));
+        remoteCounts.put(n.job(), new Counts(n.done(), n.running(), n.placed()));
       }
     }
   }
@@ -62,13 +66,13 @@
   public Counts counts(String id) {
     Claim c = claims.get(id);
     return c == null
-        ? elsewhere.getOrDefault(id, new Counts(0, 0, 0))
-        : new Counts(c.done, running(c), c.live.size());
+        ? remoteCounts.getOrDefault(id, new Counts(0, 0, 0))
+        : new Counts(c.done, running(c), c.liveAttempts.size());
   }
 
   private static int running(Claim c) {
     int running = 0;
-    for (Claim.Live l : c.live.values()) {
+    for (Claim.LiveAttempt l : c.liveAttempts.values()) {
       if (l.state == Message.State.RUNNING || l.state == Message.State.SAVING) {
         running++;
       }
@@ -77,44 +81,46 @@
   }
 
   /** What has changed in the counts of claimed jobs since this was last asked. */
-  public Message.Progress progress() {
-    List<Message.Count> changed = new ArrayList<>();
+  public Message.JobProgress changedProgress() {
+    List<Message.JobCounts> changed = new ArrayList<>();
     for (Claim c : claims.values()) {
       int running = running(c);
-      int placed = c.live.size();
-      if (c.done != c.toldDone || running != c.toldRunning || placed != c.toldPlaced) {
-        c.toldDone = c.done;
-        c.toldRunning = running;
-        c.toldPlaced = placed;
-        changed.add(new Message.Count(c.id(), c.done, running, placed));
+      int placed = c.liveAttempts.size();
+      if (c.done != c.publishedDone
+          || running != c.publishedRunning
+          || placed != c.publishedPlaced) {
+        c.publishedDone = c.done;
+        c.publishedRunning = running;
+        c.publishedPlaced = placed;
+        changed.add(new Message.JobCounts(c.id(), c.done, running, placed));
       }
     }
-    return new Message.Progress(changed);
+    return new Message.JobProgress(changed);
   }
 
   /** A class of jobs of one team. */
-  public record Group(String jobClass, String team) {}
+  public record JobGroup(String jobClass, String team) {}
 
   /** By group the age in seconds of its oldest open job of which nothing has ever been placed. */
-  public Map<Group, Integer> unbegunS() {
-    long now = context.timers().timeOfDayMs();
-    Map<Group, Integer> oldest = new HashMap<>();
+  public Map<JobGroup, Integer> oldestUnstartedAgesS() {
+    long now = context.timers().wallClockMs();
+    Map<JobGroup, Integer> oldest = new HashMap<>();
     for (JobTable.Entry e : context.jobs().all()) {
       JobSpec spec = e.record().spec();
       if (e.record().status() == Status.OPEN && unstarted(spec) == spec.tasks()) {
         int ageS = (int) (Math.max(0, now - e.record().acceptedMs()) / 1000);
-        oldest.merge(new Group(spec.jobClass(), spec.team()), ageS, Math::max);
+        oldest.merge(new JobGroup(spec.jobClass(), spec.team()), ageS, Math::max);
       }
     }
     return oldest;
   }
 
   /** The greatest of these; 0 if there is none. */
-  public int oldestUnbegunS() {
-    return unbegunS().values().stream().mapToInt(Integer::intValue).max().orElse(0);
+  public int oldestUnstartedAgeS() {
+    return oldestUnstartedAgesS().values().stream().mapToInt(Integer::intValue).max().orElse(0);
   }
 
-  public int claimed() {
+  public int claimedJobs() {
     return claims.size();
   }
 
@@ -125,24 +131,24 @@
 
   /** What waits for room here. */
   public Message.Demand demand() {
-    List<Message.Waiting> waiting = new ArrayList<>();
-    Map<Queue.Shape, Integer> heads = new HashMap<>();
-    Map<Queue.Shape, Integer> behind = new HashMap<>();
+    List<Message.PendingTasks> waiting = new ArrayList<>();
+    Map<SearchThrottle.EquivalenceClass, Integer> heads = new HashMap<>();
+    Map<SearchThrottle.EquivalenceClass, Integer> behind = new HashMap<>();
     double now = context.now();
     for (Claim c : claims.values()) {
       int n = c.unstarted();
       Quotas.Quota q = quotas.of(c.spec.team());
       if (q != null) {
-        n = Math.min(n, c.allowed(q));
+        n = Math.min(n, c.startsAllowed(q));
       }
-      if (n > 0 && !c.suspect() && now >= c.notBefore) {
-        Map<String, Integer> left = zones.left(c, context.catalog().zones());
-        if (c.queued && left.isEmpty()) {
+      if (n > 0 && !c.suspectedFaulty() && now >= c.notBefore) {
+        Map<String, Integer> left = zones.remainingTasks(c, context.catalog().zones());
+        if (c.searchThrottled && left.isEmpty()) {
           // In the place of the one at the head of the line, whoever that is.
-          behind.merge(c.shape, n, Integer::sum);
+          behind.merge(c.equivalenceClass, n, Integer::sum);
         } else {
-          waiting.add(new Message.Waiting(c.id(), n, left));
-          heads.putIfAbsent(c.shape, waiting.size() - 1);
+          waiting.add(new Message.PendingTasks(c.id(), n, left));
+          heads.putIfAbsent(c.equivalenceClass, waiting.size() - 1);
         }
       }
     }
@@ -150,8 +156,8 @@
         (shape, n) -> {
           Integer head = heads.get(shape);
           if (head != null) {
-            Message.Waiting w = waiting.get(head);
-            waiting.set(head, new Message.Waiting(w.job(), w.tasks() + n, w.zones()));
+            Message.PendingTasks w = waiting.get(head);
+            waiting.set(head, new Message.PendingTasks(w.job(), w.count() + n, w.roomByZone()));
           }
         });
     Set<String> unheard = new HashSet<>();
@@ -159,9 +165,9 @@
       Set<String> hosts = new HashSet<>(c.hosts());
       hosts.addAll(c.strays.hosts());
       for (String host : hosts) {
-        Room.Seen seen = room.get(host);
+        MachineTable.Entry seen = room.get(host);
         // A holder that has never had a report under its token cannot prove anything by its clock.
-        if (seen == null || !seen.view().settled() && !seen.view().lost()) {
+        if (seen == null || !seen.view().tokenAcknowledged() && !seen.view().leaseExpired()) {
           unheard.add(host);
         }
       }
--- a/src/main/java/dev/dunefront/claim/Quotas.java
+++ b/src/main/java/dev/dunefront/claim/Quotas.java
@@ -2,10 +2,10 @@
 
 import dev.dunefront.config.Settings;
 import dev.dunefront.store.Replica;
-import dev.dunefront.store.Store;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
-import dev.dunefront.wire.Size;
+import dev.dunefront.store.StateStore;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
+import dev.dunefront.wire.Resources;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
@@ -21,10 +21,10 @@
   /** One team's usage; at most one transaction of this controller changes it at a time. */
   static final class Quota {
     final Settings.Team team;
-    long stamp;
-    Size used = Size.NONE;
-    boolean busy;
-    final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
+    long revision;
+    Resources used = Resources.NONE;
+    boolean updating;
+    final ArrayDeque<Runnable> waiters = new ArrayDeque<>();
 
     Quota(Settings.Team team) {
       this.team = team;
@@ -35,7 +35,7 @@
     }
 
     /** How many tasks of the size may still be granted. */
-    int room(Size size) {
+    int remainingTasks(Resources size) {
       long n = Integer.MAX_VALUE;
       if (team.cpusMax() > 0 && size.cpu() > 0) {
         n = Math.min(n, (Math.round(team.cpusMax() * 1e6) - used.cpu()) / size.cpu());
@@ -47,9 +47,9 @@
     }
 
     void release() {
-      busy = false;
-      while (!busy && !waiting.isEmpty()) {
-        waiting.poll().run();
+      updating = false;
+      while (!updating && !waiters.isEmpty()) {
+        waiters.poll().run();
       }
     }
   }
@@ -64,7 +64,7 @@
         byTeam.put(t.name(), new Quota(t));
       }
     }
-    replica.listen(
+    replica.addListener(
         PREFIX,
         (team, value, stamp) -> {
           Quota q = byTeam.get(team);
@@ -72,9 +72,9 @@
             return;
           }
           try {
-            q.used = new Size(value.count("cpu"), value.count("gpu"), 0);
-            q.stamp = stamp;
-          } catch (BadMessage e) {
+            q.used = new Resources(value.count("cpu"), value.count("gpu"), 0);
+            q.revision = stamp;
+          } catch (MalformedMessageException e) {
             throw new IllegalStateException("quota record " + team + " cannot be read", e);
           }
           changed.run();
@@ -86,11 +86,14 @@
     return byTeam.get(team);
   }
 
-  static Doc write(Size used, String mark) {
-    return Doc.of().put("cpu", used.cpu()).put("gpu", used.gpu()).put(Store.MARK, mark);
+  static Document write(Resources used, String mark) {
+    return Document.create()
+        .put("cpu", used.cpu())
+        .put("gpu", used.gpu())
+        .put(StateStore.WRITE_ID_FIELD, mark);
   }
 
-  void saw(Quota q, Doc value, long stamp) {
+  void applyUpdate(Quota q, Document value, long stamp) {
     replica.apply(q.key(), value, stamp);
   }
 }
--- a/src/main/java/dev/dunefront/claim/StrayControl.java
+++ b/src/main/java/dev/dunefront/claim/StrayTermination.java
@@ -1,9 +1,9 @@
 package dev.dunefront.claim;
 
-import dev.dunefront.book.Holds;
+import dev.dunefront.book.HoldTable;
 import dev.dunefront.peer.Message;
-import dev.dunefront.peer.Message.TaskState;
-import dev.dunefront.peer.Message.View;
+import dev.dunefront.peer.Message.MachineView;
+import dev.dunefront.peer.Message.TaskStatus;
 import java.lang.System.Logger.Level;
 import java.util.HashSet;
 import java.util.List;
@@ -14,31 +14,31 @@
  * Stops attempts that a machine shows and no record names ({@link Strays}) until a current view
  * shows them gone, and has those cleared that have exited.
  */
-final class StrayControl {
-  private static final System.Logger LOG = System.getLogger(StrayControl.class.getName());
+final class StrayTermination {
+  private static final System.Logger LOG = System.getLogger(StrayTermination.class.getName());
 
   /** A stop is sent again after so long, in seconds. */
-  private static final double REPEAT_S = 1.5;
+  private static final double STOP_RETRY_S = 1.5;
 
   private final ControllerContext context;
 
-  StrayControl(ControllerContext context) {
+  StrayTermination(ControllerContext context) {
     this.context = context;
   }
 
   /** What is not recorded must not run, and is not kept once it has exited. */
-  void reject(Claim c, List<TaskState> unrecorded, Room.Seen seen) {
-    View view = seen.view();
+  void stopUnrecorded(Claim c, List<TaskStatus> unrecorded, MachineTable.Entry seen) {
+    MachineView view = seen.view();
     if (unrecorded.isEmpty() && c.strays.isEmpty()) {
       return;
     }
     Set<Integer> alive = new HashSet<>();
-    for (TaskState task : unrecorded) {
+    for (TaskStatus task : unrecorded) {
       if (task.exited()) {
         clear(c, task, seen);
-      } else if (!view.lost()) {
+      } else if (!view.leaseExpired()) {
         alive.add(task.number());
-        if (c.strays.shown(view.host(), task.number(), task.attempt(), view.session())) {
+        if (c.strays.add(view.host(), task.number(), task.attempt(), view.session())) {
           context.safety().straySeen();
           LOG.log(
               Level.INFO,
@@ -51,8 +51,8 @@
         }
       }
     }
-    if ((view.settled() || view.lost()) && isCurrent(view)) {
-      forget(c, view.host(), number -> !alive.contains(number));
+    if ((view.tokenAcknowledged() || view.leaseExpired()) && isCurrent(view)) {
+      remove(c, view.host(), number -> !alive.contains(number));
     }
     stop(c, seen);
   }
@@ -60,51 +60,53 @@
   /**
    * Whether no other hold of the machine is on record than the one under which the view is told.
    */
-  private boolean isCurrent(View view) {
-    Holds.Hold hold = context.holds().of(view.host(), view.zone());
-    return hold != null && hold.stamp() == view.holdStamp();
+  private boolean isCurrent(MachineView view) {
+    HoldTable.Hold hold = context.holds().holdOf(view.host(), view.zone());
+    return hold != null && hold.revision() == view.holdRevision();
   }
 
-  private void clear(Claim c, TaskState task, Room.Seen seen) {
+  private void clear(Claim c, TaskStatus task, MachineTable.Entry seen) {
     String host = seen.view().host();
     long term = c.record.term();
     context
         .peers()
-        .send(seen.holder(), new Message.Clear(host, term, c.id(), task.number(), task.attempt()));
+        .send(
+            seen.holder(),
+            new Message.ClearTask(host, term, c.id(), task.number(), task.attempt()));
   }
 
-  private void forget(Claim c, String host, IntPredicate gone) {
-    int forgotten = c.strays.forget(host, gone);
+  private void remove(Claim c, String host, IntPredicate gone) {
+    int forgotten = c.strays.remove(host, gone);
     if (forgotten > 0) {
-      context.safety().straysGone(forgotten);
+      context.safety().straysResolved(forgotten);
       LOG.log(
           Level.INFO, "{0} of {1} on {2} that no record names are gone", forgotten, c.id(), host);
     }
   }
 
   /** Stops what is not recorded on a machine, unless that was asked for just now. */
-  private void stop(Claim c, Room.Seen seen) {
+  private void stop(Claim c, MachineTable.Entry seen) {
     String host = seen.view().host();
-    for (Strays.Stray stray : c.strays.on(host).values()) {
-      if (context.now() - stray.stoppedAt > REPEAT_S) {
+    for (Strays.Stray stray : c.strays.onHost(host).values()) {
+      if (context.now() - stray.stoppedAt > STOP_RETRY_S) {
         stray.stoppedAt = context.now();
         long term = c.record.term();
         context
             .peers()
             .send(
                 seen.holder(),
-                new Message.Stop(host, term, c.id(), stray.number, stray.attempt, 0));
+                new Message.StopTask(host, term, c.id(), stray.number, stray.attempt, 0));
       }
     }
   }
 
   /** The claim is given up or over: these attempts no longer count here. */
-  void ended(Claim c) {
-    context.safety().straysGone(c.strays.count());
+  void claimEnded(Claim c) {
+    context.safety().straysResolved(c.strays.count());
   }
 
   /** The machine is gone with all that was on it. */
-  void machineGone(Claim c, String host) {
-    forget(c, host, number -> true);
+  void machineDeleted(Claim c, String host) {
+    remove(c, host, number -> true);
   }
 }
--- a/src/main/java/dev/dunefront/claim/Strays.java
+++ b/src/main/java/dev/dunefront/claim/Strays.java
@@ -26,20 +26,20 @@
   }
 
   /** By machine and number of the task. */
-  private final Map<String, Map<Integer, Stray>> alive = new HashMap<>();
+  private final Map<String, Map<Integer, Stray>> byHost = new HashMap<>();
 
   boolean isEmpty() {
-    return alive.isEmpty();
+    return byHost.isEmpty();
   }
 
   /** The machines that show such attempts. */
   Set<String> hosts() {
-    return alive.keySet();
+    return byHost.keySet();
   }
 
   /** The attempts that a machine shows, by number of the task. */
-  Map<Integer, Stray> on(String host) {
-    return alive.getOrDefault(host, Map.of());
+  Map<Integer, Stray> onHost(String host) {
+    return byHost.getOrDefault(host, Map.of());
   }
 
   /**
@@ -47,8 +47,8 @@
    *
    * @return whether it was not known before
    */
-  boolean shown(String host, int number, long attempt, long session) {
-    Map<Integer, Stray> here = alive.computeIfAbsent(host, h -> new HashMap<>());
+  boolean add(String host, int number, long attempt, long session) {
+    Map<Integer, Stray> here = byHost.computeIfAbsent(host, h -> new HashMap<>());
     Stray known = here.get(number);
     if (known != null && known.attempt == attempt && known.session == session) {
       return false;
@@ -63,15 +63,15 @@
    * @param gone whether the attempt of the task with this number is gone
    * @return how many were forgotten
    */
-  int forget(String host, IntPredicate gone) {
-    Map<Integer, Stray> here = alive.get(host);
+  int remove(String host, IntPredicate gone) {
+    Map<Integer, Stray> here = byHost.get(host);
     if (here == null) {
       return 0;
     }
     int before = here.size();
     here.keySet().removeIf(gone::test);
     if (here.isEmpty()) {
-      alive.remove(host);
+      byHost.remove(host);
     }
     return before - here.size();
   }
@@ -79,7 +79,7 @@
   /** How many there are. */
   int count() {
     int n = 0;
-    for (Map<Integer, Stray> here : alive.values()) {
+    for (Map<Integer, Stray> here : byHost.values()) {
       n += here.size();
     }
     return n;
@@ -87,7 +87,7 @@
 
   /** Whether the task with this number must not be placed, for another attempt of it may run. */
   boolean blocks(int number) {
-    for (Map<Integer, Stray> here : alive.values()) {
+    for (Map<Integer, Stray> here : byHost.values()) {
       if (here.containsKey(number)) {
         return true;
       }
@@ -98,7 +98,7 @@
   /** How many tasks are blocked that are not among the given ones. */
   int blockedOutside(BitSet busy) {
     BitSet blocked = new BitSet();
-    alive.values().forEach(here -> here.keySet().forEach(blocked::set));
+    byHost.values().forEach(here -> here.keySet().forEach(blocked::set));
     blocked.andNot(busy);
     return blocked.cardinality();
   }
--- a/src/main/java/dev/dunefront/claim/Takeover.java
+++ b/src/main/java/dev/dunefront/claim/Takeover.java
@@ -30,20 +30,20 @@
   static final double RANK_WAIT_S = 0.4;
 
   /** So many records are written in one transaction at most; they are small, but not tiny. */
-  private static final int BATCH = 12;
+  private static final int MAX_BATCH_JOBS = 12;
 
   /** The answer to a write comes sooner than this, if it ever does. */
-  private static final double UNADOPTED_S = 2;
+  private static final double ADOPTION_TIMEOUT_S = 2;
 
   private final ControllerContext context;
   private final Claims claims;
   private final Set<String> claiming = new HashSet<>();
 
   /** Since when a job without a live claim has been seen. */
-  private final Map<String, Double> orphans = new HashMap<>();
+  private final Map<String, Double> unownedSince = new HashMap<>();
 
   /** When a controller was last seen to have taken a job from another. */
-  private final Map<String, Double> progress = new HashMap<>();
+  private final Map<String, Double> lastTakeoverAt = new HashMap<>();
 
   Takeover(ControllerContext context, Claims claims) {
     this.context = context;
@@ -53,126 +53,130 @@
   /**
    * A job without a live claim.
    *
-   * @param fresh nobody has claimed it yet
-   * @param sinceS time at which that was first seen
-   * @param before controllers that may take it before this one
+   * @param neverClaimed nobody has claimed it yet
+   * @param unownedSinceS time at which that was first seen
+   * @param preferredNodes controllers that may take it before this one
    */
-  record Lapsed(
+  record UnownedJob(
       String id,
       Priority priority,
-      long stamp,
-      boolean fresh,
-      double sinceS,
-      List<String> before) {}
+      long revision,
+      boolean neverClaimed,
+      double unownedSinceS,
+      List<String> preferredNodes) {}
 
   /**
    * Those that this controller may take now, in the order of need.
    *
    * @param progress when a controller was last seen to take a job
    */
-  static List<String> due(List<Lapsed> lapsed, Map<String, Double> progress, double now) {
+  static List<String> claimable(List<UnownedJob> lapsed, Map<String, Double> progress, double now) {
     return lapsed.stream()
-        .filter(l -> now >= from(l, progress))
-        .sorted(Comparator.comparing(Lapsed::priority).thenComparing(Lapsed::stamp))
-        .map(Lapsed::id)
+        .filter(l -> now >= claimableFrom(l, progress))
+        .sorted(Comparator.comparing(UnownedJob::priority).thenComparing(UnownedJob::revision))
+        .map(UnownedJob::id)
         .toList();
   }
 
-  private static double from(Lapsed l, Map<String, Double> progress) {
-    double from = l.sinceS;
-    if (!l.fresh) {
+  private static double claimableFrom(UnownedJob l, Map<String, Double> progress) {
+    double from = l.unownedSinceS;
+    if (!l.neverClaimed) {
       // A job that nobody has claimed yet may be too large for the share of those before.
-      for (String node : l.before) {
+      for (String node : l.preferredNodes) {
         from = Math.max(from, progress.getOrDefault(node, from));
       }
     }
-    return from + l.before.size() * RANK_WAIT_S;
+    return from + l.preferredNodes.size() * RANK_WAIT_S;
   }
 
   /** This controller has become another incarnation. */
-  void reborn() {
+  void incarnationChanged() {
     claiming.clear();
   }
 
   void adopted(String id) {
-    orphans.remove(id);
+    unownedSince.remove(id);
   }
 
   /** A record shows another claimant than before. */
   void jobChanged(JobTable.Entry before, JobTable.Entry entry) {
-    String from = before == null ? null : before.record().claim();
-    String claim = entry == null ? null : entry.record().claim();
+    String from = before == null ? null : before.record().claimant();
+    String claim = entry == null ? null : entry.record().claimant();
     if (from != null && claim != null && !claim.equals(from)) {
-      progress.put(Membership.nodeOf(claim), context.now());
+      lastTakeoverAt.put(Membership.nodeOf(claim), context.now());
     }
   }
 
   /** Called several times a second. */
   void tick(double now) {
-    String self = context.membership().self();
+    String self = context.membership().ownIncarnation();
     if (self == null
         || !context.replica().ready()
         || !context.standstill().current()
-        || !context.catalog().known()
-        || context.store().down()) {
+        || !context.catalog().isLoaded()
+        || context.store().unavailable()) {
       return;
     }
     Map<String, JobTable.Entry> lapsed = new LinkedHashMap<>();
     List<JobTable.Entry> ours = new ArrayList<>();
     Set<String> seen = new HashSet<>();
     for (JobTable.Entry e : context.jobs().all()) {
-      String claim = e.record().claim();
+      String claim = e.record().claimant();
       String id = e.record().spec().id();
       if (claim == null || !context.membership().alive(claim)) {
         lapsed.put(id, e);
         seen.add(id);
-      } else if (e.record().heldBy(self) && !claims.has(id) && !claiming.contains(id)) {
+      } else if (e.record().isClaimedBy(self) && !claims.has(id) && !claiming.contains(id)) {
         ours.add(e);
         seen.add(id);
       }
     }
-    orphans.keySet().retainAll(seen);
+    unownedSince.keySet().retainAll(seen);
     for (JobTable.Entry e : ours) {
       // Accepted and claimed in one write whose answer was lost: to all others it has a living
       // claimant, and were it not taken up here it would wait for ever.
-      if (now - orphans.computeIfAbsent(e.record().spec().id(), k -> now) > UNADOPTED_S) {
+      if (now - unownedSince.computeIfAbsent(e.record().spec().id(), k -> now)
+          > ADOPTION_TIMEOUT_S) {
         LOG.log(Level.INFO, "takes up {0}, whose acceptance was unclear", e.record().spec().id());
         claims.adopt(e.record().spec().id(), false);
       }
     }
     if (!lapsed.isEmpty()) {
-      take(lapsed, now);
+      claimUnowned(lapsed, now);
     }
   }
 
-  private void take(Map<String, JobTable.Entry> lapsed, double now) {
-    List<Lapsed> all = new ArrayList<>();
+  private void claimUnowned(Map<String, JobTable.Entry> lapsed, double now) {
+    List<UnownedJob> all = new ArrayList<>();
     lapsed.forEach(
         (id, e) -> {
-          double since = orphans.computeIfAbsent(id, k -> now);
+          double since = unownedSince.computeIfAbsent(id, k -> now);
           if (!claiming.contains(id) && !claims.has(id)) {
             Priority priority = e.record().spec().priority();
-            all.add(new Lapsed(id, priority, e.stamp(), fresh(e), since, before(id)));
+            all.add(
+                new UnownedJob(
+                    id, priority, e.revision(), neverClaimed(e), since, preferredNodes(id)));
           }
         });
     boolean batched = !claiming.isEmpty();
     List<JobTable.Entry> taken = new ArrayList<>();
     // What was refused once is refused to all like it: each question looks at all claims.
-    Set<Queue.Shape> refused = new HashSet<>();
-    for (String id : due(all, progress, now)) {
+    Set<SearchThrottle.EquivalenceClass> refused = new HashSet<>();
+    for (String id : claimable(all, lastTakeoverAt, now)) {
       JobTable.Entry e = lapsed.get(id);
-      if (fresh(e)) {
+      if (neverClaimed(e)) {
         // Never claimed: only as far as this controller's share goes, unless it is overdue to
         // begin, for one huge job may fill the shares of all. Behind one like it that waits here
         // it would only wait as well.
-        Queue.Shape shape = Queue.Shape.of(e.record().spec());
+        SearchThrottle.EquivalenceClass shape =
+            SearchThrottle.EquivalenceClass.of(e.record().spec());
         if (!refused.contains(shape) && claims.admits(e.record().spec())
-            || overdue(e) && !claims.waitsAlike(shape)) {
+            || startOverdue(e) && !claims.hasUnstartedEquivalent(shape)) {
           write(List.of(e));
         } else {
           refused.add(shape);
         }
-      } else if (!batched && taken.size() < BATCH) {
+      } else if (!batched && taken.size() < MAX_BATCH_JOBS) {
         // One batch at a time: what others have taken by then is left out of the next.
         taken.add(e);
       }
@@ -182,42 +186,44 @@
     }
   }
 
-  private boolean overdue(JobTable.Entry e) {
-    double ageS = (context.timers().timeOfDayMs() - e.record().acceptedMs()) / 1000.0;
-    return Begin.of(false, ageS, context.tunables().beginS()) != Begin.Standing.ORDINARY;
+  private boolean startOverdue(JobTable.Entry e) {
+    double ageS = (context.timers().wallClockMs() - e.record().acceptedMs()) / 1000.0;
+    return StartEscalation.stageAtAge(false, ageS, context.tunables().beginS())
+        != StartEscalation.Stage.NONE;
   }
 
-  private static boolean fresh(JobTable.Entry e) {
+  private static boolean neverClaimed(JobTable.Entry e) {
     return e.record().term() == 0 && e.record().status() == Status.OPEN;
   }
 
   /** The controllers that may take the job before this one. */
-  private List<String> before(String id) {
-    int mine = draw(id, context.settings().node());
+  private List<String> preferredNodes(String id) {
+    int mine = hashOrder(id, context.settings().node());
     List<String> before = new ArrayList<>();
     for (String node : context.membership().liveNodes()) {
-      if (draw(id, node) < mine) {
+      if (hashOrder(id, node) < mine) {
         before.add(node);
       }
     }
     return before;
   }
 
-  private static int draw(String id, String node) {
+  private static int hashOrder(String id, String node) {
     return (id + "@" + node).hashCode() * 0x9E3779B9 >>> 1;
   }
 
   private void write(List<JobTable.Entry> taken) {
-    String self = context.membership().self();
-    String mark = context.store().newMark();
+    String self = context.membership().ownIncarnation();
+    String mark = context.store().newWriteId();
     Txn txn = new Txn();
     Map<String, JobRecord> next = new HashMap<>();
     for (JobTable.Entry e : taken) {
-      JobRecord record = e.record().claimedBy(self);
+      JobRecord record = e.record().withClaimant(self);
       String id = record.spec().id();
       next.put(id, record);
       claiming.add(id);
-      txn.when(JobRecord.key(id), e.stamp()).put(JobRecord.key(id), record.write(mark));
+      txn.requireRevision(JobRecord.key(id), e.revision())
+          .put(JobRecord.key(id), record.toDocument(mark));
     }
     context
         .store()
@@ -225,7 +231,7 @@
             txn,
             mark,
             done -> {
-              if (!self.equals(context.membership().self())) {
+              if (!self.equals(context.membership().ownIncarnation())) {
                 return;
               }
               claiming.removeAll(next.keySet());
@@ -240,7 +246,7 @@
                         id,
                         record.term(),
                         done.revision());
-                    context.jobs().wrote(id, record, mark, done.revision());
+                    context.jobs().applyOwnWrite(id, record, mark, done.revision());
                     claims.adopt(id, false);
                   });
             });
--- a/src/main/java/dev/dunefront/claim/Turnover.java
+++ b/src/main/java/dev/dunefront/claim/Turnover.java
@@ -4,7 +4,7 @@
 import dev.dunefront.job.JobTable;
 import dev.dunefront.wire.JobSpec;
 import dev.dunefront.wire.Priority;
-import dev.dunefront.wire.Size;
+import dev.dunefront.wire.Resources;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -17,79 +17,79 @@
  */
 final class Turnover {
   /** Over how many seconds ends are counted; at some tens a second that is enough of them. */
-  private static final double SPAN_S = 5;
+  private static final double WINDOW_S = 5;
 
   /** So many standard deviations fewer ends than are to be expected are counted on. */
-  private static final double DOUBT = 1.5;
+  private static final double SAFETY_STDDEVS = 1.5;
 
   /** How long a count of what waits is good for. */
-  private static final double FRESH_S = 0.25;
+  private static final double CACHE_S = 0.25;
 
   /** Processors set free on machines of a kind, weighted by how long ago that was. */
-  private static final class Flow {
+  private static final class FreedCpu {
     double cpu;
-    double at;
+    double cpuAt;
 
-    double at(double now) {
-      return cpu * Math.exp((at - now) / SPAN_S);
+    double cpuAt(double now) {
+      return cpu * Math.exp((cpuAt - now) / WINDOW_S);
     }
   }
 
   private final ControllerContext context;
-  private final Room room;
+  private final MachineTable machineTable;
   private final Claims claims;
-  private final List<Flow> flows = new ArrayList<>();
-  private final long[] waiting = new long[Priority.values().length];
-  private double waitingAt = Double.NEGATIVE_INFINITY;
+  private final List<FreedCpu> freedByKind = new ArrayList<>();
+  private final long[] waitingTasks = new long[Priority.values().length];
+  private double waitingTasksAt = Double.NEGATIVE_INFINITY;
 
-  Turnover(ControllerContext context, Room room, Claims claims) {
+  Turnover(ControllerContext context, MachineTable room, Claims claims) {
     this.context = context;
-    this.room = room;
+    this.machineTable = room;
     this.claims = claims;
   }
 
   /** A task of this size has run to its end on a machine. */
-  void ended(String host, Size size, double now) {
-    Room.Seen seen = room.get(host);
+  void taskCompleted(String host, Resources size, double now) {
+    MachineTable.Entry seen = machineTable.get(host);
     if (seen == null) {
       return;
     }
-    while (flows.size() <= seen.kind().index()) {
-      flows.add(new Flow());
+    while (freedByKind.size() <= seen.kind().index()) {
+      freedByKind.add(new FreedCpu());
     }
-    Flow f = flows.get(seen.kind().index());
-    f.cpu = f.at(now) + size.cpu();
-    f.at = now;
+    FreedCpu f = freedByKind.get(seen.kind().index());
+    f.cpu = f.cpuAt(now) + size.cpu();
+    f.cpuAt = now;
   }
 
   /** Tasks of this size that find room in a second on machines of the kinds that fit. */
-  double slotsPerS(Size size, IntPredicate fits) {
+  double slotsPerS(Resources size, IntPredicate fits) {
     double cpu = 0;
-    for (int kind = 0; kind < flows.size(); kind++) {
+    for (int kind = 0; kind < freedByKind.size(); kind++) {
       if (fits.test(kind)) {
-        cpu += flows.get(kind).at(context.now());
+        cpu += freedByKind.get(kind).cpuAt(context.now());
       }
     }
     int controllers = Math.max(1, context.membership().liveNodes().size());
-    return size.cpu() <= 0 ? 0 : cpu / SPAN_S * controllers / size.cpu();
+    return size.cpu() <= 0 ? 0 : cpu / WINDOW_S * controllers / size.cpu();
   }
 
   /** Tasks of this or a greater priority that wait for room, at all controllers together. */
-  long waiting(Priority priority) {
+  long waitingTasks(Priority priority) {
     double now = context.now();
-    if (now - waitingAt > FRESH_S) {
-      waitingAt = now;
-      Arrays.fill(waiting, 0);
+    if (now - waitingTasksAt > CACHE_S) {
+      waitingTasksAt = now;
+      Arrays.fill(waitingTasks, 0);
       for (JobTable.Entry e : context.jobs().all()) {
         if (e.record().status() == Status.OPEN) {
           JobSpec spec = e.record().spec();
-          waiting[spec.priority().ordinal()] += claims.account().unstarted(spec);
+          waitingTasks[spec.priority().ordinal()] += claims.statistics().unstarted(spec);
         }
       }
     }
     long all = 0;
     for (int p = 0; p <= priority.ordinal(); p++) {
-      all += waiting[p];
+      all += waitingTasks[p];
     }
     return all;
   }
@@ -109,7 +109,7 @@
       return 0;
     }
     double ends = slotsPerS * Math.max(0, leftS);
-    double surely = Math.max(0, ends - DOUBT * Math.sqrt(ends));
+    double surely = Math.max(0, ends - SAFETY_STDDEVS * Math.sqrt(ends));
     double mine = surely * need / Math.max(need, needOfAll);
     return Math.max(0, (int) Math.ceil(need - mine - 1e-9));
   }
--- a/src/main/java/dev/dunefront/claim/WantPlacement.java
+++ b/src/main/java/dev/dunefront/claim/WantPlacement.java
@@ -1,8 +1,8 @@
 package dev.dunefront.claim;
 
-import dev.dunefront.claim.Choosing.Choice;
-import dev.dunefront.peer.Detail;
+import dev.dunefront.claim.CandidateSelection.Candidate;
 import dev.dunefront.peer.Message;
+import dev.dunefront.peer.ViewDetail;
 import dev.dunefront.wire.Priority;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -19,167 +19,169 @@
  */
 final class WantPlacement {
   /** How soon an unserved job looks over all machines again; doubled up to the tick. */
-  static final double LOOK_AGAIN_S = 0.25;
+  static final double MIN_FULL_SCAN_INTERVAL_S = 0.25;
 
   /** At most this often a job looks at the machines where room has opened. */
-  private static final double OPENINGS_S = 0.1;
+  private static final double FREED_CAPACITY_SCAN_INTERVAL_S = 0.1;
 
   /** Wants parked where there is room now, as a multiple of what is wanted: others want it too. */
-  private static final double SURPLUS = 1.5;
+  private static final double OVERSUBSCRIPTION = 1.5;
 
   private final ControllerContext context;
-  private final Room room;
-  private final RoomInterest interest;
+  private final MachineTable machineTable;
+  private final CapacitySubscription subscription;
   private final Quotas quotas;
-  private final Urgencies urgencies;
-  private final Choosing choosing;
-  private final GivingWay givingWay;
-  private final Begin begin = new Begin();
-  private final IdleRoom idle;
+  private final DeadlineRanking ranking;
+  private final CandidateSelection candidateSelection;
+  private final PreemptionRequests preemptionRequests;
+  private final StartEscalation startEscalation = new StartEscalation();
+  private final IdleCapacity idleCapacity;
 
   WantPlacement(
       ControllerContext context,
-      Room room,
-      RoomInterest interest,
-      IdleRoom idle,
+      MachineTable room,
+      CapacitySubscription interest,
+      IdleCapacity idle,
       Quotas quotas,
-      Urgencies urgencies,
-      Zones zones,
+      DeadlineRanking urgencies,
+      ZoneConstraints zones,
       Turnover turnover) {
     this.context = context;
-    this.room = room;
-    this.interest = interest;
+    this.machineTable = room;
+    this.subscription = interest;
     this.quotas = quotas;
-    this.urgencies = urgencies;
-    this.choosing = new Choosing(context, room, zones, turnover);
-    this.idle = idle;
-    this.givingWay = new GivingWay(context, interest, urgencies, choosing, turnover);
+    this.ranking = urgencies;
+    this.candidateSelection = new CandidateSelection(context, room, zones, turnover);
+    this.idleCapacity = idle;
+    this.preemptionRequests =
+        new PreemptionRequests(context, interest, urgencies, candidateSelection, turnover);
   }
 
   /** Brings a job's parked wants up to date. */
-  void review(Claim c) {
+  void updateWants(Claim c) {
     double now = context.now();
     double settledAt = now;
-    double ageS = c.ageS(context.timers().timeOfDayMs());
-    Begin.Standing before = c.standing;
-    c.standing = begin.standing(c, ageS, context.tunables().beginS(), now);
-    if (c.standing != before) {
-      c.lookAgain = now;
+    double ageS = c.ageS(context.timers().wallClockMs());
+    StartEscalation.Stage before = c.startStage;
+    c.startStage = startEscalation.updateStage(c, ageS, context.tunables().beginS(), now);
+    if (c.startStage != before) {
+      c.nextFullScanAt = now;
     }
-    if (c.queued && c.standing != Begin.Standing.FIRST) {
-      withdraw(c);
-      served(c, now);
+    if (c.searchThrottled && c.startStage != StartEscalation.Stage.ACROSS_PRIORITIES) {
+      withdrawWants(c);
+      resetReach(c, now);
       return;
     }
-    if (now >= c.notBefore && unstarted(c) > 0) {
+    if (now >= c.notBefore && placeableTasks(c) > 0) {
       // Before it is looked how much room is idle, or nobody would ever be asked.
-      settledAt = interest.need(Detail.ROOM);
+      settledAt = subscription.require(ViewDetail.CAPACITY);
     }
-    int wanted = wanted(c);
+    int wanted = wantedTasks(c);
     if (wanted <= 0 || now < c.notBefore) {
-      withdraw(c);
+      withdrawWants(c);
       if (wanted <= 0) {
-        served(c, now);
-        c.lookPause = LOOK_AGAIN_S;
+        resetReach(c, now);
+        c.fullScanIntervalS = MIN_FULL_SCAN_INTERVAL_S;
       }
       return;
     }
     if (now - c.unservedSince > context.tunables().waitS()) {
-      served(c, now);
+      resetReach(c, now);
       c.notBefore = now + context.tunables().requeueDelayS();
-      withdraw(c);
+      withdrawWants(c);
       return;
     }
     if (now >= c.nextTick) {
       c.nextTick = now + context.tunables().tickS();
       c.reach = Math.min(context.tunables().reachCap(), c.reach + 1);
     }
-    if (wanted > c.parkedFor || now >= c.lookAgain) {
-      c.parkedFor = wanted;
-      c.lookAgain = now + c.lookPause;
+    if (wanted > c.tasksAtLastScan || now >= c.nextFullScanAt) {
+      c.tasksAtLastScan = wanted;
+      c.nextFullScanAt = now + c.fullScanIntervalS;
       double longest = context.tunables().tickS() / (c.spec.priority().urgent() ? 4 : 1);
-      c.lookPause = Math.min(longest, c.lookPause * 2);
-      c.openings = room.openings();
-      c.openingsAt = now;
-      parkAnew(c, wanted, now);
+      c.fullScanIntervalS = Math.min(longest, c.fullScanIntervalS * 2);
+      c.capacityIncreasesSeen = machineTable.capacityIncreases();
+      c.freedCapacityScanAt = now;
+      rebuildWants(c, wanted, now);
       if (now < settledAt) {
         // What is known of room is old; what has changed is on its way here.
-        c.lookAgain = Math.min(c.lookAgain, settledAt);
+        c.nextFullScanAt = Math.min(c.nextFullScanAt, settledAt);
       }
-    } else if (c.openings != room.openings() && now - c.openingsAt >= OPENINGS_S) {
-      c.openings = room.openings();
-      c.openingsAt = now;
-      parkInOpenings(c, wanted, now);
+    } else if (c.capacityIncreasesSeen != machineTable.capacityIncreases()
+        && now - c.freedCapacityScanAt >= FREED_CAPACITY_SCAN_INTERVAL_S) {
+      c.capacityIncreasesSeen = machineTable.capacityIncreases();
+      c.freedCapacityScanAt = now;
+      addWantsAtFreedCapacity(c, wanted, now);
     }
   }
 
   /** Tasks for which room is wanted; of a job that is overdue to begin the first alone. */
-  private int wanted(Claim c) {
-    int wanted = unstarted(c);
-    return c.standing == Begin.Standing.ORDINARY
-        ? Math.min(wanted, idle.tasks(c.spec))
+  private int wantedTasks(Claim c) {
+    int wanted = placeableTasks(c);
+    return c.startStage == StartEscalation.Stage.NONE
+        ? Math.min(wanted, idleCapacity.maxTasks(c.spec))
         : Math.min(1, wanted);
   }
 
-  private int unstarted(Claim c) {
-    int wanted = c.unstarted() - c.offers.size() - c.starting;
+  private int placeableTasks(Claim c) {
+    int wanted = c.unstarted() - c.offers.size() - c.startsInFlight;
     Quotas.Quota quota = quotas.of(c.spec.team());
     if (quota != null) {
-      wanted = Math.min(wanted, c.allowed(quota) - c.offers.size());
+      wanted = Math.min(wanted, c.startsAllowed(quota) - c.offers.size());
     }
-    return c.suspect() ? Math.min(wanted, 1 - c.live.size()) : wanted;
+    return c.suspectedFaulty() ? Math.min(wanted, 1 - c.liveAttempts.size()) : wanted;
   }
 
   /** The job waits no longer, or has just been served: its reach starts from the least again. */
-  void served(Claim c, double now) {
+  void resetReach(Claim c, double now) {
     c.unservedSince = now;
     c.nextTick = now + context.tunables().tickS();
     c.reach = context.tunables().reach();
-    c.parkedFor = Math.min(c.parkedFor, Math.max(0, c.unstarted()));
+    c.tasksAtLastScan = Math.min(c.tasksAtLastScan, Math.max(0, c.unstarted()));
   }
 
-  private void parkAnew(Claim c, int wanted, double now) {
-    long surplus = (long) Math.ceil(wanted * SURPLUS);
-    c.slowFetchS = choosing.slowFetchS(c);
-    List<Choice> choices = choices(c, wanted, surplus, now);
+  private void rebuildWants(Claim c, int wanted, double now) {
+    long surplus = (long) Math.ceil(wanted * OVERSUBSCRIPTION);
+    c.maxFetchS = candidateSelection.maxFetchS(c);
+    List<Candidate> choices = candidates(c, wanted, surplus, now);
     int fitting = 0;
-    for (Choice ch : choices) {
-      fitting += ch.here() ? ch.fits() : 0;
+    for (Candidate ch : choices) {
+      fitting += ch.hasRoom() ? ch.freeSlots() : 0;
     }
-    givingWay.ask(c, choices, wanted, now);
+    preemptionRequests.request(c, choices, wanted, now);
     // Of the many only the first few are looked at, so they are not sorted as a whole.
-    Queue<Choice> best = new PriorityQueue<>(choices);
+    Queue<Candidate> best = new PriorityQueue<>(choices);
     // Where there is room enough right now, nothing need wait for room elsewhere.
     long left = fitting >= surplus ? surplus : (long) wanted * c.reach;
     long here = surplus;
     int machines = 0;
     Map<String, Integer> target = new HashMap<>();
     double fetchS = choices.isEmpty() ? 0 : best.peek().costS();
-    for (Choice ch = best.poll(); ch != null; ch = best.poll()) {
-      if (left <= 0 && (machines >= c.reach || !ch.here())) {
+    for (Candidate ch = best.poll(); ch != null; ch = best.poll()) {
+      if (left <= 0 && (machines >= c.reach || !ch.hasRoom())) {
         break;
       }
-      if (ch.fits() > 0 && here <= 0 && machines >= c.reach) {
+      if (ch.freeSlots() > 0 && here <= 0 && machines >= c.reach) {
         continue;
       }
-      int n = Math.min(wanted, ch.fits() > 0 ? ch.fits() : ch.ever());
-      target.put(ch.seen().view().host(), n);
+      int n = Math.min(wanted, ch.freeSlots() > 0 ? ch.freeSlots() : ch.emptySlots());
+      target.put(ch.machine().view().host(), n);
       left -= n;
-      here -= ch.fits() > 0 ? n : 0;
+      here -= ch.freeSlots() > 0 ? n : 0;
       machines++;
     }
-    for (String host : Set.copyOf(c.parked.keySet())) {
+    for (String host : Set.copyOf(c.queuedWants.keySet())) {
       if (!target.containsKey(host)) {
-        want(c, host, 0);
+        sendWant(c, host, 0);
       }
     }
-    double ageS = c.ageS(context.timers().timeOfDayMs());
-    int rank = urgencies.rank(c.spec, c.unstarted(), ageS, fetchS);
-    if (c.standing != Begin.Standing.ORDINARY) {
-      rank = Urgencies.PRESSING;
+    double ageS = c.ageS(context.timers().wallClockMs());
+    int rank = ranking.rank(c.spec, c.unstarted(), ageS, fetchS);
+    if (c.startStage != StartEscalation.Stage.NONE) {
+      rank = DeadlineRanking.AT_RISK;
     }
     int priority =
-        c.standing == Begin.Standing.FIRST
+        c.startStage == StartEscalation.Stage.ACROSS_PRIORITIES
             ? Priority.CRITICAL.ordinal()
             : c.spec.priority().ordinal();
     boolean moved = rank != c.rank || priority != c.priority;
@@ -187,8 +189,8 @@
     c.priority = priority;
     target.forEach(
         (host, n) -> {
-          if (moved || !n.equals(c.parked.get(host))) {
-            want(c, host, n);
+          if (moved || !n.equals(c.queuedWants.get(host))) {
+            sendWant(c, host, n);
           }
         });
   }
@@ -198,19 +200,19 @@
    * parked at full ones, those are not looked at: in a fleet they are many, and each job that comes
    * would walk over all of them.
    */
-  private List<Choice> choices(Claim c, int wanted, long surplus, double now) {
-    List<Choice> choices = new ArrayList<>();
+  private List<Candidate> candidates(Claim c, int wanted, long surplus, double now) {
+    List<Candidate> choices = new ArrayList<>();
     long here = 0;
-    for (Room.Seen s : room.roomy()) {
-      Choice choice = choosing.choice(c, s, now);
+    for (MachineTable.Entry s : machineTable.withFreeCapacity()) {
+      Candidate choice = candidateSelection.candidate(c, s, now);
       if (choice != null) {
         choices.add(choice);
-        here += choice.here() ? Math.min(wanted, choice.fits()) : 0;
+        here += choice.hasRoom() ? Math.min(wanted, choice.freeSlots()) : 0;
       }
     }
     if (here < surplus) {
-      for (Room.Seen s : room.all()) {
-        Choice choice = s.roomy() ? null : choosing.choice(c, s, now);
+      for (MachineTable.Entry s : machineTable.all()) {
+        Candidate choice = s.hasFreeCapacity() ? null : candidateSelection.candidate(c, s, now);
         if (choice != null) {
           choices.add(choice);
         }
@@ -220,37 +222,37 @@
   }
 
   /** Parks beside what is parked already, where there is room now. */
-  private void parkInOpenings(Claim c, int wanted, double now) {
-    List<Choice> choices = new ArrayList<>();
+  private void addWantsAtFreedCapacity(Claim c, int wanted, double now) {
+    List<Candidate> choices = new ArrayList<>();
     int covered = 0;
-    for (Room.Seen s : room.roomy()) {
-      Integer parked = c.parked.get(s.view().host());
+    for (MachineTable.Entry s : machineTable.withFreeCapacity()) {
+      Integer parked = c.queuedWants.get(s.view().host());
       if (parked != null) {
-        covered += Math.min(parked, c.size.timesIn(s.view().free()));
+        covered += Math.min(parked, c.size.countFittingIn(s.view().free()));
         continue;
       }
-      Choice choice = choosing.choice(c, s, now);
-      if (choice != null && choice.fits() > 0 && choice.here()) {
+      Candidate choice = candidateSelection.candidate(c, s, now);
+      if (choice != null && choice.freeSlots() > 0 && choice.hasRoom()) {
         choices.add(choice);
       }
     }
-    Queue<Choice> best = new PriorityQueue<>(choices);
-    long left = (long) Math.ceil(wanted * SURPLUS) - covered;
+    Queue<Candidate> best = new PriorityQueue<>(choices);
+    long left = (long) Math.ceil(wanted * OVERSUBSCRIPTION) - covered;
     while (left > 0 && !best.isEmpty()) {
-      Choice ch = best.poll();
-      int n = Math.min(wanted, ch.fits());
-      want(c, ch.seen().view().host(), n);
+      Candidate ch = best.poll();
+      int n = Math.min(wanted, ch.freeSlots());
+      sendWant(c, ch.machine().view().host(), n);
       left -= n;
     }
   }
 
-  private void want(Claim c, String host, int count) {
+  private void sendWant(Claim c, String host, int count) {
     if (count > 0) {
-      c.parked.put(host, count);
+      c.queuedWants.put(host, count);
     } else {
-      c.parked.remove(host);
+      c.queuedWants.remove(host);
     }
-    Room.Seen s = room.get(host);
+    MachineTable.Entry s = machineTable.get(host);
     if (s != null) {
       context
           .peers()
@@ -260,22 +262,22 @@
 
   /** Puts the best of several offers first. */
   void sortOffers(Claim c) {
-    choosing.sortOffers(c);
+    candidateSelection.sortOffers(c);
   }
 
-  void withdraw(Claim c) {
-    c.parkedFor = 0;
-    if (!c.parked.isEmpty()) {
-      for (String host : Set.copyOf(c.parked.keySet())) {
-        want(c, host, 0);
+  void withdrawWants(Claim c) {
+    c.tasksAtLastScan = 0;
+    if (!c.queuedWants.isEmpty()) {
+      for (String host : Set.copyOf(c.queuedWants.keySet())) {
+        sendWant(c, host, 0);
       }
     }
   }
 
   /** The machine's book has lost the job's wants, or there is no such book any more. */
-  void lostBook(Claim c, String host) {
-    if (c.parked.remove(host) != null) {
-      c.lookAgain = Math.min(c.lookAgain, context.now() + LOOK_AGAIN_S);
+  void wantsLost(Claim c, String host) {
+    if (c.queuedWants.remove(host) != null) {
+      c.nextFullScanAt = Math.min(c.nextFullScanAt, context.now() + MIN_FULL_SCAN_INTERVAL_S);
     }
   }
 }
--- a/src/main/java/dev/dunefront/claim/Zones.java
+++ b/src/main/java/dev/dunefront/claim/ZoneConstraints.java
@@ -1,25 +1,25 @@
 package dev.dunefront.claim;
 
-import dev.dunefront.claim.Claim.Live;
+import dev.dunefront.claim.Claim.LiveAttempt;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 
 /** Whether a task may be placed in a zone, given the job's other tasks. */
-final class Zones {
-  private final Room room;
+final class ZoneConstraints {
+  private final MachineTable machineTable;
 
   /** The zone of a machine with placed tasks, remembered beyond its holder's link. */
-  private final Map<String, String> zones = new HashMap<>();
+  private final Map<String, String> zoneByHost = new HashMap<>();
 
-  Zones(Room room) {
-    this.room = room;
+  ZoneConstraints(MachineTable room) {
+    this.machineTable = room;
   }
 
   /** {@code starts} are the machines of tasks that are about to be placed beside the recorded. */
   boolean allowed(Claim c, String host, List<String> starts) {
-    Room.Seen seen = room.get(host);
+    MachineTable.Entry seen = machineTable.get(host);
     if (seen == null
         || !c.spec.allows(seen.view().type(), seen.view().zone(), seen.view().spot())) {
       return false;
@@ -31,7 +31,7 @@
     int same = 0;
     int other = 0;
     boolean unknown = false;
-    for (Live l : c.live.values()) {
+    for (LiveAttempt l : c.liveAttempts.values()) {
       String its = zoneOf(l.placement.host());
       unknown |= its == null;
       if (zone.equals(its)) {
@@ -50,22 +50,22 @@
     if (c.spec.oneZone()) {
       return other == 0;
     }
-    return same + 1 <= c.spec.mostInOneZone() && !unknown;
+    return same + 1 <= c.spec.maxTasksPerZone() && !unknown;
   }
 
   /** How many tasks more each zone may take, if the job's tasks must be together or apart. */
-  Map<String, Integer> left(Claim c, Set<String> all) {
+  Map<String, Integer> remainingTasks(Claim c, Set<String> all) {
     if (!c.spec.oneZone() && !c.spec.spread()) {
       return Map.of();
     }
     Map<String, Integer> placed = new HashMap<>();
-    for (Live l : c.live.values()) {
+    for (LiveAttempt l : c.liveAttempts.values()) {
       String zone = zoneOf(l.placement.host());
       if (zone != null) {
         placed.merge(zone, 1, Integer::sum);
       }
     }
-    int most = c.spec.oneZone() ? c.spec.tasks() : c.spec.mostInOneZone();
+    int most = c.spec.oneZone() ? c.spec.tasks() : c.spec.maxTasksPerZone();
     Map<String, Integer> left = new HashMap<>();
     for (String zone : all) {
       boolean elsewhere = c.spec.oneZone() && !placed.isEmpty() && !placed.containsKey(zone);
@@ -75,10 +75,10 @@
   }
 
   private String zoneOf(String host) {
-    Room.Seen s = room.get(host);
+    MachineTable.Entry s = machineTable.get(host);
     if (s != null) {
-      zones.put(host, s.view().zone());
+      zoneByHost.put(host, s.view().zone());
     }
-    return zones.get(host);
+    return zoneByHost.get(host);
   }
 }
--- a/src/main/java/dev/dunefront/cleanup/Cleanup.java
+++ b/src/main/java/dev/dunefront/cleanup/MachineRecordCleanup.java
@@ -1,9 +1,9 @@
 package dev.dunefront.cleanup;
 
-import dev.dunefront.book.Holds;
+import dev.dunefront.book.HoldTable;
 import dev.dunefront.claim.ControllerContext;
 import dev.dunefront.duty.Duty;
-import dev.dunefront.store.Store;
+import dev.dunefront.store.StateStore;
 import dev.dunefront.store.Txn;
 import java.lang.System.Logger.Level;
 import java.util.List;
@@ -19,27 +19,29 @@
  * burial_s} neither is to be expected. A later report costs time but violates no invariant: the
  * machine is held again, found silent, and its deletion is confirmed again.
  */
-public final class Cleanup {
-  private static final System.Logger LOG = System.getLogger(Cleanup.class.getName());
+public final class MachineRecordCleanup {
+  private static final System.Logger LOG = System.getLogger(MachineRecordCleanup.class.getName());
 
   /** Interval between removals. */
-  private static final double EVERY_S = 2;
+  private static final double INTERVAL_S = 2;
 
   /** Fraction of the state service's write budget that removals may use. */
-  private static final double BUDGET_PART = 0.03;
+  private static final double WRITE_BUDGET_FRACTION = 0.03;
 
   private final ControllerContext context;
-  private final int most;
-  private double next;
+  private final int maxPerTransaction;
+  private double nextRunAt;
   private long term;
-  private double since;
-  private boolean writing;
-  private int removed;
+  private double termStartedAt;
+  private boolean writeInProgress;
+  private int removedCount;
 
-  public Cleanup(ControllerContext context) {
+  public MachineRecordCleanup(ControllerContext context) {
     this.context = context;
-    double changes = context.settings().stateLimits().writeRps() * BUDGET_PART * EVERY_S;
-    this.most = Math.max(1, Math.min(context.settings().stateLimits().txnOps(), (int) changes));
+    double changes =
+        context.settings().stateLimits().writeRps() * WRITE_BUDGET_FRACTION * INTERVAL_S;
+    this.maxPerTransaction =
+        Math.max(1, Math.min(context.settings().stateLimits().txnOps(), (int) changes));
   }
 
   /** Runs several times a second. */
@@ -48,58 +50,62 @@
     double now = context.timers().now();
     if (heldTerm != term) {
       term = heldTerm;
-      since = now;
-      writing = false;
+      termStartedAt = now;
+      writeInProgress = false;
     }
-    if (heldTerm == 0 || writing || now < next || context.store().down()) {
+    if (heldTerm == 0 || writeInProgress || now < nextRunAt || context.store().unavailable()) {
       return;
     }
-    next = now + EVERY_S;
+    nextRunAt = now + INTERVAL_S;
     if (context.store().writeDelayS() > 0) {
       return;
     }
-    long nowMs = context.timers().timeOfDayMs();
+    long nowMs = context.timers().wallClockMs();
     double keepMs = context.tunables().burialS() * 1000;
-    boolean heldLongEnough = now - since > context.tunables().burialS();
-    List<Holds.Hold> expired =
-        context.holds().dead().stream()
+    boolean heldLongEnough = now - termStartedAt > context.tunables().burialS();
+    List<HoldTable.Hold> expired =
+        context.holds().deletedMachines().stream()
             // A record of an earlier version has no time; it expires after this controller has held
             // the duty for the retention time.
-            .filter(h -> h.deadAtMs() > 0 ? nowMs - h.deadAtMs() > keepMs : heldLongEnough)
-            .limit(most)
+            .filter(
+                h ->
+                    h.machineDeletedAtMs() > 0
+                        ? nowMs - h.machineDeletedAtMs() > keepMs
+                        : heldLongEnough)
+            .limit(maxPerTransaction)
             .toList();
     if (!expired.isEmpty()) {
       remove(expired, heldTerm);
     }
   }
 
-  private void remove(List<Holds.Hold> expired, long inTerm) {
+  private void remove(List<HoldTable.Hold> expired, long inTerm) {
     Txn txn = context.duties().guard(Duty.CLEANUP, inTerm, new Txn());
-    for (Holds.Hold h : expired) {
-      txn.when(Holds.key(h.host()), h.stamp()).remove(Holds.key(h.host()));
+    for (HoldTable.Hold h : expired) {
+      txn.requireRevision(HoldTable.key(h.host()), h.revision()).remove(HoldTable.key(h.host()));
     }
-    writing = true;
+    writeInProgress = true;
     context
         .store()
         .tryTxn(
             txn,
-            Store.Urgency.BACKGROUND,
+            StateStore.RequestPriority.BACKGROUND,
             done -> {
               if (term != inTerm) {
                 return;
               }
-              writing = false;
+              writeInProgress = false;
               if (done.ok()) {
-                removed += expired.size();
+                removedCount += expired.size();
                 LOG.log(Level.DEBUG, "removed the records of {0} deleted machines", expired.size());
                 expired.forEach(
-                    h -> context.replica().apply(Holds.key(h.host()), null, done.revision()));
+                    h -> context.replica().apply(HoldTable.key(h.host()), null, done.revision()));
               }
             });
   }
 
   /** How many records this controller has removed. */
-  public int removed() {
-    return removed;
+  public int removedCount() {
+    return removedCount;
   }
 }
--- a/src/main/java/dev/dunefront/cleanup/Joining.java
+++ b/src/main/java/dev/dunefront/cleanup/RosterUpdater.java
@@ -1,11 +1,11 @@
 package dev.dunefront.cleanup;
 
-import dev.dunefront.book.Holds;
+import dev.dunefront.book.HoldTable;
 import dev.dunefront.book.Roster;
 import dev.dunefront.claim.ControllerContext;
 import dev.dunefront.config.Settings;
 import dev.dunefront.duty.Duty;
-import dev.dunefront.store.Store;
+import dev.dunefront.store.StateStore;
 import dev.dunefront.store.Txn;
 import java.lang.System.Logger.Level;
 import java.util.HashMap;
@@ -18,17 +18,17 @@
  * controllers that have joined and removes those that have left permanently. It makes one change at
  * a time, so that at most one controller's share of the machines moves at once.
  */
-public final class Joining {
-  private static final System.Logger LOG = System.getLogger(Joining.class.getName());
+public final class RosterUpdater {
+  private static final System.Logger LOG = System.getLogger(RosterUpdater.class.getName());
 
   /** A controller that has been live for longer than this is added to the roster. */
-  private static final double JOINED_S = 10;
+  private static final double JOIN_DELAY_S = 10;
 
   /** A controller that is not in the settings is removed after not being live for this long. */
-  private static final double LEFT_S = 60;
+  private static final double LEAVE_DELAY_S = 60;
 
   /** Pause after a change; machines reach their new holders within one or two reports. */
-  private static final double PAUSE_S = 15;
+  private static final double CHANGE_INTERVAL_S = 15;
 
   private final ControllerContext context;
 
@@ -36,13 +36,13 @@
   private final Map<String, Double> liveSince = new HashMap<>();
 
   /** Time at which each controller was last seen live. */
-  private final Map<String, Double> liveAt = new HashMap<>();
+  private final Map<String, Double> lastLiveAt = new HashMap<>();
 
   private long term;
-  private double began;
-  private double next;
+  private double termStartedAt;
+  private double nextChangeAt;
 
-  public Joining(ControllerContext context) {
+  public RosterUpdater(ControllerContext context) {
     this.context = context;
   }
 
@@ -52,10 +52,10 @@
     double now = context.timers().now();
     if (heldTerm != term) {
       term = heldTerm;
-      began = now;
-      next = now;
+      termStartedAt = now;
+      nextChangeAt = now;
       liveSince.clear();
-      liveAt.clear();
+      lastLiveAt.clear();
     }
     if (heldTerm == 0) {
       return;
@@ -64,30 +64,30 @@
     liveSince.keySet().retainAll(live);
     for (String node : live) {
       liveSince.putIfAbsent(node, now);
-      liveAt.put(node, now);
+      lastLiveAt.put(node, now);
     }
-    liveAt.values().removeIf(at -> now - at > LEFT_S);
-    if (now < next || context.store().down()) {
+    lastLiveAt.values().removeIf(at -> now - at > LEAVE_DELAY_S);
+    if (now < nextChangeAt || context.store().unavailable()) {
       return;
     }
     Map<String, String> joined = new HashMap<>();
     liveSince.forEach(
         (node, since) -> {
           String zone = context.membership().zone(node);
-          if (now - since > JOINED_S && !zone.isEmpty()) {
+          if (now - since > JOIN_DELAY_S && !zone.isEmpty()) {
             joined.put(node, zone);
           }
         });
     Set<String> retained = new HashSet<>(Set.of(context.settings().node()));
     context.settings().peers().stream().map(Settings.Peer::node).forEach(retained::add);
     Roster roster = context.holds().roster();
-    if (now - began < LEFT_S) {
+    if (now - termStartedAt < LEAVE_DELAY_S) {
       // This controller has not watched long enough to know that a member has left.
       roster.members().forEach(m -> retained.add(m.node()));
     }
-    Roster changed = roster.next(joined, liveAt.keySet(), retained);
+    Roster changed = roster.next(joined, lastLiveAt.keySet(), retained);
     if (changed != null) {
-      next = now + PAUSE_S;
+      nextChangeAt = now + CHANGE_INTERVAL_S;
       write(roster, changed, heldTerm);
     }
   }
@@ -98,8 +98,9 @@
     context
         .store()
         .tryTxn(
-            Holds.change(context.duties().guard(Duty.CLEANUP, inTerm, new Txn()), current, changed),
-            Store.Urgency.BACKGROUND,
+            HoldTable.replaceRoster(
+                context.duties().guard(Duty.CLEANUP, inTerm, new Txn()), current, changed),
+            StateStore.RequestPriority.BACKGROUND,
             // The watch shows the outcome; a change that failed is computed again by a later tick.
             done -> {});
   }
--- a/src/main/java/dev/dunefront/cli/Daemon.java
+++ b/src/main/java/dev/dunefront/cli/Controller.java
@@ -1,40 +1,40 @@
 package dev.dunefront.cli;
 
-import dev.dunefront.book.Books;
-import dev.dunefront.book.Holds;
+import dev.dunefront.book.HeldMachines;
+import dev.dunefront.book.HoldTable;
 import dev.dunefront.claim.Claims;
 import dev.dunefront.claim.ControllerContext;
-import dev.dunefront.cleanup.Cleanup;
-import dev.dunefront.cleanup.Joining;
+import dev.dunefront.cleanup.MachineRecordCleanup;
+import dev.dunefront.cleanup.RosterUpdater;
 import dev.dunefront.config.Settings;
 import dev.dunefront.config.Tunables;
 import dev.dunefront.duty.Duties;
 import dev.dunefront.duty.Duty;
-import dev.dunefront.fleet.Catalog;
-import dev.dunefront.fleet.Fleet;
+import dev.dunefront.fleet.Autoscaler;
+import dev.dunefront.fleet.MachineCatalog;
 import dev.dunefront.job.JobApi;
 import dev.dunefront.job.JobRecord;
 import dev.dunefront.job.JobTable;
 import dev.dunefront.metrics.Meters;
 import dev.dunefront.metrics.SafetyMonitor;
-import dev.dunefront.net.Caller;
 import dev.dunefront.net.DecisionLock;
+import dev.dunefront.net.HttpCaller;
 import dev.dunefront.net.HttpServer;
-import dev.dunefront.net.HttpServer.Answer;
 import dev.dunefront.net.HttpServer.Request;
-import dev.dunefront.net.Lag;
-import dev.dunefront.net.Loops;
+import dev.dunefront.net.HttpServer.Responder;
+import dev.dunefront.net.LoopWatchdog;
+import dev.dunefront.net.TimerLag;
 import dev.dunefront.net.Timers;
 import dev.dunefront.peer.Message;
 import dev.dunefront.peer.Peers;
-import dev.dunefront.store.Lending;
 import dev.dunefront.store.Membership;
-import dev.dunefront.store.Proofs;
+import dev.dunefront.store.PauseDetector;
+import dev.dunefront.store.ReadBarrier;
 import dev.dunefront.store.Replica;
-import dev.dunefront.store.Standstill;
-import dev.dunefront.store.Store;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.store.StateStore;
+import dev.dunefront.store.WriteLoans;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import dev.dunefront.wire.Report;
 import java.lang.System.Logger.Level;
 import java.nio.charset.StandardCharsets;
@@ -46,54 +46,54 @@
 import java.util.function.BiFunction;
 
 /** One controller, put together from its parts; network, clock and store come from outside. */
-public final class Daemon implements Peers.Listener {
-  private static final System.Logger LOG = System.getLogger(Daemon.class.getName());
+public final class Controller implements Peers.Listener {
+  private static final System.Logger LOG = System.getLogger(Controller.class.getName());
   private static final double TICK_S = 0.25;
   private static final double SLOW_TICK_S = 0.5;
 
   /** A loop that has not turned for so long will not turn again. */
-  private static final double STALLED_S = 15;
+  private static final double LOOP_STALL_TIMEOUT_S = 15;
 
   /** What is assumed of a controller that lives but is not heard: more than an equal part. */
-  private static final Store.Use UNHEARD = new Store.Use(1e6, 1e6);
+  private static final StateStore.Usage ASSUMED_USE = new StateStore.Usage(1e6, 1e6);
 
   /** How long a peer's word on the state service counts. */
-  private static final double HEALTH_S = 2;
+  private static final double HEALTH_VALIDITY_S = 2;
 
   private final Settings settings;
-  private final Store store;
+  private final StateStore store;
   private final Timers timers;
   private final DecisionLock decisionLock;
-  private final Loops loops;
+  private final LoopWatchdog loops;
   private final Replica replica;
   private final Membership membership;
-  private final Lending lending;
+  private final WriteLoans lending;
   private final Duties duties;
-  private final Catalog catalog;
+  private final MachineCatalog catalog;
   private final JobTable jobs;
-  private final Holds holds;
-  private final Books books;
+  private final HoldTable holds;
+  private final HeldMachines books;
   private final Claims claims;
-  private final Fleet fleet;
-  private final Cleanup cleanup;
-  private final Joining joining;
+  private final Autoscaler fleet;
+  private final MachineRecordCleanup cleanup;
+  private final RosterUpdater joining;
   private final JobApi api;
   private final Peers peers;
   private final Meters meters = new Meters();
   private final SafetyMonitor safety = new SafetyMonitor();
-  private final Map<String, Store.Use> uses = new HashMap<>();
-  private final Lag lag = new Lag();
-  private String saidStalled;
-  private double servedElsewhere = Double.NEGATIVE_INFINITY;
+  private final Map<String, StateStore.Usage> storeUseByNode = new HashMap<>();
+  private final TimerLag lag = new TimerLag();
+  private String lastLoggedStall;
+  private double lastServedElsewhereAt = Double.NEGATIVE_INFINITY;
 
-  public Daemon(
+  public Controller(
       Settings settings,
       Tunables tunables,
-      Store store,
-      Caller caller,
+      StateStore store,
+      HttpCaller caller,
       Timers timers,
       DecisionLock decisionLock,
-      Loops loops,
+      LoopWatchdog loops,
       BiFunction<DecisionLock, Peers.Listener, Peers> peersMaker) {
     this.settings = settings;
     this.store = store;
@@ -105,15 +105,16 @@
     membership =
         new Membership(
             settings.node(), settings.zone(), store, replica, timers, tunables.nodeLeaseS(), loops);
-    lending = new Lending(settings.node(), store, membership, peers, timers);
+    lending = new WriteLoans(settings.node(), store, membership, peers, timers);
     // A lease is renewed four times in its life: in a shorter pause it cannot have run out.
-    Standstill standstill =
-        new Standstill(replica, membership, timers, decisionLock, loops, tunables.nodeLeaseS() / 2);
+    PauseDetector standstill =
+        new PauseDetector(
+            replica, membership, timers, decisionLock, loops, tunables.nodeLeaseS() / 2);
     duties =
         new Duties(
             settings.node(), store, replica, membership, peers, timers, decisionLock, standstill);
-    catalog = new Catalog(settings.cloud(), caller, store, timers, decisionLock);
-    holds = new Holds(replica);
+    catalog = new MachineCatalog(settings.cloud(), caller, store, timers, decisionLock);
+    holds = new HoldTable(replica);
     jobs = new JobTable(store, replica, timers);
     safety.register(meters);
     ControllerContext context =
@@ -132,12 +133,18 @@
             standstill,
             duties,
             safety);
-    books = new Books(context, caller);
+    books = new HeldMachines(context, caller);
     claims = new Claims(context);
-    fleet = new Fleet(context, claims.room(), claims.interest(), claims.urgencies(), caller);
-    cleanup = new Cleanup(context);
-    joining = new Joining(context);
-    Proofs proofs = new Proofs(store, replica, timers, decisionLock, JobRecord.PREFIX);
+    fleet =
+        new Autoscaler(
+            context,
+            claims.machineTable(),
+            claims.capacitySubscription(),
+            claims.ranking(),
+            caller);
+    cleanup = new MachineRecordCleanup(context);
+    joining = new RosterUpdater(context);
+    ReadBarrier proofs = new ReadBarrier(store, replica, timers, decisionLock, JobRecord.PREFIX);
     api =
         new JobApi(
             settings,
@@ -152,62 +159,63 @@
             decisionLock);
     meters.gauge("dunefront.polls.waiting", proofs::waiting);
     meters.gauge("dunefront.polls.oldest.ms", () -> (int) Math.round(proofs.oldestS() * 1000));
-    meters.gauge("dunefront.polls.proofs", proofs::made);
-    meters.gauge("dunefront.reports.copies", books::copies);
-    meters.gauge("dunefront.machines.deafened", books::deafened);
-    meters.gauge("dunefront.machines.sent.away", books::sentAway);
-    meters.gauge("dunefront.alone", () -> books.alone() ? 1 : 0);
+    meters.gauge("dunefront.polls.proofs", proofs::readCount);
+    meters.gauge("dunefront.reports.copies", books::staleReportCount);
+    meters.gauge("dunefront.machines.deafened", books::unresponsiveCount);
+    meters.gauge("dunefront.machines.sent.away", books::sentAwayCount);
+    meters.gauge("dunefront.alone", () -> books.isolated() ? 1 : 0);
     holds.listen(
         host -> {
           books.holdChanged(host);
           claims.holdChanged(host);
         });
-    meters.gauge("dunefront.machines.held", books::heldMachines);
-    meters.gauge("dunefront.jobs.claimed", claims.account()::claimed);
-    meters.gauge("dunefront.tasks.unstarted", claims.account()::unstarted);
-    meters.gauge("dunefront.jobs.unbegun.oldest.seconds", claims.account()::oldestUnbegunS);
-    meters.gauges("dunefront.jobs.unbegun.seconds", this::unbegun);
-    meters.gauge("dunefront.cancellations.waiting", jobs.cancellations()::waiting);
+    meters.gauge("dunefront.machines.held", books::machineCount);
+    meters.gauge("dunefront.jobs.claimed", claims.statistics()::claimedJobs);
+    meters.gauge("dunefront.tasks.unstarted", claims.statistics()::unstarted);
+    meters.gauge("dunefront.jobs.unbegun.oldest.seconds", claims.statistics()::oldestUnstartedAgeS);
+    meters.gauges("dunefront.jobs.unbegun.seconds", this::unstartedJobAges);
+    meters.gauge("dunefront.cancellations.waiting", jobs.cancellations()::count);
     meters.gauge("dunefront.cancellations.oldest.seconds", jobs.cancellations()::oldestS);
-    meters.gauge("dunefront.state.down", () -> store.down() ? 1 : 0);
+    meters.gauge("dunefront.state.down", () -> store.unavailable() ? 1 : 0);
     meters.gauge("dunefront.decisions.failed", loops::failures);
-    meters.gauge("dunefront.peer.sent.records", () -> (int) peers.sent().records());
-    meters.gauge("dunefront.peer.sent.kilobytes", () -> (int) (peers.sent().bytes() / 1024));
+    meters.gauge("dunefront.peer.sent.records", () -> (int) peers.sentTraffic().records());
+    meters.gauge("dunefront.peer.sent.kilobytes", () -> (int) (peers.sentTraffic().bytes() / 1024));
     for (Duty d : Duty.values()) {
       String name = "dunefront.duty." + d.label();
       meters.gauge(name + ".held", () -> duties.held(d));
-      meters.gauge(name + ".taken", () -> duties.taken(d));
-      meters.gauge(name + ".handed.over", () -> duties.handed(d));
-      meters.gauge(name + ".refused", () -> duties.refused(d));
-      meters.gauge(name + ".longest.gap.ms", () -> duties.longestGapMs(d));
+      meters.gauge(name + ".taken", () -> duties.acquisitions(d));
+      meters.gauge(name + ".handed.over", () -> duties.handovers(d));
+      meters.gauge(name + ".refused", () -> duties.refusals(d));
+      meters.gauge(name + ".longest.gap.ms", () -> duties.longestVacancyMs(d));
     }
-    meters.gauge("dunefront.cleanup.removed", cleanup::removed);
-    meters.gauge("dunefront.rent.repeated", fleet::repeated);
-    meters.gauge("dunefront.rent.dropped", fleet::dropped);
-    jobs.listen(
+    meters.gauge("dunefront.cleanup.removed", cleanup::removedCount);
+    meters.gauge("dunefront.rent.repeated", fleet::repeatedOperations);
+    meters.gauge("dunefront.rent.dropped", fleet::droppedOperations);
+    jobs.addListener(
         (id, before, entry) -> {
           if (entry != null) {
-            catalog.seen(entry.record().spec());
+            catalog.observe(entry.record().spec());
           }
         });
-    jobs.listen(claims::jobChanged);
-    jobs.listen(books::jobChanged);
-    membership.onReborn(
+    jobs.addListener(claims::jobChanged);
+    jobs.addListener(books::jobChanged);
+    membership.onNewIncarnation(
         () -> {
-          claims.reborn();
-          books.reborn();
+          claims.incarnationChanged();
+          books.incarnationChanged();
         });
   }
 
-  private List<Meters.Labelled> unbegun() {
-    List<Meters.Labelled> all = new ArrayList<>();
+  private List<Meters.LabelledValue> unstartedJobAges() {
+    List<Meters.LabelledValue> all = new ArrayList<>();
     claims
-        .account()
-        .unbegunS()
+        .statistics()
+        .oldestUnstartedAgesS()
         .forEach(
             (g, ageS) ->
                 all.add(
-                    new Meters.Labelled(Map.of("class", g.jobClass(), "team", g.team()), ageS)));
+                    new Meters.LabelledValue(
+                        Map.of("class", g.jobClass(), "team", g.team()), ageS)));
     return all;
   }
 
@@ -224,7 +232,7 @@
   public void start() {
     decisionLock.run(
         () -> {
-          replica.start(() -> holds.establish(settings, store));
+          replica.start(() -> holds.createRoster(settings, store));
           membership.start();
           catalog.start();
         });
@@ -233,13 +241,13 @@
   }
 
   /** This process is about to end: hands over what only one controller may do. */
-  public void leave(Runnable then) {
-    decisionLock.run(() -> duties.leave(then));
+  public void handOverDuties(Runnable then) {
+    decisionLock.run(() -> duties.releaseAll(then));
   }
 
   /** Whether requests can be answered with knowledge. */
-  public boolean informed() {
-    return replica.ready() && catalog.known();
+  public boolean hasLoadedState() {
+    return replica.ready() && catalog.isLoaded();
   }
 
   private void tick() {
@@ -253,7 +261,7 @@
           decisionLock.run(fleet::tick);
           decisionLock.run(cleanup::tick);
           decisionLock.run(joining::tick);
-          loops.turned("tick", timers.now(), STALLED_S);
+          loops.recordIteration("tick", timers.now(), LOOP_STALL_TIMEOUT_S);
         });
     timers.after(TICK_S, this::tick);
   }
@@ -261,17 +269,17 @@
   private void slowTick() {
     decisionLock.run(
         () -> {
-          loops.turned("slow tick", timers.now(), STALLED_S);
-          decisionLock.run(this::shareBudget);
-          holds.establish(settings, store);
-          jobs.tidy();
-          Message.Progress progress = claims.account().progress();
+          loops.recordIteration("slow tick", timers.now(), LOOP_STALL_TIMEOUT_S);
+          decisionLock.run(this::updateStoreBudget);
+          holds.createRoster(settings, store);
+          jobs.verifyOldestCancellation();
+          Message.JobProgress progress = claims.statistics().changedProgress();
           if (!progress.counts().isEmpty()) {
             peers.broadcast(progress);
           }
-          String leader = fleet.leaderNode();
-          if (leader != null && membership.self() != null) {
-            peers.send(leader, claims.account().demand());
+          String leader = fleet.rentingNode();
+          if (leader != null && membership.ownIncarnation() != null) {
+            peers.send(leader, claims.statistics().demand());
           }
         });
     timers.after(SLOW_TICK_S, this::slowTick);
@@ -281,28 +289,32 @@
    * Tells the others what this controller asks of the state service, and takes its part of the
    * common budget. A living controller that is not heard counts with an equal part.
    */
-  private void shareBudget() {
-    Store.Use own = store.use();
-    uses.keySet().retainAll(membership.liveNodes());
-    List<Store.Use> others = new ArrayList<>();
+  private void updateStoreBudget() {
+    StateStore.Usage own = store.takeUsage();
+    storeUseByNode.keySet().retainAll(membership.liveNodes());
+    List<StateStore.Usage> others = new ArrayList<>();
     for (String node : membership.liveNodes()) {
       if (!node.equals(settings.node())) {
-        others.add(uses.getOrDefault(node, UNHEARD));
+        others.add(storeUseByNode.getOrDefault(node, ASSUMED_USE));
       }
     }
-    if (membership.self() == null) {
+    if (membership.ownIncarnation() == null) {
       // Nobody counts on a controller without a lease, nor does it know what the others ask. It
       // takes an equal part to become somebody again: the part that it had while it asked for
       // nothing can be too small for that.
-      store.share(UNHEARD, Collections.nCopies(settings.peers().size(), UNHEARD));
+      store.updateShares(ASSUMED_USE, Collections.nCopies(settings.peers().size(), ASSUMED_USE));
     } else if (replica.ready()) {
-      store.share(own, others);
+      store.updateShares(own, others);
     }
     for (Settings.Peer p : settings.peers()) {
       peers.send(
           p.node(),
-          new Message.Health(
-              !store.down(), own.requests(), own.writes(), books.heldMachines(), lag.seconds()));
+          new Message.ControllerStatus(
+              !store.unavailable(),
+              own.requestsPerS(),
+              own.writesPerS(),
+              books.machineCount(),
+              lag.seconds()));
     }
   }
 
@@ -310,31 +322,32 @@
    * Whether users' requests can be taken. A controller that the state service refuses while it
    * serves others sends its users to those; in an outage that all share, each goes on answering.
    */
-  private boolean ready() {
-    String stalled = loops.stalled(timers.now());
-    if (stalled != null && !stalled.equals(saidStalled)) {
+  private boolean isReady() {
+    String stalled = loops.stalledLoop(timers.now());
+    if (stalled != null && !stalled.equals(lastLoggedStall)) {
       LOG.log(Level.ERROR, "no longer turns: {0}", stalled);
     }
-    saidStalled = stalled;
+    lastLoggedStall = stalled;
     if (stalled != null) {
       return false;
     }
     // Lost by all others as well as by the state service, it cannot hear that they are served.
     boolean refusedAlone =
-        store.down() && (timers.now() - servedElsewhere < HEALTH_S || books.alone());
+        store.unavailable()
+            && (timers.now() - lastServedElsewhereAt < HEALTH_VALIDITY_S || books.isolated());
     return !refusedAlone
         && !books.overloaded()
         && replica.ready()
-        && membership.self() != null
-        && catalog.known();
+        && membership.ownIncarnation() != null
+        && catalog.isLoaded();
   }
 
   // ---- requests ----
 
-  public void handle(Request request, Answer answer) {
+  public void handle(Request request, Responder answer) {
     decisionLock.run(
         () -> {
-          Answer out = outside(answer);
+          Responder out = sendOutsideLock(answer);
           try {
             route(request, out);
           } catch (RuntimeException e) {
@@ -346,58 +359,58 @@
   }
 
   /** Answers are sent outside the lock. */
-  private Answer outside(Answer answer) {
+  private Responder sendOutsideLock(Responder answer) {
     return (status, body, retryAfterS) ->
-        decisionLock.then(() -> answer.send(status, body, retryAfterS));
+        decisionLock.defer(() -> answer.send(status, body, retryAfterS));
   }
 
   /** Counts the answer on its way out. */
-  private Answer counted(Meters.Request kind, Answer answer) {
+  private Responder countResponse(Meters.Request kind, Responder answer) {
     double since = timers.now();
     return (status, body, retryAfterS) -> {
-      meters.answered(kind, status, timers.now() - since);
+      meters.recordRequest(kind, status, timers.now() - since);
       answer.send(status, body, retryAfterS);
     };
   }
 
-  private void route(Request r, Answer answer) {
+  private void route(Request r, Responder answer) {
     String path = r.path();
     if (path.equals("/up")) {
-      if (allowed(r, "GET", answer)) {
-        answer.send(ready() ? 200 : 503, null);
+      if (requireMethod(r, "GET", answer)) {
+        answer.send(isReady() ? 200 : 503, null);
       }
-    } else if (path.equals(HttpServer.TEXT_PATH)) {
-      if (allowed(r, "GET", answer)) {
+    } else if (path.equals(HttpServer.METRICS_PATH)) {
+      if (requireMethod(r, "GET", answer)) {
         answer.send(200, meters.scrape().getBytes(StandardCharsets.UTF_8));
       }
     } else if (path.equals("/hello")) {
-      if (allowed(r, "POST", answer)) {
-        hello(r, counted(Meters.Request.REPORT, answer));
+      if (requireMethod(r, "POST", answer)) {
+        handleReport(r, countResponse(Meters.Request.REPORT, answer));
       }
     } else if (path.equals("/v1/jobs")) {
-      if (allowed(r, "POST", answer)) {
+      if (requireMethod(r, "POST", answer)) {
         if (replica.ready()) {
-          api.submit(r.body(), counted(Meters.Request.SUBMIT, answer));
+          api.submit(r.body(), countResponse(Meters.Request.SUBMIT, answer));
         } else {
           answer.send(503, null, 1);
         }
       }
     } else if (path.startsWith("/v1/jobs/") && path.endsWith("/abort")) {
-      if (allowed(r, "POST", answer)) {
+      if (requireMethod(r, "POST", answer)) {
         api.cancel(
             path.substring("/v1/jobs/".length(), path.length() - "/abort".length()),
-            counted(Meters.Request.CANCEL, answer));
+            countResponse(Meters.Request.CANCEL, answer));
       }
     } else if (path.startsWith("/v1/jobs/")) {
-      if (allowed(r, "GET", answer)) {
-        api.poll(path.substring("/v1/jobs/".length()), counted(Meters.Request.POLL, answer));
+      if (requireMethod(r, "GET", answer)) {
+        api.poll(path.substring("/v1/jobs/".length()), countResponse(Meters.Request.POLL, answer));
       }
     } else {
       answer.send(404, null);
     }
   }
 
-  private static boolean allowed(Request r, String method, Answer answer) {
+  private static boolean requireMethod(Request r, String method, Responder answer) {
     if (r.method().equals(method)) {
       return true;
     }
@@ -405,12 +418,12 @@
     return false;
   }
 
-  private void hello(Request r, Answer answer) {
+  private void handleReport(Request r, Responder answer) {
     Report report;
     try {
-      report = Report.read(Doc.decode(r.body()));
-    } catch (BadMessage e) {
-      answer.send(400, Doc.of().put("error", e.getMessage()).encode());
+      report = Report.fromDocument(Document.decode(r.body()));
+    } catch (MalformedMessageException e) {
+      answer.send(400, Document.create().put("error", e.getMessage()).encode());
       return;
     }
     if (replica.ready()) {
@@ -426,45 +439,46 @@
   public void received(String from, Message m) {
     if (m instanceof Message.Demand d) {
       fleet.received(from, d);
-    } else if (m instanceof Message.Ended e) {
-      jobs.ended(e.job(), e.done() ? JobRecord.Status.DONE : JobRecord.Status.CANCELLED);
-    } else if (m instanceof Message.Cancelled c) {
-      jobs.cancelling(c.job());
-      claims.cancelled(c.job());
-      books.cancelled(c.job());
+    } else if (m instanceof Message.JobEnded e) {
+      jobs.finalStatusRecorded(
+          e.job(), e.done() ? JobRecord.Status.DONE : JobRecord.Status.CANCELLED);
+    } else if (m instanceof Message.JobCancelled c) {
+      jobs.cancellationRecorded(c.job());
+      claims.jobCancelled(c.job());
+      books.jobCancelled(c.job());
     } else if (m instanceof Message.DutyTerm t) {
-      duties.received(t);
-    } else if (m instanceof Message.LoanAsk a) {
+      duties.receive(t);
+    } else if (m instanceof Message.LoanRequest a) {
       lending.received(from, a);
     } else if (m instanceof Message.Loan l) {
       lending.received(l);
-    } else if (m instanceof Message.Health h) {
-      books.load(from, h.held(), h.lagS());
-      duties.load(from, h.lagS());
-      uses.put(from, new Store.Use(h.requests(), h.writes()));
-      if (h.stateServes()) {
-        servedElsewhere = timers.now();
+    } else if (m instanceof Message.ControllerStatus h) {
+      books.controllerLoadReceived(from, h.heldMachines(), h.timerLagS());
+      duties.recordTimerLag(from, h.timerLagS());
+      storeUseByNode.put(from, new StateStore.Usage(h.requestsPerS(), h.writesPerS()));
+      if (h.stateAvailable()) {
+        lastServedElsewhereAt = timers.now();
       }
     } else {
       claims.received(from, m);
-      books.received(from, m);
+      books.messageReceived(from, m);
     }
   }
 
   @Override
-  public void reached(String node) {
+  public void connected(String node) {
     // It may have been away when they were told of, and the state service may refuse it.
-    jobs.cancellations().all().forEach(id -> peers.send(node, new Message.Cancelled(id)));
-    books.reached(node);
-    claims.reached(node);
+    jobs.cancellations().all().forEach(id -> peers.send(node, new Message.JobCancelled(id)));
+    books.peerConnected(node);
+    claims.peerConnected(node);
   }
 
   @Override
-  public void gone(String node) {
-    uses.remove(node);
-    duties.gone(node);
-    books.gone(node);
-    claims.gone(node);
-    fleet.gone(node);
+  public void disconnected(String node) {
+    storeUseByNode.remove(node);
+    duties.peerDisconnected(node);
+    books.peerDisconnected(node);
+    claims.peerDisconnected(node);
+    fleet.peerDisconnected(node);
   }
 }
--- a/src/main/java/dev/dunefront/cli/Log.java
+++ b/src/main/java/dev/dunefront/cli/LogSetup.java
@@ -9,11 +9,11 @@
 import java.util.logging.Logger;
 
 /** Logging to standard error, a line a record, in the amount that LOG_LEVEL sets. */
-final class Log {
-  private Log() {}
+final class LogSetup {
+  private LogSetup() {}
 
   /** Sets logging up; an unknown level gets a warning and counts as info. */
-  static void start(String word) {
+  static void configure(String word) {
     String wanted = word == null ? "info" : word.toLowerCase(Locale.ROOT);
     Level level =
         switch (wanted) {
@@ -25,9 +25,9 @@
     Logger root = Logger.getLogger("");
     root.setLevel(Level.WARNING.intValue() > level.intValue() ? Level.WARNING : level);
     Logger.getLogger("dev.dunefront").setLevel(level);
-    root.addHandler(new Lines());
+    root.addHandler(new StandardErrorHandler());
     if (level == Level.INFO && !wanted.equals("info")) {
-      System.getLogger(Log.class.getName())
+      System.getLogger(LogSetup.class.getName())
           .log(System.Logger.Level.WARNING, "LOG_LEVEL {0} is unknown; info is used", word);
     }
   }
@@ -36,7 +36,7 @@
    * Puts the parameters in. The platform's own message formats cost a fraction of a millisecond for
    * each line, which a controller with a small part of a core feels when it returns.
    */
-  static String fill(String pattern, Object[] parameters) {
+  static String substitute(String pattern, Object[] parameters) {
     if (parameters == null || parameters.length == 0) {
       return pattern;
     }
@@ -56,7 +56,7 @@
     return out.toString();
   }
 
-  private static final class Lines extends Handler {
+  private static final class StandardErrorHandler extends Handler {
     private final Formatter formatter =
         new Formatter() {
           @Override
@@ -72,7 +72,7 @@
                 .append(' ')
                 .append(name == null ? "" : name.substring(name.lastIndexOf('.') + 1))
                 .append(": ")
-                .append(fill(r.getMessage(), r.getParameters()));
+                .append(substitute(r.getMessage(), r.getParameters()));
             if (r.getThrown() != null) {
               line.append(' ').append(r.getThrown());
               for (StackTraceElement e : r.getThrown().getStackTrace()) {
--- a/src/main/java/dev/dunefront/cli/Main.java
+++ b/src/main/java/dev/dunefront/cli/Main.java
@@ -1,17 +1,17 @@
 package dev.dunefront.cli;
 
-import dev.dunefront.config.BadSetting;
-import dev.dunefront.config.Script;
+import dev.dunefront.config.InvalidSettingException;
 import dev.dunefront.config.Settings;
 import dev.dunefront.config.Tunables;
+import dev.dunefront.config.TunablesScript;
 import dev.dunefront.net.DecisionLock;
+import dev.dunefront.net.DisabledMBeanServerBuilder;
 import dev.dunefront.net.HttpServer;
-import dev.dunefront.net.Loops;
-import dev.dunefront.net.NoManagement;
-import dev.dunefront.net.UndertowCaller;
+import dev.dunefront.net.LoopWatchdog;
+import dev.dunefront.net.UndertowHttpCaller;
 import dev.dunefront.net.XnioTimers;
 import dev.dunefront.peer.XnioPeers;
-import dev.dunefront.store.HttpStore;
+import dev.dunefront.store.HttpStateStore;
 import io.undertow.server.DefaultByteBufferPool;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
@@ -36,7 +36,7 @@
     description = "A cluster scheduler: want-books held per machine, one offer per freed room.",
     mixinStandardHelpOptions = true,
     version = "dunefront 0.1.0",
-    subcommands = {Main.Check.class, Rehearsal.class})
+    subcommands = {Main.CheckCommand.class, RehearseCommand.class})
 public final class Main implements Callable<Integer> {
   private static final System.Logger LOG = System.getLogger(Main.class.getName());
 
@@ -75,12 +75,12 @@
     Tunables tunables;
     try {
       settings = Settings.load(config);
-      tunables = script == null ? Tunables.DEFAULTS : Script.load(script);
-    } catch (BadSetting e) {
+      tunables = script == null ? Tunables.DEFAULTS : TunablesScript.load(script);
+    } catch (InvalidSettingException e) {
       System.err.println("dunefront: " + e.getMessage());
       return 2;
     }
-    Log.start(System.getenv("LOG_LEVEL"));
+    LogSetup.configure(System.getenv("LOG_LEVEL"));
     try {
       run(settings, tunables);
     } catch (IOException | RuntimeException e) {
@@ -91,10 +91,10 @@
   }
 
   /** How long the first requests wait at most for the state to be read. */
-  private static final double INFORMED_S = 2;
+  private static final double STATE_LOAD_TIMEOUT_S = 2;
 
   static void run(Settings settings, Tunables tunables) throws IOException {
-    NoManagement.install();
+    DisabledMBeanServerBuilder.install();
     XnioWorker worker =
         Xnio.getInstance()
             .createWorker(
@@ -108,14 +108,14 @@
     XnioIoThread thread = worker.getIoThread();
     XnioTimers timers = new XnioTimers(thread);
     DefaultByteBufferPool buffers = new DefaultByteBufferPool(false, 8192, 64, 4);
-    UndertowCaller caller = new UndertowCaller(thread, buffers, timers);
-    Loops loops = new Loops();
-    DecisionLock decisionLock = new DecisionLock(loops::failed);
+    UndertowHttpCaller caller = new UndertowHttpCaller(thread, buffers, timers);
+    LoopWatchdog loops = new LoopWatchdog();
+    DecisionLock decisionLock = new DecisionLock(loops::recordFailure);
     String marks = settings.node() + "-" + UUID.randomUUID().toString().substring(0, 13);
-    HttpStore store = new HttpStore(settings, caller, timers, decisionLock, marks);
+    HttpStateStore store = new HttpStateStore(settings, caller, timers, decisionLock, marks);
     XnioPeers[] links = new XnioPeers[1];
-    Daemon daemon =
-        new Daemon(
+    Controller daemon =
+        new Controller(
             settings,
             tunables,
             store,
@@ -126,20 +126,21 @@
             (w, listener) -> links[0] = new XnioPeers(settings, worker, timers, w, listener));
     links[0].start();
     thread.execute(daemon::start);
-    Runtime.getRuntime().addShutdownHook(new Thread(() -> leave(thread, daemon)));
-    double until = timers.now() + INFORMED_S;
-    thread.execute(() -> listen(settings, worker, timers, buffers, daemon, until));
+    Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(thread, daemon)));
+    double until = timers.now() + STATE_LOAD_TIMEOUT_S;
+    thread.execute(
+        () -> startHttpServerWhenLoaded(settings, worker, timers, buffers, daemon, until));
   }
 
   /** How long a process that is told to end waits for the state service. */
-  private static final long LEAVE_MS = 400;
+  private static final long SHUTDOWN_TIMEOUT_MS = 400;
 
   /** Hands over what only one controller may do, so that it is not vacant for a whole lease. */
-  private static void leave(XnioIoThread thread, Daemon daemon) {
+  private static void shutDown(XnioIoThread thread, Controller daemon) {
     CountDownLatch left = new CountDownLatch(1);
-    thread.execute(() -> daemon.leave(left::countDown));
+    thread.execute(() -> daemon.handOverDuties(left::countDown));
     try {
-      left.await(LEAVE_MS, TimeUnit.MILLISECONDS);
+      left.await(SHUTDOWN_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -150,15 +151,16 @@
    * Before, each would cost a refusal out of the little processor time that reading the state
    * needs.
    */
-  private static void listen(
+  private static void startHttpServerWhenLoaded(
       Settings settings,
       XnioWorker worker,
       XnioTimers timers,
       DefaultByteBufferPool buffers,
-      Daemon daemon,
+      Controller daemon,
       double until) {
-    if (!daemon.informed() && timers.now() < until) {
-      timers.after(0.02, () -> listen(settings, worker, timers, buffers, daemon, until));
+    if (!daemon.hasLoadedState() && timers.now() < until) {
+      timers.after(
+          0.02, () -> startHttpServerWhenLoaded(settings, worker, timers, buffers, daemon, until));
       return;
     }
     try {
@@ -175,7 +177,7 @@
       name = "check",
       description = "Check a settings file, and an operator's script, without starting.",
       mixinStandardHelpOptions = true)
-  static final class Check implements Callable<Integer> {
+  static final class CheckCommand implements Callable<Integer> {
     @Parameters(paramLabel = "FILE", description = "The settings file.")
     private Path file;
 
@@ -188,10 +190,10 @@
         Settings s = Settings.load(file);
         System.out.println("settings of " + s.node() + " are in order");
         if (script != null) {
-          System.out.println("script sets " + Script.load(script));
+          System.out.println("script sets " + TunablesScript.load(script));
         }
         return 0;
-      } catch (BadSetting e) {
+      } catch (InvalidSettingException e) {
         System.err.println("dunefront: " + e.getMessage());
         return 2;
       }
--- a/src/main/java/dev/dunefront/cli/Rehearsal.java
+++ b/src/main/java/dev/dunefront/cli/RehearseCommand.java
@@ -1,18 +1,18 @@
 package dev.dunefront.cli;
 
-import dev.dunefront.config.BadSetting;
+import dev.dunefront.config.InvalidSettingException;
 import dev.dunefront.config.Settings;
 import dev.dunefront.config.Tunables;
-import dev.dunefront.net.Caller;
+import dev.dunefront.net.DisabledMBeanServerBuilder;
+import dev.dunefront.net.HttpCaller;
 import dev.dunefront.net.HttpServer;
-import dev.dunefront.net.NoManagement;
 import dev.dunefront.net.Timers;
-import dev.dunefront.net.UndertowCaller;
+import dev.dunefront.net.UndertowHttpCaller;
 import dev.dunefront.net.XnioTimers;
-import dev.dunefront.standin.StateStandIn;
-import dev.dunefront.standin.WorkerStandIn;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.standin.FakeStateService;
+import dev.dunefront.standin.FakeWorker;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import io.undertow.server.DefaultByteBufferPool;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -36,22 +36,22 @@
     name = "rehearse",
     hidden = true,
     description = "Run two controllers against stand-ins for a few seconds.")
-final class Rehearsal implements Callable<Integer> {
-  private static final double PATIENCE_S = 20;
+final class RehearseCommand implements Callable<Integer> {
+  private static final double TIMEOUT_S = 20;
 
   private final CountDownLatch done = new CountDownLatch(1);
 
   @Override
-  public Integer call() throws IOException, InterruptedException, BadSetting {
-    Log.start("error");
-    NoManagement.install();
+  public Integer call() throws IOException, InterruptedException, InvalidSettingException {
+    LogSetup.configure("error");
+    DisabledMBeanServerBuilder.install();
     XnioWorker worker =
         Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
     Timers timers = new XnioTimers(worker.getIoThread());
     DefaultByteBufferPool buffers = new DefaultByteBufferPool(false, 8192, 64, 4);
-    Caller caller = new UndertowCaller(worker.getIoThread(), buffers, timers);
-    StateStandIn state = new StateStandIn(timers);
-    int[] ports = ports(7);
+    HttpCaller caller = new UndertowHttpCaller(worker.getIoThread(), buffers, timers);
+    FakeStateService state = new FakeStateService(timers);
+    int[] ports = freePorts(7);
     serve(
         worker,
         buffers,
@@ -62,17 +62,17 @@
                 r.path() + (r.query().isEmpty() ? "" : "?" + r.query()),
                 r.body(),
                 reply -> a.send(reply.status(), reply.body())));
-    serve(worker, buffers, ports[1], (r, a) -> a.send(200, cloud(r.path())));
-    WorkerStandIn machine = new WorkerStandIn("host-1", "127.0.0.1:" + ports[2], "small", "a");
+    serve(worker, buffers, ports[1], (r, a) -> a.send(200, cloudResponse(r.path())));
+    FakeWorker machine = new FakeWorker("host-1", "127.0.0.1:" + ports[2], "small", "a");
     serve(
         worker,
         buffers,
         ports[2],
         (r, a) -> {
           try {
-            Caller.Reply reply = machine.orders(r.body());
+            HttpCaller.Response reply = machine.handleCommands(r.body());
             a.send(reply.status(), reply.body());
-          } catch (BadMessage e) {
+          } catch (MalformedMessageException e) {
             a.send(400, null);
           }
         });
@@ -80,9 +80,9 @@
       Main.run(settings(ports, i), Tunables.DEFAULTS);
     }
     String node = "127.0.0.1:" + ports[3];
-    report(machine, caller, timers, node);
+    sendReports(machine, caller, timers, node);
     submit(caller, timers, node, 1);
-    boolean in = done.await((long) PATIENCE_S, TimeUnit.SECONDS);
+    boolean in = done.await((long) TIMEOUT_S, TimeUnit.SECONDS);
     return in ? 0 : 1;
   }
 
@@ -95,7 +95,7 @@
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
   }
 
-  private static int[] ports(int n) throws IOException {
+  private static int[] freePorts(int n) throws IOException {
     ServerSocket[] sockets = new ServerSocket[n];
     int[] ports = new int[n];
     for (int i = 0; i < n; i++) {
@@ -109,7 +109,7 @@
   }
 
   /** Written out and read back, so that the reading is rehearsed as well. */
-  private static Settings settings(int[] ports, int i) throws BadSetting {
+  private static Settings settings(int[] ports, int i) throws InvalidSettingException {
     int other = 1 - i;
     return Settings.parse(
         """
@@ -148,22 +148,22 @@
             .formatted(i, ports[3 + i], ports[5 + i], other, ports[5 + other], ports[1], ports[0]));
   }
 
-  private static byte[] cloud(String path) {
+  private static byte[] cloudResponse(String path) {
     if (path.equals("/catalog")) {
-      Doc type =
-          Doc.of()
+      Document type =
+          Document.create()
               .put("label", "small")
               .put("vcpus", 4.0)
               .put("ram_gb", 8.0)
               .put("rate", 1.0)
               .put("boot_s", 1.0)
               .put("sites", List.of("a"));
-      return Doc.of().put("flavors", List.of(type)).encode();
+      return Document.create().put("flavors", List.of(type)).encode();
     }
-    return Doc.of().put("hosts", List.of()).put("more", false).encode();
+    return Document.create().put("hosts", List.of()).put("more", false).encode();
   }
 
-  private void report(WorkerStandIn machine, Caller caller, Timers timers, String node) {
+  private void sendReports(FakeWorker machine, HttpCaller caller, Timers timers, String node) {
     caller.call(
         node,
         "POST",
@@ -173,19 +173,19 @@
         reply -> {
           try {
             if (reply.ok()) {
-              machine.answered(reply.body());
+              machine.handleReportResponse(reply.body());
             }
-          } catch (BadMessage e) {
+          } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
           }
           machine.running().forEach(id -> machine.exit(id, "done"));
-          timers.after(0.2, () -> report(machine, caller, timers, node));
+          timers.after(0.2, () -> sendReports(machine, caller, timers, node));
         });
   }
 
-  private void submit(Caller caller, Timers timers, String node, int n) {
+  private void submit(HttpCaller caller, Timers timers, String node, int n) {
     byte[] job =
-        Doc.of()
+        Document.create()
             .put("id", "wk-" + n)
             .put("batchclass", "c")
             .put("owner", "t")
@@ -219,7 +219,7 @@
         });
   }
 
-  private void poll(Caller caller, Timers timers, String node, int n) {
+  private void poll(HttpCaller caller, Timers timers, String node, int n) {
     caller.call(
         node,
         "GET",
@@ -229,8 +229,8 @@
         reply -> {
           boolean over = false;
           try {
-            over = reply.ok() && Doc.decode(reply.body()).text("status").equals("done");
-          } catch (BadMessage e) {
+            over = reply.ok() && Document.decode(reply.body()).text("status").equals("done");
+          } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
           }
           if (over && n == 2) {
