--- a/src/main/java/dev/dunefront/config/Settings.java
+++ b/src/main/java/dev/dunefront/config/Settings.java
@@ -27,12 +27,12 @@
     String cloud,
     String state,
     List<Team> teams,
-    List<Objective> objectives,
-    List<StartAim> startAims,
-    Workers workers,
+    List<CompletionObjective> objectives,
+    List<StartObjective> startObjectives,
+    WorkerTimings workers,
     StateLimits stateLimits,
     CloudLimits cloudLimits,
-    Limits limits) {
+    ProcessLimits processLimits) {
 
   /** Another controller: its name, zone and address for peers. */
   public record Peer(String node, String zone, InetSocketAddress address) {}
@@ -48,16 +48,16 @@
    * Something that users expect of a class of jobs: done by the deadline times a factor, or done
    * within a time. Objectives of other kinds are not kept.
    */
-  public record Objective(String jobClass, Double deadlineTimes, Double withinS) {}
+  public record CompletionObjective(String jobClass, Double deadlineFactor, Double withinS) {}
 
   /**
    * Tasks are to start within a time, counted from their job's submission: those of a class, or,
    * where that is null, of any job within its team's guarantee.
    */
-  public record StartAim(String jobClass, double withinS) {}
+  public record StartObjective(String jobClass, double withinS) {}
 
   /** The workers' rhythm in seconds: between reports, of a lease, for a cancellation. */
-  public record Workers(double reportS, double leaseS, double cancelS) {}
+  public record WorkerTimings(double reportS, double leaseS, double cancelS) {}
 
   /** What the state service allows: requests and changes a second, value size, changes at once. */
   public record StateLimits(double rps, double writeRps, double valueKb, int txnOps) {}
@@ -66,10 +66,10 @@
   public record CloudLimits(double rps, double listLagS) {}
 
   /** What this process may use: part of a core, megabytes, sockets. */
-  public record Limits(double cores, double memoryMb, int sockets) {}
+  public record ProcessLimits(double cores, double memoryMb, int sockets) {}
 
   /** How many controllers there are, this one included. */
-  public int controllers() {
+  public int controllerCount() {
     return peers.size() + 1;
   }
 
@@ -77,26 +77,26 @@
     return teams.stream().filter(t -> t.name().equals(name)).findFirst();
   }
 
-  public static Settings load(Path file) throws BadSetting {
+  public static Settings load(Path file) throws InvalidSettingException {
     String text;
     try {
       text = Files.readString(file);
     } catch (NoSuchFileException e) {
-      throw new BadSetting("settings file " + file + " does not exist");
+      throw new InvalidSettingException("settings file " + file + " does not exist");
     } catch (IOException e) {
-      throw new BadSetting("settings file " + file + " cannot be read");
+      throw new InvalidSettingException("settings file " + file + " cannot be read");
     }
     return parse(text);
   }
 
-  public static Settings parse(String toml) throws BadSetting {
+  public static Settings parse(String toml) throws InvalidSettingException {
     Map<String, Object> root;
     try (JsonParser parser = new TomlFactory().createParser(toml)) {
       parser.nextToken();
       root = table(parser);
     } catch (JsonProcessingException e) {
       var at = e.getLocation();
-      throw new BadSetting(
+      throw new InvalidSettingException(
           "settings are not TOML" + (at == null ? "" : " (line " + at.getLineNr() + ")"));
     } catch (IOException e) {
       throw new IllegalStateException(e);
@@ -108,7 +108,8 @@
     for (Section s : top.list("others")) {
       Peer p = new Peer(s.text("host_name"), s.text("site"), s.address("address"));
       if (!names.add(p.node())) {
-        throw new BadSetting(s.path("host_name") + " names " + p.node() + " a second time");
+        throw new InvalidSettingException(
+            s.path("host_name") + " names " + p.node() + " a second time");
       }
       peers.add(p);
     }
@@ -124,18 +125,18 @@
               s.amountOr("gpus", 0),
               s.amountOr("gpus_max", 0)));
     }
-    List<Objective> objectives = new ArrayList<>();
-    List<StartAim> startAims = new ArrayList<>();
+    List<CompletionObjective> objectives = new ArrayList<>();
+    List<StartObjective> startAims = new ArrayList<>();
     for (Section s : facts.list("objectives")) {
       String kind = s.text("kind");
       if (kind.equals("deadline")) {
-        objectives.add(new Objective(s.text("class"), s.amountOr("times", 1), null));
+        objectives.add(new CompletionObjective(s.text("class"), s.amountOr("times", 1), null));
       } else if (kind.equals("finished")) {
-        objectives.add(new Objective(s.text("class"), null, s.positive("within_s")));
+        objectives.add(new CompletionObjective(s.text("class"), null, s.positive("within_s")));
       } else if (kind.equals("wait")) {
-        startAims.add(new StartAim(s.text("class"), s.positive("within_s")));
+        startAims.add(new StartObjective(s.text("class"), s.positive("within_s")));
       } else if (kind.equals("guarantee")) {
-        startAims.add(new StartAim(null, s.positive("within_s")));
+        startAims.add(new StartObjective(null, s.positive("within_s")));
       }
     }
     Section w = facts.section("workers");
@@ -153,14 +154,15 @@
         List.copyOf(teams),
         List.copyOf(objectives),
         List.copyOf(startAims),
-        new Workers(w.positive("report_s"), w.positive("lease_s"), w.positive("cancel_s")),
+        new WorkerTimings(w.positive("report_s"), w.positive("lease_s"), w.positive("cancel_s")),
         new StateLimits(
             st.positive("rps"),
             st.positive("write_rps"),
             st.positive("value_kb"),
-            st.whole("txn_ops", 2)),
+            st.wholeNumber("txn_ops", 2)),
         new CloudLimits(cl.positive("rps"), cl.positive("list_lag_s")),
-        new Limits(li.positive("cores"), li.positive("memory_mb"), li.whole("fd_limit", 16)));
+        new ProcessLimits(
+            li.positive("cores"), li.positive("memory_mb"), li.wholeNumber("fd_limit", 16)));
   }
 
   // The tokens are read by hand, for setting up a mapper costs a start more than all else here.
@@ -198,47 +200,47 @@
       return name.isEmpty() ? field : name + "." + field;
     }
 
-    Object need(String field) throws BadSetting {
+    Object require(String field) throws InvalidSettingException {
       Object v = node.get(field);
       if (v == null) {
-        throw new BadSetting(path(field) + " is missing");
+        throw new InvalidSettingException(path(field) + " is missing");
       }
       return v;
     }
 
-    Section section(String field) throws BadSetting {
-      if (need(field) instanceof Map<?, ?> table) {
+    Section section(String field) throws InvalidSettingException {
+      if (require(field) instanceof Map<?, ?> table) {
         return new Section(path(field), table);
       }
-      throw new BadSetting(path(field) + " is not a table");
+      throw new InvalidSettingException(path(field) + " is not a table");
     }
 
-    List<Section> list(String field) throws BadSetting {
+    List<Section> list(String field) throws InvalidSettingException {
       Object v = node.get(field);
       List<Section> all = new ArrayList<>();
       if (v == null) {
         return all;
       }
       if (!(v instanceof List<?> items)) {
-        throw new BadSetting(path(field) + " is not a list of tables");
+        throw new InvalidSettingException(path(field) + " is not a list of tables");
       }
       for (Object item : items) {
         if (!(item instanceof Map<?, ?> table)) {
-          throw new BadSetting(path(field) + " is not a list of tables");
+          throw new InvalidSettingException(path(field) + " is not a list of tables");
         }
         all.add(new Section(path(field) + "[" + all.size() + "]", table));
       }
       return all;
     }
 
-    String text(String field) throws BadSetting {
-      if (need(field) instanceof String s && !s.isBlank()) {
+    String text(String field) throws InvalidSettingException {
+      if (require(field) instanceof String s && !s.isBlank()) {
         return s;
       }
-      throw new BadSetting(path(field) + " is not text");
+      throw new InvalidSettingException(path(field) + " is not text");
     }
 
-    double amountOr(String field, double fallback) throws BadSetting {
+    double amountOr(String field, double fallback) throws InvalidSettingException {
       Object v = node.get(field);
       if (v == null) {
         return fallback;
@@ -246,32 +248,33 @@
       if (v instanceof Double d && d >= 0 && !Double.isInfinite(d)) {
         return d;
       }
-      throw new BadSetting(path(field) + " is not a number of 0 or more");
+      throw new InvalidSettingException(path(field) + " is not a number of 0 or more");
     }
 
-    double positive(String field) throws BadSetting {
-      need(field);
+    double positive(String field) throws InvalidSettingException {
+      require(field);
       double d = amountOr(field, 0);
       if (d <= 0) {
-        throw new BadSetting(path(field) + " must be above 0");
+        throw new InvalidSettingException(path(field) + " must be above 0");
       }
       return d;
     }
 
-    int whole(String field, int least) throws BadSetting {
+    int wholeNumber(String field, int least) throws InvalidSettingException {
       double d = positive(field);
       if (d != Math.rint(d) || d < least || d > 1e9) {
-        throw new BadSetting(path(field) + " must be a whole number of " + least + " or more");
+        throw new InvalidSettingException(
+            path(field) + " must be a whole number of " + least + " or more");
       }
       return (int) d;
     }
 
-    String hostPort(String field) throws BadSetting {
+    String hostPort(String field) throws InvalidSettingException {
       address(field);
       return text(field);
     }
 
-    InetSocketAddress address(String field) throws BadSetting {
+    InetSocketAddress address(String field) throws InvalidSettingException {
       String s = text(field);
       int colon = s.lastIndexOf(':');
       try {
@@ -283,7 +286,7 @@
       } catch (NumberFormatException e) {
         // falls through to the one message for every malformed address
       }
-      throw new BadSetting(path(field) + " is not an IP address and port");
+      throw new InvalidSettingException(path(field) + " is not an IP address and port");
     }
   }
 }
--- a/src/main/java/dev/dunefront/config/Tunables.java
+++ b/src/main/java/dev/dunefront/config/Tunables.java
@@ -44,12 +44,12 @@
     double beginS) {
 
   /** A setting as operators name it: its default and what it may be. */
-  public record Setting(double standard, double least, double most, boolean whole) {}
+  public record Setting(double defaultValue, double min, double max, boolean wholeNumber) {}
 
   /** All settings by the names that operators use. */
   public static final Map<String, Setting> SETTINGS = settings();
 
-  public static final Tunables DEFAULTS = of(Map.of());
+  public static final Tunables DEFAULTS = withOverrides(Map.of());
 
   private static Map<String, Setting> settings() {
     Map<String, Setting> all = new LinkedHashMap<>();
@@ -72,7 +72,7 @@
   }
 
   /** The defaults with some settings changed. */
-  public static Tunables of(Map<String, Double> changed) {
+  public static Tunables withOverrides(Map<String, Double> changed) {
     return new Tunables(
         (int) value(changed, "reach"),
         (int) value(changed, "reach_cap"),
@@ -92,28 +92,28 @@
   }
 
   private static double value(Map<String, Double> changed, String name) {
-    return changed.getOrDefault(name, SETTINGS.get(name).standard());
+    return changed.getOrDefault(name, SETTINGS.get(name).defaultValue());
   }
 
   /** Checks a value for a setting; the message says what is wrong. */
-  public static void check(String name, double value) throws BadSetting {
+  public static void validate(String name, double value) throws InvalidSettingException {
     Setting s = SETTINGS.get(name);
     if (s == null) {
-      throw new BadSetting(name + " is not a setting");
+      throw new InvalidSettingException(name + " is not a setting");
     }
-    if (!(value >= s.least() && value <= s.most()) || s.whole() && value != Math.rint(value)) {
-      throw new BadSetting(
+    if (!(value >= s.min() && value <= s.max()) || s.wholeNumber() && value != Math.rint(value)) {
+      throw new InvalidSettingException(
           name
               + " must be a "
-              + (s.whole() ? "whole " : "")
+              + (s.wholeNumber() ? "whole " : "")
               + "number from "
-              + plain(s.least())
+              + formatNumber(s.min())
               + " to "
-              + plain(s.most()));
+              + formatNumber(s.max()));
     }
   }
 
-  private static String plain(double d) {
+  private static String formatNumber(double d) {
     return d == Math.rint(d) ? Long.toString((long) d) : Double.toString(d);
   }
 }
--- a/src/main/java/dev/dunefront/config/Script.java
+++ b/src/main/java/dev/dunefront/config/TunablesScript.java
@@ -24,23 +24,23 @@
  * An operator's script: Lua in which each assignment to a global name sets a tunable. It can
  * compute, but neither read files nor load code nor run for ever.
  */
-public final class Script {
-  private static final long MOST_STEPS = 5_000_000;
+public final class TunablesScript {
+  private static final long MAX_INSTRUCTIONS = 5_000_000;
 
-  private Script() {}
+  private TunablesScript() {}
 
-  public static Tunables load(Path file) throws BadSetting {
+  public static Tunables load(Path file) throws InvalidSettingException {
     String text;
     try {
       text = Files.readString(file);
     } catch (IOException e) {
-      throw new BadSetting("script " + file + " cannot be read");
+      throw new InvalidSettingException("script " + file + " cannot be read");
     }
     return run(text, file.getFileName().toString());
   }
 
   /** Runs a script; errors name it and the line. */
-  public static Tunables run(String text, String name) throws BadSetting {
+  public static Tunables run(String text, String name) throws InvalidSettingException {
     Map<String, Double> changed = new HashMap<>();
     Globals globals = new Globals();
     globals.load(new BaseLib());
@@ -48,7 +48,7 @@
     globals.load(new TableLib());
     globals.load(new StringLib());
     globals.load(new MathLib());
-    globals.load(new StepLimit());
+    globals.load(new InstructionLimit());
     for (String unsafe :
         new String[] {
           "debug", "package", "require", "dofile", "loadfile", "load", "collectgarbage"
@@ -65,10 +65,10 @@
           public LuaValue call(LuaValue table, LuaValue key, LuaValue value) {
             try {
               if (!value.isnumber()) {
-                Tunables.check(key.tojstring(), Double.NaN);
+                Tunables.validate(key.tojstring(), Double.NaN);
               }
-              Tunables.check(key.tojstring(), value.todouble());
-            } catch (BadSetting e) {
+              Tunables.validate(key.tojstring(), value.todouble());
+            } catch (InvalidSettingException e) {
               throw new LuaError(e.getMessage(), 1);
             }
             changed.put(key.tojstring(), value.todouble());
@@ -80,20 +80,20 @@
     try {
       globals.load(text, "@" + name).call();
     } catch (LuaError e) {
-      throw new BadSetting(
+      throw new InvalidSettingException(
           "script " + e.getMessage().lines().findFirst().orElse(name).replace("@" + name, name));
     } catch (StackOverflowError e) {
-      throw new BadSetting("script " + name + " calls itself too deeply");
+      throw new InvalidSettingException("script " + name + " calls itself too deeply");
     }
-    return Tunables.of(changed);
+    return Tunables.withOverrides(changed);
   }
 
-  private static final class StepLimit extends DebugLib {
-    private long steps;
+  private static final class InstructionLimit extends DebugLib {
+    private long instructions;
 
     @Override
     public void onInstruction(int pc, Varargs v, int top) {
-      if (++steps > MOST_STEPS) {
+      if (++instructions > MAX_INSTRUCTIONS) {
         throw new LuaError("runs for too long");
       }
       super.onInstruction(pc, v, top);
--- a/src/main/java/dev/dunefront/duty/Duties.java
+++ b/src/main/java/dev/dunefront/duty/Duties.java
@@ -5,11 +5,11 @@
 import dev.dunefront.peer.Message;
 import dev.dunefront.peer.Peers;
 import dev.dunefront.store.Membership;
+import dev.dunefront.store.PauseDetector;
 import dev.dunefront.store.Replica;
-import dev.dunefront.store.Standstill;
-import dev.dunefront.store.Store;
+import dev.dunefront.store.StateStore;
 import dev.dunefront.store.Txn;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.wire.Document;
 import java.lang.System.Logger.Level;
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -27,54 +27,54 @@
   private static final System.Logger LOG = System.getLogger(Duties.class.getName());
 
   /** Pause after a write of a duty's record before the next one. */
-  private static final double PAUSE_S = 0.5;
+  private static final double WRITE_INTERVAL_S = 0.5;
 
   private final String node;
-  private final Store store;
+  private final StateStore store;
   private final Replica replica;
   private final Membership membership;
   private final Peers peers;
   private final Timers timers;
   private final DecisionLock decisionLock;
-  private final Standstill standstill;
-  private final Map<Duty, Seat> seats = new EnumMap<>(Duty.class);
+  private final PauseDetector standstill;
+  private final Map<Duty, DutyState> states = new EnumMap<>(Duty.class);
 
   /** Timer lag in seconds that each reachable controller reports, by node. */
-  private final Map<String, Double> lags = new HashMap<>();
+  private final Map<String, Double> timerLagByNode = new HashMap<>();
 
-  private double lagS;
+  private double ownTimerLagS;
 
   /** This controller's view of one duty. */
-  private static final class Seat {
-    DutyRecord post = DutyRecord.VACANT;
+  private static final class DutyState {
+    DutyRecord record = DutyRecord.VACANT;
 
     /** The highest known term; exceeds that of {@code post} while the replica lags. */
-    long highest;
+    long highestTerm;
 
     double vacantSince = Double.NaN;
     double heldSince;
     double unfitSince = Double.NaN;
-    boolean unable;
-    boolean asking;
+    boolean incapable;
+    boolean writePending;
 
     /** The incarnation named as holder by the write in progress. */
-    String givenTo;
+    String pendingHolder;
 
-    int refused;
-    int taken;
-    int handed;
-    double longestGapS;
+    int refusals;
+    int acquisitions;
+    int handovers;
+    double longestVacancyS;
   }
 
   public Duties(
       String node,
-      Store store,
+      StateStore store,
       Replica replica,
       Membership membership,
       Peers peers,
       Timers timers,
       DecisionLock decisionLock,
-      Standstill standstill) {
+      PauseDetector standstill) {
     this.node = node;
     this.store = store;
     this.replica = replica;
@@ -84,30 +84,31 @@
     this.decisionLock = decisionLock;
     this.standstill = standstill;
     for (Duty d : Duty.values()) {
-      seats.put(d, new Seat());
-      replica.listen(d.key(), (rest, value, stamp) -> shown(d, DutyRecord.read(value, stamp)));
+      states.put(d, new DutyState());
+      replica.addListener(
+          d.key(), (rest, value, stamp) -> recordChanged(d, DutyRecord.read(value, stamp)));
     }
   }
 
-  private void shown(Duty duty, DutyRecord current) {
-    Seat seat = seats.get(duty);
-    boolean heldBefore = seat.post.heldBy(membership.self());
+  private void recordChanged(Duty duty, DutyRecord current) {
+    DutyState seat = states.get(duty);
+    boolean heldBefore = seat.record.heldBy(membership.ownIncarnation());
     double now = timers.now();
     if (current.vacant()) {
       seat.vacantSince = now;
     } else {
       if (!Double.isNaN(seat.vacantSince)) {
-        seat.longestGapS = Math.max(seat.longestGapS, now - seat.vacantSince);
+        seat.longestVacancyS = Math.max(seat.longestVacancyS, now - seat.vacantSince);
       }
       seat.vacantSince = Double.NaN;
     }
-    seat.post = current;
-    seat.highest = Math.max(seat.highest, current.term());
-    boolean heldNow = current.heldBy(membership.self());
+    seat.record = current;
+    seat.highestTerm = Math.max(seat.highestTerm, current.term());
+    boolean heldNow = current.heldBy(membership.ownIncarnation());
     if (heldNow) {
       seat.heldSince = now;
       seat.unfitSince = Double.NaN;
-      seat.taken++;
+      seat.acquisitions++;
       LOG.log(Level.INFO, "acquired duty {0} in term {1}", duty.label(), current.term());
     } else if (heldBefore) {
       LOG.log(Level.INFO, "lost duty {0}", duty.label());
@@ -118,18 +119,18 @@
 
   /** The node that holds the duty, or null. */
   public String holder(Duty duty) {
-    DutyRecord current = seats.get(duty).post;
+    DutyRecord current = states.get(duty).record;
     return current.vacant() ? null : Membership.nodeOf(current.holder());
   }
 
   /** The term in which this controller may perform the duty now, or 0 if it may not. */
   public long term(Duty duty) {
-    Seat seat = seats.get(duty);
+    DutyState seat = states.get(duty);
     boolean own =
-        seat.post.heldBy(membership.self())
-            && seat.post.term() >= seat.highest
+        seat.record.heldBy(membership.ownIncarnation())
+            && seat.record.term() >= seat.highestTerm
             && standstill.current();
-    return own ? seat.post.term() : 0;
+    return own ? seat.record.term() : 0;
   }
 
   /** Whether this controller may still perform the duty in that term. */
@@ -139,7 +140,7 @@
 
   /** Makes a write conditional on the term: it fails once the duty has another holder. */
   public Txn guard(Duty duty, long term, Txn txn) {
-    return txn.when(duty.key(), term);
+    return txn.requireRevision(duty.key(), term);
   }
 
   // ---- requests from holders ----
@@ -148,98 +149,98 @@
    * Whether to accept a request that another controller makes in a term of a duty. If a higher term
    * is known, the request is rejected and the sender is informed of that term.
    */
-  public boolean admits(Duty duty, long term, String from) {
-    Seat seat = seats.get(duty);
-    if (term < seat.highest) {
-      seat.refused++;
+  public boolean accepts(Duty duty, long term, String from) {
+    DutyState seat = states.get(duty);
+    if (term < seat.highestTerm) {
+      seat.refusals++;
       LOG.log(
           Level.INFO,
           "rejected a request from {0} for duty {1} in term {2}: term {3} is known",
           from,
           duty.label(),
           term,
-          seat.highest);
-      peers.send(from, new Message.DutyTerm(duty.label(), seat.highest));
+          seat.highestTerm);
+      peers.send(from, new Message.DutyTerm(duty.label(), seat.highestTerm));
       return false;
     }
-    seat.highest = term;
+    seat.highestTerm = term;
     return true;
   }
 
   /** Handles a term known to another controller; a holder in a lower term has been replaced. */
-  public void received(Message.DutyTerm m) {
-    Duty duty = Duty.of(m.duty());
+  public void receive(Message.DutyTerm m) {
+    Duty duty = Duty.ofLabel(m.duty());
     if (duty != null) {
-      Seat seat = seats.get(duty);
-      seat.highest = Math.max(seat.highest, m.term());
+      DutyState seat = states.get(duty);
+      seat.highestTerm = Math.max(seat.highestTerm, m.term());
     }
   }
 
   // ---- election ----
 
   /** Records the timer lag that a reachable controller reports. */
-  public void load(String from, double timerLagS) {
-    lags.put(from, timerLagS);
+  public void recordTimerLag(String from, double timerLagS) {
+    timerLagByNode.put(from, timerLagS);
   }
 
   /** Forgets the timer lag of a controller that is not reachable any more. */
-  public void gone(String from) {
-    lags.remove(from);
+  public void peerDisconnected(String from) {
+    timerLagByNode.remove(from);
   }
 
   /**
    * Sets whether this controller can perform the duty at present. While it cannot, it does not
    * acquire the duty, and it hands it over if it holds it.
    */
-  public void able(Duty duty, boolean able) {
-    seats.get(duty).unable = !able;
+  public void setCapable(Duty duty, boolean able) {
+    states.get(duty).incapable = !able;
   }
 
   /** Runs several times a second. */
   public void tick(double timerLagS) {
-    lagS = timerLagS;
-    if (!standstill.current() || !replica.ready() || store.down()) {
+    ownTimerLagS = timerLagS;
+    if (!standstill.current() || !replica.ready() || store.unavailable()) {
       return;
     }
-    String self = membership.self();
+    String self = membership.ownIncarnation();
     // The least urgent duty first: a controller with too many duties hands that one over.
     for (int i = Duty.values().length - 1; i >= 0; i--) {
       Duty duty = Duty.values()[i];
-      Seat seat = seats.get(duty);
-      if (seat.asking) {
+      DutyState seat = states.get(duty);
+      if (seat.writePending) {
         continue;
       }
-      List<Election.Candidate> live = candidates();
+      List<ElectionPolicy.Candidate> live = candidates();
       double now = timers.now();
-      boolean vacant = vacant(seat.post);
+      boolean vacant = vacant(seat.record);
       if (vacant && Double.isNaN(seat.vacantSince)) {
         seat.vacantSince = now;
       }
-      if (!seat.unable && lagS < Election.UNFIT_LAG_S) {
+      if (!seat.incapable && ownTimerLagS < ElectionPolicy.UNFIT_TIMER_LAG_S) {
         seat.unfitSince = Double.NaN;
       } else if (Double.isNaN(seat.unfitSince)) {
         seat.unfitSince = now;
       }
-      Election.Step step =
-          Election.next(
-              new Election.Sight(
+      ElectionPolicy.Decision step =
+          ElectionPolicy.decide(
+              new ElectionPolicy.Observation(
                   duty,
-                  vacant ? DutyRecord.VACANT : seat.post,
+                  vacant ? DutyRecord.VACANT : seat.record,
                   self,
                   live,
-                  since(seat.vacantSince, now),
+                  elapsed(seat.vacantSince, now),
                   now - seat.heldSince,
-                  since(seat.unfitSince, now)));
+                  elapsed(seat.unfitSince, now)));
       switch (step.kind()) {
         case TAKE -> {
-          if (!seat.unable) {
-            write(duty, self);
+          if (!seat.incapable) {
+            writeHolder(duty, self);
           }
         }
         case HAND_OVER -> {
-          seat.handed++;
-          LOG.log(Level.INFO, "handing over duty {0} to {1}", duty.label(), step.to());
-          write(duty, step.to());
+          seat.handovers++;
+          LOG.log(Level.INFO, "handing over duty {0} to {1}", duty.label(), step.newHolder());
+          writeHolder(duty, step.newHolder());
         }
         case WAIT -> {}
       }
@@ -254,28 +255,29 @@
     if (current.vacant()) {
       return true;
     }
-    String incarnation = membership.incarnation(Membership.nodeOf(current.holder()));
+    String incarnation = membership.liveIncarnation(Membership.nodeOf(current.holder()));
     return incarnation != null && !incarnation.equals(current.holder());
   }
 
   /** Seconds since a time on the steady clock; 0 if that is NaN. */
-  private static double since(double since, double now) {
+  private static double elapsed(double since, double now) {
     return Double.isNaN(since) ? 0 : now - since;
   }
 
-  private List<Election.Candidate> candidates() {
-    List<Election.Candidate> all = new ArrayList<>();
+  private List<ElectionPolicy.Candidate> candidates() {
+    List<ElectionPolicy.Candidate> all = new ArrayList<>();
     for (String name : membership.liveNodes()) {
-      String incarnation = membership.incarnation(name);
+      String incarnation = membership.liveIncarnation(name);
       int duties = 0;
-      for (Seat seat : seats.values()) {
-        String holder = seat.asking ? seat.givenTo : seat.post.holder();
+      for (DutyState seat : states.values()) {
+        String holder = seat.writePending ? seat.pendingHolder : seat.record.holder();
         duties += incarnation.equals(holder) ? 1 : 0;
       }
       boolean own = name.equals(node);
-      double timerLagS = own ? lagS : lags.getOrDefault(name, 0.0);
+      double timerLagS = own ? ownTimerLagS : timerLagByNode.getOrDefault(name, 0.0);
       all.add(
-          new Election.Candidate(incarnation, duties, timerLagS, own || lags.containsKey(name)));
+          new ElectionPolicy.Candidate(
+              incarnation, duties, timerLagS, own || timerLagByNode.containsKey(name)));
     }
     return all;
   }
@@ -285,22 +287,22 @@
    * record or its absence and attached to the named incarnation's lease; if that lease has expired,
    * nothing is written.
    */
-  private void write(Duty duty, String incarnation) {
-    Seat seat = seats.get(duty);
-    seat.asking = true;
-    seat.givenTo = incarnation;
-    long term = seat.post.term();
-    Doc value = DutyRecord.write(incarnation, store.newMark());
-    long lease = Membership.leaseOf(incarnation);
+  private void writeHolder(Duty duty, String incarnation) {
+    DutyState seat = states.get(duty);
+    seat.writePending = true;
+    seat.pendingHolder = incarnation;
+    long term = seat.record.term();
+    Document value = DutyRecord.write(incarnation, store.newWriteId());
+    long lease = Membership.leaseIdOf(incarnation);
     store.tryTxn(
-        new Txn().when(duty.key(), term).put(duty.key(), value, lease),
+        new Txn().requireRevision(duty.key(), term).put(duty.key(), value, lease),
         // A small write that much depends on, made once per change of holder; hence the priority.
-        Store.Urgency.USER,
+        StateStore.RequestPriority.USER,
         done -> {
           if (done.ok()) {
             replica.apply(duty.key(), value, done.revision());
           }
-          timers.after(PAUSE_S, () -> decisionLock.run(() -> seat.asking = false));
+          timers.after(WRITE_INTERVAL_S, () -> decisionLock.run(() -> seat.writePending = false));
         });
   }
 
@@ -310,32 +312,32 @@
    *
    * @param then runs when the state service has responded
    */
-  public void leave(Runnable then) {
-    String self = membership.self();
-    List<Election.Candidate> live = candidates();
+  public void releaseAll(Runnable then) {
+    String self = membership.ownIncarnation();
+    List<ElectionPolicy.Candidate> live = candidates();
     Txn txn = new Txn();
     for (Duty duty : Duty.values()) {
-      Seat seat = seats.get(duty);
-      if (seat.post.heldBy(self)) {
-        seat.asking = true;
-        seat.highest++;
-        txn.when(duty.key(), seat.post.term());
-        Election.Candidate successor = Election.best(duty, live, self);
+      DutyState seat = states.get(duty);
+      if (seat.record.heldBy(self)) {
+        seat.writePending = true;
+        seat.highestTerm++;
+        txn.requireRevision(duty.key(), seat.record.term());
+        ElectionPolicy.Candidate successor = ElectionPolicy.bestSuccessor(duty, live, self);
         if (successor == null) {
           txn.remove(duty.key());
         } else {
-          String mark = store.newMark();
+          String mark = store.newWriteId();
           txn.put(
               duty.key(),
               DutyRecord.write(successor.incarnation(), mark),
-              Membership.leaseOf(successor.incarnation()));
+              Membership.leaseIdOf(successor.incarnation()));
         }
       }
     }
-    if (txn.changes() == 0) {
+    if (txn.writeCount() == 0) {
       then.run();
     } else {
-      store.tryTxn(txn, Store.Urgency.USER, done -> then.run());
+      store.tryTxn(txn, StateStore.RequestPriority.USER, done -> then.run());
     }
   }
 
@@ -347,22 +349,22 @@
   }
 
   /** How often this controller acquired the duty, including by a hand-over. */
-  public int taken(Duty duty) {
-    return seats.get(duty).taken;
+  public int acquisitions(Duty duty) {
+    return states.get(duty).acquisitions;
   }
 
   /** How often this controller handed the duty over, as unfit or to balance the duties. */
-  public int handed(Duty duty) {
-    return seats.get(duty).handed;
+  public int handovers(Duty duty) {
+    return states.get(duty).handovers;
   }
 
   /** Number of requests rejected here because a higher term was known. */
-  public int refused(Duty duty) {
-    return seats.get(duty).refused;
+  public int refusals(Duty duty) {
+    return states.get(duty).refusals;
   }
 
   /** The longest observed time without a holder, in milliseconds. */
-  public int longestGapMs(Duty duty) {
-    return (int) Math.min(Integer.MAX_VALUE, Math.round(seats.get(duty).longestGapS * 1000));
+  public int longestVacancyMs(Duty duty) {
+    return (int) Math.min(Integer.MAX_VALUE, Math.round(states.get(duty).longestVacancyS * 1000));
   }
 }
--- a/src/main/java/dev/dunefront/duty/Duty.java
+++ b/src/main/java/dev/dunefront/duty/Duty.java
@@ -28,7 +28,7 @@
   }
 
   /** The duty with that label, or null. */
-  static Duty of(String label) {
+  static Duty ofLabel(String label) {
     for (Duty d : values()) {
       if (d.label.equals(label)) {
         return d;
--- a/src/main/java/dev/dunefront/duty/DutyRecord.java
+++ b/src/main/java/dev/dunefront/duty/DutyRecord.java
@@ -1,8 +1,8 @@
 package dev.dunefront.duty;
 
-import dev.dunefront.store.Store;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.store.StateStore;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 
 /**
  * The recorded holder of a duty. The record is attached to the holder's lease and written only when
@@ -16,19 +16,19 @@
   static final DutyRecord VACANT = new DutyRecord(null, 0);
 
   /** Decodes a record; a malformed one has an unknown holder and stays until its lease expires. */
-  static DutyRecord read(Doc value, long stamp) {
+  static DutyRecord read(Document value, long stamp) {
     if (value == null) {
       return VACANT;
     }
     try {
       return new DutyRecord(value.text("inc"), stamp);
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       return new DutyRecord("", stamp);
     }
   }
 
-  static Doc write(String incarnation, String mark) {
-    return Doc.of().put("inc", incarnation).put(Store.MARK, mark);
+  static Document write(String incarnation, String mark) {
+    return Document.create().put("inc", incarnation).put(StateStore.WRITE_ID_FIELD, mark);
   }
 
   boolean vacant() {
--- a/src/main/java/dev/dunefront/duty/Ledger.java
+++ b/src/main/java/dev/dunefront/duty/HandoverRecord.java
@@ -1,10 +1,10 @@
 package dev.dunefront.duty;
 
 import dev.dunefront.net.Timers;
-import dev.dunefront.store.Store;
-import dev.dunefront.store.Store.Outcome;
+import dev.dunefront.store.StateStore;
+import dev.dunefront.store.StateStore.Outcome;
 import dev.dunefront.store.Txn;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.wire.Document;
 import java.util.function.Consumer;
 
 /**
@@ -16,18 +16,18 @@
  * repeated; if the first attempt were applied minutes later, it would otherwise replace a newer
  * value of the same term.
  */
-public final class Ledger {
-  private static final double PAUSE_S = 0.3;
+public final class HandoverRecord {
+  private static final double READ_RETRY_S = 0.3;
 
   private final Duty duty;
   private final Duties duties;
-  private final Store store;
+  private final StateStore store;
   private final Timers timers;
   private long term;
-  private long stamp;
-  private boolean writing;
+  private long revision;
+  private boolean writeInProgress;
 
-  public Ledger(Duty duty, Duties duties, Store store, Timers timers) {
+  public HandoverRecord(Duty duty, Duties duties, StateStore store, Timers timers) {
     this.duty = duty;
     this.duties = duties;
     this.store = store;
@@ -40,32 +40,32 @@
   }
 
   /** Reads the previous holder's value at the start of a term; {@code then} gets null if none. */
-  public void open(long inTerm, Consumer<Doc> then) {
+  public void loadForTerm(long inTerm, Consumer<Document> then) {
     term = inTerm;
-    writing = false;
+    writeInProgress = false;
     read(inTerm, then);
   }
 
-  private void read(long inTerm, Consumer<Doc> then) {
+  private void read(long inTerm, Consumer<Document> then) {
     store.get(
         key(duty),
-        Store.Urgency.CORE,
+        StateStore.RequestPriority.CORE,
         got -> {
           if (term != inTerm || !duties.holds(duty, inTerm)) {
             return;
           }
-          if (got.outcome() == Outcome.OK || got.outcome() == Outcome.MISSING) {
-            stamp = got.stamp();
+          if (got.outcome() == Outcome.OK || got.outcome() == Outcome.NOT_FOUND) {
+            revision = got.revision();
             then.accept(got.value());
           } else {
-            timers.after(PAUSE_S, () -> read(inTerm, then));
+            timers.after(READ_RETRY_S, () -> read(inTerm, then));
           }
         });
   }
 
   /** Whether a write is in progress; only one may be. */
-  public boolean writing() {
-    return writing;
+  public boolean writeInProgress() {
+    return writeInProgress;
   }
 
   /**
@@ -75,27 +75,29 @@
    *
    * @throws IllegalStateException if a write is in progress
    */
-  public void write(Doc value, Consumer<Boolean> then) {
-    if (writing) {
+  public void write(Document value, Consumer<Boolean> then) {
+    if (writeInProgress) {
       throw new IllegalStateException(
           "a write for duty " + duty.label() + " is already in progress");
     }
-    writing = true;
+    writeInProgress = true;
     long inTerm = term;
-    String mark = store.newMark();
+    String mark = store.newWriteId();
     store.commit(
         duties.guard(
             duty,
             inTerm,
-            new Txn().when(key(duty), stamp).put(key(duty), value.put(Store.MARK, mark))),
+            new Txn()
+                .requireRevision(key(duty), revision)
+                .put(key(duty), value.put(StateStore.WRITE_ID_FIELD, mark))),
         mark,
         done -> {
           if (term != inTerm) {
             return;
           }
-          writing = false;
+          writeInProgress = false;
           if (done.ok()) {
-            stamp = done.revision();
+            revision = done.revision();
           }
           then.accept(done.ok() && duties.holds(duty, inTerm));
         });
--- a/src/main/java/dev/dunefront/evidence/EndProof.java
+++ b/src/main/java/dev/dunefront/evidence/EndProof.java
@@ -1,8 +1,8 @@
 package dev.dunefront.evidence;
 
-import dev.dunefront.peer.Message.TaskState;
-import dev.dunefront.peer.Message.View;
-import dev.dunefront.peer.Message.Why;
+import dev.dunefront.peer.Message.ExitReason;
+import dev.dunefront.peer.Message.MachineView;
+import dev.dunefront.peer.Message.TaskStatus;
 
 /**
  * A proof that an attempt of a task is over, and what it rests on. A task may be placed again only
@@ -10,10 +10,11 @@
  * here alone.
  *
  * @param kind what proves it
- * @param why why the attempt exited; {@link Why#NONE} for every kind but {@link Kind#EXITED}
+ * @param exitReason why the attempt exited; {@link ExitReason#NONE} for every kind but {@link
+ *     Kind#EXITED}
  * @param basis who said what it rests on, and when
  */
-public record EndProof(Kind kind, Why why, Basis basis) {
+public record EndProof(Kind kind, ExitReason exitReason, Basis basis) {
   /** What proves that an attempt is over. */
   public enum Kind {
     /** Its worker has reported that it has exited. */
@@ -53,15 +54,15 @@
    * @param holder controller that held the machine
    * @param token its fencing token for the machine
    * @param session session of the worker that it spoke of
-   * @param holdStamp version of the record of who holds the machine, as the holder knew it
+   * @param holdRevision version of the record of who holds the machine, as the holder knew it
    * @param ageS seconds since that was received here
    */
-  public record Basis(String holder, long token, long session, long holdStamp, double ageS) {
+  public record Basis(String holder, long token, long session, long holdRevision, double ageS) {
     private static final Basis NONE = new Basis("", 0, 0, 0, 0);
 
     /** The basis of what a holder's view says that was received so many seconds ago. */
-    public static Basis of(String holder, View view, double ageS) {
-      return new Basis(holder, view.token(), view.session(), view.holdStamp(), ageS);
+    public static Basis of(String holder, MachineView view, double ageS) {
+      return new Basis(holder, view.token(), view.session(), view.holdRevision(), ageS);
     }
   }
 
@@ -71,30 +72,30 @@
    * @param shown the attempt's state in the view, or null if the view does not show it
    * @return the proof, or null if the view proves nothing of this attempt
    */
-  public static EndProof find(Attempt attempt, TaskState shown, View view, Basis basis) {
+  public static EndProof find(Attempt attempt, TaskStatus shown, MachineView view, Basis basis) {
     if (basis.session > attempt.session) {
-      return new EndProof(Kind.LATER_SESSION, Why.NONE, basis);
+      return new EndProof(Kind.LATER_SESSION, ExitReason.NONE, basis);
     }
     if (shown != null && shown.exited()) {
-      return new EndProof(Kind.EXITED, shown.why(), basis);
+      return new EndProof(Kind.EXITED, shown.exitReason(), basis);
     }
-    if (view.lost() && basis.session == attempt.session) {
+    if (view.leaseExpired() && basis.session == attempt.session) {
       // The last report may still show the task, but the lease of its session is surely over. That
       // of an earlier one says nothing: the holder deals room as soon as a new session begins, and
       // tells of it later, so an attempt of the new session may meet the view of the old.
-      return new EndProof(Kind.LEASE_OVER, Why.NONE, basis);
+      return new EndProof(Kind.LEASE_OVER, ExitReason.NONE, basis);
     }
     return null;
   }
 
   /** The holder has denied the attempt, and refuses it from then on. */
   public static EndProof denied(Basis basis) {
-    return new EndProof(Kind.DENIED, Why.NONE, basis);
+    return new EndProof(Kind.DENIED, ExitReason.NONE, basis);
   }
 
   /** The machine's deletion is on record. */
   public static EndProof machineDeleted() {
-    return new EndProof(Kind.MACHINE_DELETED, Why.NONE, Basis.NONE);
+    return new EndProof(Kind.MACHINE_DELETED, ExitReason.NONE, Basis.NONE);
   }
 
   /**
@@ -106,7 +107,7 @@
   }
 
   /** Whether it speaks of the session in which the attempt was placed, or of its end. */
-  public boolean concerns(Attempt attempt) {
+  public boolean appliesTo(Attempt attempt) {
     return switch (kind) {
       case MACHINE_DELETED -> true;
       case LATER_SESSION -> basis.session > attempt.session;
@@ -128,7 +129,7 @@
         + ", session "
         + basis.session
         + ", hold stamp "
-        + basis.holdStamp
+        + basis.holdRevision
         + ", "
         + Math.round(basis.ageS * 1000)
         + " ms old)";
--- a/src/main/java/dev/dunefront/evidence/Blame.java
+++ b/src/main/java/dev/dunefront/evidence/FailureScore.java
@@ -13,35 +13,35 @@
  * several mistaken jobs that come together put no healthy machine in quarantine, and a machine that
  * fails everything is found among them.
  *
- * @param weights by job what it says, as in {@link Message.Blame}
+ * @param weightsByJob by job what it says, as in {@link Message.FailureReport}
  */
-public record Blame(Map<String, Integer> weights) {
+public record FailureScore(Map<String, Integer> weightsByJob) {
   /** Nothing has failed. */
-  public static final Blame NONE = new Blame(Map.of());
+  public static final FailureScore NONE = new FailureScore(Map.of());
 
   /** Two jobs that run elsewhere, or four of which nothing is known. */
-  private static final int FAULTY = 2 * Message.Blame.PROVEN;
+  private static final int FAULTY_SCORE = 2 * Message.FailureReport.PROVEN;
 
-  public Blame {
-    weights = Map.copyOf(weights);
+  public FailureScore {
+    weightsByJob = Map.copyOf(weightsByJob);
   }
 
   /** A job has failed here, or what is known of it has changed. */
-  public Blame by(String job, int weight) {
-    Map<String, Integer> next = new HashMap<>(weights);
-    if (weight == Message.Blame.WITHDRAWN) {
+  public FailureScore withFailure(String job, int weight) {
+    Map<String, Integer> next = new HashMap<>(weightsByJob);
+    if (weight == Message.FailureReport.WITHDRAWN) {
       next.remove(job);
     } else {
       next.merge(job, weight, Math::max);
     }
-    return new Blame(next);
+    return new FailureScore(next);
   }
 
-  public Set<String> jobs() {
-    return weights.keySet();
+  public Set<String> failedJobs() {
+    return weightsByJob.keySet();
   }
 
   public boolean faulty() {
-    return weights.values().stream().mapToInt(Integer::intValue).sum() >= FAULTY;
+    return weightsByJob.values().stream().mapToInt(Integer::intValue).sum() >= FAULTY_SCORE;
   }
 }
--- a/src/main/java/dev/dunefront/evidence/Isolation.java
+++ b/src/main/java/dev/dunefront/evidence/Isolation.java
@@ -8,33 +8,34 @@
  * one machine on, an idle one if it can. If that comes back, nobody else was to be had, and all
  * stay; if it does not, the others follow it, a few at a time.
  *
- * @param step what it is at
+ * @param phase what it is at
  * @param since when that began
- * @param trial the machine sent ahead, or null
- * @param trials how many have come back
+ * @param trialHost the machine sent ahead, or null
+ * @param returnedTrials how many have come back
  */
-public record Isolation(Step step, double since, String trial, int trials) {
+public record Isolation(Phase phase, double since, String trialHost, int returnedTrials) {
   /** What it is at. */
-  public enum Step {
+  public enum Phase {
     /** It hears others, or has not been alone for long. */
-    STAY,
+    KEEP_WORKERS,
     /** A machine is to be sent ahead. */
-    TRY,
+    SEND_TRIAL,
     /** One has been sent, and may come back. */
-    WAIT,
+    AWAIT_TRIAL,
     /** It has not come back: the others may go. */
-    GO
+    EVACUATE
   }
 
   /**
    * How long a worker tries one controller: it waits 4 s for an answer, and 1 s before the next.
    */
-  private static final double ROUND_S = 5;
+  private static final double WORKER_RETRY_CYCLE_S = 5;
 
   /** The part of a worker's lease for which being alone is borne. */
-  private static final double PATIENCE = 0.5;
+  private static final double TOLERATED_LEASE_FRACTION = 0.5;
 
-  public static final Isolation NOT = new Isolation(Step.STAY, Double.NaN, null, 0);
+  public static final Isolation NOT_ISOLATED =
+      new Isolation(Phase.KEEP_WORKERS, Double.NaN, null, 0);
 
   /**
    * Time has passed.
@@ -42,34 +43,39 @@
    * @param alone whether neither the state service nor another controller answers
    * @param others how many other controllers there are
    */
-  public Isolation passed(double now, boolean alone, int others, double leaseS) {
+  public Isolation advance(double now, boolean alone, int others, double leaseS) {
     if (!alone || others == 0) {
-      return NOT;
+      return NOT_ISOLATED;
     }
     if (Double.isNaN(since)) {
-      return new Isolation(Step.STAY, now, null, 0);
+      return new Isolation(Phase.KEEP_WORKERS, now, null, 0);
     }
-    return switch (step) {
+    return switch (phase) {
       // Each trial that comes back may have cost a lease: the next waits twice as long.
-      case STAY ->
-          now - since >= leaseS * PATIENCE * Math.pow(2, Math.min(6, trials))
-              ? new Isolation(Step.TRY, now, null, trials)
+      case KEEP_WORKERS ->
+          now - since
+                  >= leaseS * TOLERATED_LEASE_FRACTION * Math.pow(2, Math.min(6, returnedTrials))
+              ? new Isolation(Phase.SEND_TRIAL, now, null, returnedTrials)
               : this;
-      case WAIT ->
-          now - since >= others * ROUND_S + 2 ? new Isolation(Step.GO, now, trial, trials) : this;
-      case TRY, GO -> this;
+      case AWAIT_TRIAL ->
+          now - since >= others * WORKER_RETRY_CYCLE_S + 2
+              ? new Isolation(Phase.EVACUATE, now, trialHost, returnedTrials)
+              : this;
+      case SEND_TRIAL, EVACUATE -> this;
     };
   }
 
   /** A machine has been sent ahead. */
-  public Isolation sent(String host, double now) {
-    return step == Step.TRY ? new Isolation(Step.WAIT, now, host, trials) : this;
+  public Isolation trialSent(String host, double now) {
+    return phase == Phase.SEND_TRIAL
+        ? new Isolation(Phase.AWAIT_TRIAL, now, host, returnedTrials)
+        : this;
   }
 
   /** A machine reports here. */
-  public Isolation reported(String host, double now) {
-    return (step == Step.WAIT || step == Step.GO) && host.equals(trial)
-        ? new Isolation(Step.STAY, now, null, trials + 1)
+  public Isolation reportReceived(String host, double now) {
+    return (phase == Phase.AWAIT_TRIAL || phase == Phase.EVACUATE) && host.equals(trialHost)
+        ? new Isolation(Phase.KEEP_WORKERS, now, null, returnedTrials + 1)
         : this;
   }
 }
--- a/src/main/java/dev/dunefront/evidence/Freshness.java
+++ b/src/main/java/dev/dunefront/evidence/ReportSequence.java
@@ -8,16 +8,17 @@
  * sent: none of them may count as a sign of life, as an answer waited for, or as news.
  *
  * @param session the worker's latest session
- * @param serial the largest serial seen in it, of reports and of answers to orders
+ * @param highestSerial the largest serial seen in it, of reports and of answers to orders
  * @param reported the largest serial seen in it of reports alone
- * @param token the highest token that the worker has shown; it never forgets one while it lives
+ * @param highestToken the highest token that the worker has shown; it never forgets one while it
+ *     lives
  */
-public record Freshness(long session, long serial, long reported, long token) {
+public record ReportSequence(long session, long highestSerial, long reported, long highestToken) {
   /** Nothing has been seen. */
-  public static final Freshness NONE = new Freshness(0, -1, -1, 0);
+  public static final ReportSequence NONE = new ReportSequence(0, -1, -1, 0);
 
   /** What a report is worth. */
-  public enum Worth {
+  public enum Classification {
     /** It tells something. */
     NEW,
     /**
@@ -26,39 +27,42 @@
      */
     OVERTAKEN,
     /** It was seen before, or was sent before something that was: nobody waits for its answer. */
-    COPY
+    STALE
   }
 
-  public Worth of(Report r) {
-    return of(r.session(), r.serial(), r.token());
+  public Classification classify(Report r) {
+    return classify(r.session(), r.serial(), r.token());
   }
 
   /** What a report of this session, with this serial and showing this token is worth. */
-  public Worth of(long itsSession, long itsSerial, long itsToken) {
-    if (itsToken < token) {
-      return Worth.COPY;
+  public Classification classify(long itsSession, long itsSerial, long itsToken) {
+    if (itsToken < highestToken) {
+      return Classification.STALE;
     }
-    if (itsSession > session || itsSession == session && itsSerial > serial) {
-      return Worth.NEW;
+    if (itsSession > session || itsSession == session && itsSerial > highestSerial) {
+      return Classification.NEW;
     }
     // A worker has one report under way at a time, so its reports come in the order of serials.
-    return itsSession == session && itsSerial > reported ? Worth.OVERTAKEN : Worth.COPY;
+    return itsSession == session && itsSerial > reported
+        ? Classification.OVERTAKEN
+        : Classification.STALE;
   }
 
   /** A report has been taken that was no copy. */
-  public Freshness reported(Report r) {
-    Freshness next = answered(r);
-    return new Freshness(
-        next.session, next.serial, Math.max(r.serial(), next.reported), next.token);
+  public ReportSequence reported(Report r) {
+    ReportSequence next = afterReply(r);
+    return new ReportSequence(
+        next.session, next.highestSerial, Math.max(r.serial(), next.reported), next.highestToken);
   }
 
   /** An answer to orders or to a question has been taken. */
-  public Freshness answered(Report r) {
-    long shown = Math.max(token, r.token());
-    if (!r.newerThan(session, serial)) {
-      return new Freshness(session, serial, reported, shown);
+  public ReportSequence afterReply(Report r) {
+    long shown = Math.max(highestToken, r.token());
+    if (!r.newerThan(session, highestSerial)) {
+      return new ReportSequence(session, highestSerial, reported, shown);
     }
-    return new Freshness(r.session(), r.serial(), r.session() > session ? -1 : reported, shown);
+    return new ReportSequence(
+        r.session(), r.serial(), r.session() > session ? -1 : reported, shown);
   }
 
   /**
@@ -66,10 +70,10 @@
    * anew: everything that it has ever said counts from a beginning that is over. A late copy cannot
    * look like that, for nobody has asked it.
    */
-  public boolean begunAnew(Report answer) {
+  public boolean provesRestart(Report answer) {
     return session > 0
-        && (answer.token() < token
+        && (answer.token() < highestToken
             || answer.session() < session
-            || answer.session() == session && answer.serial() <= serial);
+            || answer.session() == session && answer.serial() <= highestSerial);
   }
 }
--- a/src/main/java/dev/dunefront/evidence/Responsiveness.java
+++ b/src/main/java/dev/dunefront/evidence/Responsiveness.java
@@ -8,62 +8,63 @@
  * way is a question asked now.
  *
  * @param state what is believed
- * @param lapses how often it has turned out deaf of late
+ * @param failures how often it has turned out deaf of late
  * @param since when the state was entered
- * @param nextAsk not asked again before this time
- * @param pauseS how long is waited after the next question that has no answer
+ * @param nextCheckAt not asked again before this time
+ * @param retryPauseS how long is waited after the next question that has no answer
  */
-public record Responsiveness(State state, int lapses, double since, double nextAsk, double pauseS) {
+public record Responsiveness(
+    State state, int failures, double since, double nextCheckAt, double retryPauseS) {
   /** What is believed of a machine's hearing. */
   public enum State {
-    HEARS,
+    RESPONSIVE,
     /** There is evidence against it, and a question under way or to be asked. */
     SUSPECT,
     /** A question had no answer although reports come. */
-    DEAF,
+    UNRESPONSIVE,
     /** It answers again, and is not trusted with work yet. */
     PROBATION
   }
 
-  private static final double FIRST_PAUSE_S = 1;
-  private static final double LONGEST_PAUSE_S = 8;
-  private static final int MOST_DOUBLINGS = 5;
+  private static final double INITIAL_PAUSE_S = 1;
+  private static final double MAX_PAUSE_S = 8;
+  private static final int MAX_DOUBLINGS = 5;
 
-  public static final Responsiveness GOOD =
-      new Responsiveness(State.HEARS, 0, Double.NEGATIVE_INFINITY, 0, FIRST_PAUSE_S);
+  public static final Responsiveness INITIAL =
+      new Responsiveness(State.RESPONSIVE, 0, Double.NEGATIVE_INFINITY, 0, INITIAL_PAUSE_S);
 
   /** Whether it may be given work. */
   public boolean trusted() {
-    return state == State.HEARS;
+    return state == State.RESPONSIVE;
   }
 
-  public boolean deaf() {
-    return state == State.DEAF;
+  public boolean unresponsive() {
+    return state == State.UNRESPONSIVE;
   }
 
   /** There is evidence against it. */
   public Responsiveness suspected(double now) {
-    return state == State.HEARS || state == State.PROBATION
-        ? new Responsiveness(State.SUSPECT, lapses, now, now, FIRST_PAUSE_S)
+    return state == State.RESPONSIVE || state == State.PROBATION
+        ? new Responsiveness(State.SUSPECT, failures, now, now, INITIAL_PAUSE_S)
         : this;
   }
 
   /** Whether it is time for a question. */
-  public boolean asks(double now) {
-    return (state == State.SUSPECT || state == State.DEAF) && now >= nextAsk;
+  public boolean checkDue(double now) {
+    return (state == State.SUSPECT || state == State.UNRESPONSIVE) && now >= nextCheckAt;
   }
 
   /** A question or an order goes out; another waits until it is answered, or surely is not. */
-  public Responsiveness asked(double now, double deadlineS) {
-    return new Responsiveness(state, lapses, since, now + deadlineS, pauseS);
+  public Responsiveness checkSent(double now, double deadlineS) {
+    return new Responsiveness(state, failures, since, now + deadlineS, retryPauseS);
   }
 
   /** A question or an order had no answer. */
   public Responsiveness unanswered(double now) {
-    double next = Math.min(LONGEST_PAUSE_S, pauseS * 2);
-    return state == State.DEAF
-        ? new Responsiveness(state, lapses, since, now + pauseS, next)
-        : new Responsiveness(State.DEAF, lapses + 1, now, now + pauseS, next);
+    double next = Math.min(MAX_PAUSE_S, retryPauseS * 2);
+    return state == State.UNRESPONSIVE
+        ? new Responsiveness(state, failures, since, now + retryPauseS, next)
+        : new Responsiveness(State.UNRESPONSIVE, failures + 1, now, now + retryPauseS, next);
   }
 
   /**
@@ -72,9 +73,9 @@
    */
   public Responsiveness answered(double now) {
     return switch (state) {
-      case HEARS, PROBATION -> this;
-      case SUSPECT -> new Responsiveness(State.HEARS, lapses, now, 0, FIRST_PAUSE_S);
-      case DEAF -> new Responsiveness(State.PROBATION, lapses, now, 0, FIRST_PAUSE_S);
+      case RESPONSIVE, PROBATION -> this;
+      case SUSPECT -> new Responsiveness(State.RESPONSIVE, failures, now, 0, INITIAL_PAUSE_S);
+      case UNRESPONSIVE -> new Responsiveness(State.PROBATION, failures, now, 0, INITIAL_PAUSE_S);
     };
   }
 
@@ -84,13 +85,13 @@
    * @param reportS the workers' report interval, the unit of trust
    * @param leaseS the workers' lease; ten of them without a lapse make good for all of them
    */
-  public Responsiveness passed(double now, double reportS, double leaseS) {
+  public Responsiveness advance(double now, double reportS, double leaseS) {
     if (state == State.PROBATION) {
-      double wait = reportS * Math.pow(2, Math.min(MOST_DOUBLINGS, lapses - 1));
+      double wait = reportS * Math.pow(2, Math.min(MAX_DOUBLINGS, failures - 1));
       return now - since >= wait
-          ? new Responsiveness(State.HEARS, lapses, now, 0, FIRST_PAUSE_S)
+          ? new Responsiveness(State.RESPONSIVE, failures, now, 0, INITIAL_PAUSE_S)
           : this;
     }
-    return state == State.HEARS && lapses > 0 && now - since > 10 * leaseS ? GOOD : this;
+    return state == State.RESPONSIVE && failures > 0 && now - since > 10 * leaseS ? INITIAL : this;
   }
 }
--- a/src/main/java/dev/dunefront/fleet/Cloud.java
+++ b/src/main/java/dev/dunefront/fleet/CloudClient.java
@@ -1,36 +1,36 @@
 package dev.dunefront.fleet;
 
 import dev.dunefront.config.Settings;
-import dev.dunefront.net.Caller;
 import dev.dunefront.net.DecisionLock;
+import dev.dunefront.net.HttpCaller;
 import dev.dunefront.net.Timers;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import java.lang.System.Logger.Level;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
 
 /** Client of the cloud's machine API; makes one call at a time within the API's rate limit. */
-final class Cloud {
-  private static final System.Logger LOG = System.getLogger(Cloud.class.getName());
-  private static final double CALL_S = 4;
-  private static final int PAGE = 500;
+final class CloudClient {
+  private static final System.Logger LOG = System.getLogger(CloudClient.class.getName());
+  private static final double CALL_TIMEOUT_S = 4;
+  private static final int PAGE_SIZE = 500;
 
   /** After this many consecutive calls without a response the cloud counts as unreachable. */
-  private static final int CUT_OFF = 2;
+  private static final int MAX_UNANSWERED_CALLS = 2;
 
   /**
    * Fraction of the rate limit that is used: a former holder's calls may still count towards it.
    */
-  private static final double RATE_PART = 0.9;
+  private static final double RATE_FRACTION = 0.9;
 
   /**
    * A machine in the cloud's list.
    *
-   * @param since time on the steady clock at which it was first listed with this status
+   * @param statusSince time on the steady clock at which it was first listed with this status
    */
-  record Listed(String host, Kind kind, String status, double since) {
+  record ListedMachine(String host, MachineKind kind, String status, double statusSince) {
     boolean failed() {
       return status.equals("failed");
     }
@@ -45,34 +45,34 @@
   }
 
   /** A request to rent machines. Its name is unique and makes a repeated request idempotent. */
-  record Hire(String name, Kind kind, int count) {}
+  record RentRequest(String name, MachineKind kind, int count) {}
 
   /** Outcome of a request; after {@code TOO_FAST} or {@code UNCLEAR} it may be repeated. */
   enum Outcome {
     RENTED,
     REFUSED,
-    TOO_FAST,
-    UNCLEAR
+    RATE_LIMITED,
+    UNKNOWN
   }
 
   /** Result of a rent request; there may be fewer machines than requested. */
-  record Rented(Outcome outcome, List<String> hosts) {}
+  record RentResult(Outcome outcome, List<String> hosts) {}
 
   private final Settings settings;
-  private final Caller caller;
+  private final HttpCaller caller;
   private final Timers timers;
   private final DecisionLock decisionLock;
-  private final Runnable ready;
-  private boolean calling;
-  private double nextCall;
-  private double calls = 1;
-  private double callsAt;
-  private int unanswered;
+  private final Runnable onCallFinished;
+  private boolean callInProgress;
+  private double nextCallAt;
+  private double availableCalls = 1;
+  private double availableCallsAt;
+  private int unansweredCalls;
 
   /** {@code onCallFinished} runs after each call, so that the next one need not wait for a tick. */
-  Cloud(
+  CloudClient(
       Settings settings,
-      Caller caller,
+      HttpCaller caller,
       Timers timers,
       DecisionLock decisionLock,
       Runnable onCallFinished) {
@@ -80,94 +80,97 @@
     this.caller = caller;
     this.timers = timers;
     this.decisionLock = decisionLock;
-    this.ready = onCallFinished;
-    this.callsAt = timers.now();
+    this.onCallFinished = onCallFinished;
+    this.availableCallsAt = timers.now();
   }
 
   /** Whether a call may be made now: none is in progress, and the token bucket has a token. */
-  boolean free() {
+  boolean canCall() {
     double now = timers.now();
-    if (calling || now < nextCall) {
+    if (callInProgress || now < nextCallAt) {
       return false;
     }
     double rps = settings.cloudLimits().rps();
-    calls = Math.min(Math.max(1, rps), calls + (now - callsAt) * rps * RATE_PART);
-    callsAt = now;
-    return calls >= 1;
+    availableCalls =
+        Math.min(Math.max(1, rps), availableCalls + (now - availableCallsAt) * rps * RATE_FRACTION);
+    availableCallsAt = now;
+    return availableCalls >= 1;
   }
 
   /**
    * Resets the count of unanswered calls at the start of a term; those of earlier terms are stale.
    */
-  void begin() {
-    unanswered = 0;
+  void resetReachability() {
+    unansweredCalls = 0;
   }
 
   /** Whether the cloud is reachable from this controller, judged by the latest calls. */
   boolean reachable() {
-    return unanswered < CUT_OFF;
+    return unansweredCalls < MAX_UNANSWERED_CALLS;
   }
 
-  private void call(String method, String path, Doc body, Consumer<Caller.Reply> then) {
-    calling = true;
-    calls -= 1;
-    decisionLock.then(
+  private void call(String method, String path, Document body, Consumer<HttpCaller.Response> then) {
+    callInProgress = true;
+    availableCalls -= 1;
+    decisionLock.defer(
         () ->
             caller.call(
                 settings.cloud(),
                 method,
                 path,
                 body == null ? null : body.encode(),
-                CALL_S,
+                CALL_TIMEOUT_S,
                 reply ->
                     decisionLock.run(
                         () -> {
-                          calling = false;
-                          unanswered = reply.status() == 0 ? unanswered + 1 : 0;
+                          callInProgress = false;
+                          unansweredCalls = reply.status() == 0 ? unansweredCalls + 1 : 0;
                           if (reply.status() == 503 || reply.status() == 429) {
-                            nextCall = Math.max(nextCall, timers.now() + 1);
+                            nextCallAt = Math.max(nextCallAt, timers.now() + 1);
                           }
                           then.accept(reply);
-                          ready.run();
+                          onCallFinished.run();
                         })));
   }
 
   /** Lists all machines; {@code then} is not called if any page fails. */
-  void list(Consumer<List<Listed>> then) {
-    list("", new ArrayList<>(), then);
+  void listMachines(Consumer<List<ListedMachine>> then) {
+    listMachines("", new ArrayList<>(), then);
   }
 
-  private void list(String from, List<Listed> all, Consumer<List<Listed>> then) {
+  private void listMachines(
+      String from, List<ListedMachine> all, Consumer<List<ListedMachine>> then) {
     call(
         "GET",
-        "/machines?" + (from.isEmpty() ? "" : "from=" + from + "&") + "page=" + PAGE,
+        "/machines?" + (from.isEmpty() ? "" : "from=" + from + "&") + "page=" + PAGE_SIZE,
         null,
         reply -> {
           if (!reply.ok()) {
             return;
           }
           try {
-            Doc d = Doc.decode(reply.body());
+            Document d = Document.decode(reply.body());
             String last = from;
-            for (Doc m : d.docs("hosts")) {
+            for (Document m : d.documents("hosts")) {
               last = m.text("id");
-              Kind kind =
-                  new Kind(m.text("flavor"), m.textOr("site", ""), m.flagOr("loaners", false));
-              all.add(new Listed(last, kind, m.text("status"), timers.now()));
+              MachineKind kind =
+                  new MachineKind(
+                      m.text("flavor"), m.textOr("site", ""), m.flagOr("loaners", false));
+              all.add(new ListedMachine(last, kind, m.text("status"), timers.now()));
             }
             if (d.flagOr("more", false) && !last.equals(from)) {
-              list(last, all, then);
+              listMachines(last, all, then);
             } else {
               then.accept(all);
             }
-          } catch (BadMessage e) {
+          } catch (MalformedMessageException e) {
             LOG.log(Level.INFO, "cannot read the machine list: {0}", e.getMessage());
           }
         });
   }
 
   /** Fetches the catalog with current prices; {@code then} is not called if that fails. */
-  void catalog(Consumer<Doc> then) {
+  void fetchCatalog(Consumer<Document> then) {
     call(
         "GET",
         "/catalog",
@@ -175,8 +178,8 @@
         reply -> {
           if (reply.ok()) {
             try {
-              then.accept(Doc.decode(reply.body()));
-            } catch (BadMessage e) {
+              then.accept(Document.decode(reply.body()));
+            } catch (MalformedMessageException e) {
               LOG.log(Level.INFO, "cannot read the catalog: {0}", e.getMessage());
             }
           }
@@ -184,30 +187,32 @@
   }
 
   /** Outcome of a deletion; {@code REFUSED} means that nothing was deleted. */
-  enum Deletion {
+  enum DeletionResult {
     CONFIRMED,
     REFUSED,
-    UNCLEAR
+    UNKNOWN
   }
 
-  void delete(List<String> hosts, Consumer<Deletion> then) {
+  void deleteMachines(List<String> hosts, Consumer<DeletionResult> then) {
     call(
         "POST",
         "/machines/delete",
-        Doc.of().put("hosts", hosts),
+        Document.create().put("hosts", hosts),
         reply ->
             then.accept(
                 reply.ok()
-                    ? Deletion.CONFIRMED
-                    : outcome(reply) == Outcome.UNCLEAR ? Deletion.UNCLEAR : Deletion.REFUSED));
+                    ? DeletionResult.CONFIRMED
+                    : outcome(reply) == Outcome.UNKNOWN
+                        ? DeletionResult.UNKNOWN
+                        : DeletionResult.REFUSED));
   }
 
   /** Rents machines. */
-  void hire(Hire h, Consumer<Rented> then) {
+  void rent(RentRequest h, Consumer<RentResult> then) {
     call(
         "POST",
         "/machines",
-        Doc.of()
+        Document.create()
             .put("hire", h.name)
             .put("flavor", h.kind.type())
             .put("site", h.kind.zone())
@@ -217,24 +222,24 @@
           List<String> hosts = List.of();
           if (reply.ok()) {
             try {
-              hosts = Doc.decode(reply.body()).texts("hosts");
-            } catch (BadMessage e) {
+              hosts = Document.decode(reply.body()).texts("hosts");
+            } catch (MalformedMessageException e) {
               LOG.log(
                   Level.INFO, "cannot read the response to a rent request: {0}", e.getMessage());
             }
           }
-          then.accept(new Rented(outcome(reply), hosts));
+          then.accept(new RentResult(outcome(reply), hosts));
         });
   }
 
-  private static Outcome outcome(Caller.Reply reply) {
+  private static Outcome outcome(HttpCaller.Response reply) {
     if (reply.ok()) {
       return Outcome.RENTED;
     }
     return switch (reply.status()) {
       case 503, 400 -> Outcome.REFUSED;
-      case 429 -> Outcome.TOO_FAST;
-      default -> Outcome.UNCLEAR;
+      case 429 -> Outcome.RATE_LIMITED;
+      default -> Outcome.UNKNOWN;
     };
   }
 }
--- a/src/main/java/dev/dunefront/fleet/Acts.java
+++ b/src/main/java/dev/dunefront/fleet/CloudOperations.java
@@ -1,13 +1,13 @@
 package dev.dunefront.fleet;
 
-import dev.dunefront.claim.Room;
-import dev.dunefront.duty.Ledger;
-import dev.dunefront.fleet.Cloud.Hire;
+import dev.dunefront.claim.MachineTable;
+import dev.dunefront.duty.HandoverRecord;
+import dev.dunefront.fleet.CloudClient.RentRequest;
 import dev.dunefront.net.Timers;
-import dev.dunefront.peer.Message.View;
-import dev.dunefront.store.Store;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.peer.Message.MachineView;
+import dev.dunefront.store.StateStore;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import java.lang.System.Logger.Level;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -23,56 +23,56 @@
  * and completes it first. A rent request is repeated under the same name, which is idempotent; a
  * deletion is repeated only if its reason still applies to the current state of the machine.
  */
-final class Acts {
-  private static final System.Logger LOG = System.getLogger(Acts.class.getName());
+final class CloudOperations {
+  private static final System.Logger LOG = System.getLogger(CloudOperations.class.getName());
 
   /** A rent request that took longer than this to be recorded is dropped and decided again. */
-  private static final double STALE_S = 5;
+  private static final double MAX_DECISION_AGE_S = 5;
 
   /** Minimum interval between writes of changes that no operation waits for. */
-  private static final double NOTE_S = 10;
+  private static final double DEFERRED_WRITE_INTERVAL_S = 10;
 
   /** Fraction of the state service's value size limit that is used. */
-  private static final double VALUE_PART = 0.8;
+  private static final double VALUE_SIZE_FRACTION = 0.8;
 
   /** A recorded operation that has yet to be sent. */
-  private sealed interface Act {}
+  private sealed interface Operation {}
 
-  private record Rent(Hire hire) implements Act {}
+  private record RentOperation(RentRequest hire) implements Operation {}
 
   /**
-   * @param unclear whether the deletion may have been sent before with an unknown outcome
+   * @param outcomeUnknown whether the deletion may have been sent before with an unknown outcome
    */
-  private record Return(List<String> hosts, boolean unclear) implements Act {}
+  private record DeleteOperation(List<String> hosts, boolean outcomeUnknown) implements Operation {}
 
-  private final Ledger ledger;
-  private final Cloud cloud;
+  private final HandoverRecord handoverRecord;
+  private final CloudClient cloud;
   private final Inventory inventory;
-  private final Room room;
-  private final ConfirmedDeletions confirmedDeletions;
-  private final Store store;
+  private final MachineTable room;
+  private final DeletionRecorder confirmedDeletions;
+  private final StateStore store;
   private final Timers timers;
-  private final int valueBytes;
-  private final double lagS;
-  private final double leaseS;
-  private final Map<Kind, Double> refused;
+  private final int maxValueBytes;
+  private final double listLagS;
+  private final double workerLeaseS;
+  private final Map<MachineKind, Double> refusedUntil;
   private final Runnable ready;
-  private final ArrayDeque<Act> recorded = new ArrayDeque<>();
+  private final ArrayDeque<Operation> recordedOperations = new ArrayDeque<>();
 
   /**
    * Machines whose deletion has an unknown outcome and whose reason does not apply yet, with the
    * time until which the deletion is deferred.
    */
-  private final Map<String, Double> waiting = new TreeMap<>();
+  private final Map<String, Double> deferredUntil = new TreeMap<>();
 
   private Intents intents = new Intents();
   private long term;
-  private boolean open;
-  private boolean lost;
+  private boolean loaded;
+  private boolean recordConflict;
   private boolean dirty;
-  private double noteAt;
-  private int repeated;
-  private int dropped;
+  private double nextDeferredWriteAt;
+  private int repeatedCount;
+  private int droppedCount;
 
   /**
    * Creates the executor.
@@ -83,79 +83,79 @@
    *     they are not requested again
    * @param onReady runs when an operation has been recorded and can be sent
    */
-  Acts(
-      Ledger ledger,
-      Cloud cloud,
+  CloudOperations(
+      HandoverRecord ledger,
+      CloudClient cloud,
       Inventory inventory,
-      Room room,
-      ConfirmedDeletions confirmedDeletions,
-      Store store,
+      MachineTable room,
+      DeletionRecorder confirmedDeletions,
+      StateStore store,
       Timers timers,
       double valueKb,
       double listLagS,
       double workerLeaseS,
-      Map<Kind, Double> refused,
+      Map<MachineKind, Double> refused,
       Runnable onReady) {
-    this.ledger = ledger;
+    this.handoverRecord = ledger;
     this.cloud = cloud;
     this.inventory = inventory;
     this.room = room;
     this.confirmedDeletions = confirmedDeletions;
     this.store = store;
     this.timers = timers;
-    this.valueBytes = (int) (valueKb * 1024 * VALUE_PART);
-    this.lagS = listLagS;
-    this.leaseS = workerLeaseS;
-    this.refused = refused;
+    this.maxValueBytes = (int) (valueKb * 1024 * VALUE_SIZE_FRACTION);
+    this.listLagS = listLagS;
+    this.workerLeaseS = workerLeaseS;
+    this.refusedUntil = refused;
     this.ready = onReady;
   }
 
   /** How long a kind is not requested again after the cloud could not provide it. */
-  static final double REFUSED_S = 12;
+  static final double REFUSAL_TTL_S = 12;
 
   /**
    * Starts a term: loads the operations that the previous holder left open and queues them first.
    */
-  void begin(long inTerm, Runnable then) {
+  void startTerm(long inTerm, Runnable then) {
     term = inTerm;
-    recorded.clear();
-    waiting.clear();
+    recordedOperations.clear();
+    deferredUntil.clear();
     intents = new Intents();
-    open = false;
-    lost = false;
+    loaded = false;
+    recordConflict = false;
     dirty = false;
-    ledger.open(
+    handoverRecord.loadForTerm(
         inTerm,
         value -> {
           intents = read(value);
           double now = timers.now();
-          for (Intents.Came c : intents.came) {
-            double age = Math.max(0, (timers.timeOfDayMs() - c.atMs()) / 1000.0);
-            inventory.expect(c.hosts(), c.kind(), now - age);
+          for (Intents.CompletedRent c : intents.completedRents) {
+            double age = Math.max(0, (timers.wallClockMs() - c.rentedAtMs()) / 1000.0);
+            inventory.addExpected(c.hosts(), c.kind(), now - age);
           }
-          intents.hires.values().forEach(h -> recorded.add(new Rent(h)));
+          intents.rentRequests.values().forEach(h -> recordedOperations.add(new RentOperation(h)));
           if (!intents.deletions.isEmpty()) {
             List<String> hosts = List.copyOf(intents.deletions.keySet());
             inventory.deleting(hosts);
-            recorded.add(new Return(hosts, true));
+            recordedOperations.add(new DeleteOperation(hosts, true));
           }
-          repeated += recorded.size();
-          if (!recorded.isEmpty()) {
+          repeatedCount += recordedOperations.size();
+          if (!recordedOperations.isEmpty()) {
             LOG.log(
                 Level.INFO,
                 "completing operations left open by the previous holder: {0} rent requests, {1} deletions",
-                intents.hires.size(),
+                intents.rentRequests.size(),
                 intents.deletions.size());
           }
-          open = true;
+          loaded = true;
           then.run();
         });
   }
 
-  private static Intents read(Doc value) {
+  private static Intents read(Document value) {
     try {
       return Intents.read(value);
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       LOG.log(
           Level.ERROR,
           "cannot read the recorded operations of the previous holder: {0}",
@@ -171,24 +171,24 @@
 
   /** Whether the previous holder's intents are loaded and no write is in progress. */
   boolean ready() {
-    return open && !ledger.writing();
+    return loaded && !handoverRecord.writeInProgress();
   }
 
   /** Whether another writer changed the record, so that the term has to be started again. */
-  boolean lost() {
-    return lost;
+  boolean recordConflict() {
+    return recordConflict;
   }
 
-  void hire(Hire h) {
-    intents.hires.put(h.name(), h);
+  void rent(RentRequest h) {
+    intents.rentRequests.put(h.name(), h);
     double decidedAt = timers.now();
-    record(
+    persist(
         () -> {
-          if (timers.now() - decidedAt > STALE_S) {
-            intents.hires.remove(h.name());
-            dropped++;
+          if (timers.now() - decidedAt > MAX_DECISION_AGE_S) {
+            intents.rentRequests.remove(h.name());
+            droppedCount++;
           } else {
-            recorded.add(new Rent(h));
+            recordedOperations.add(new RentOperation(h));
           }
         });
   }
@@ -197,67 +197,71 @@
     List<String> hosts = List.copyOf(toReturn.keySet());
     intents.deletions.putAll(toReturn);
     inventory.deleting(hosts);
-    record(() -> recorded.add(new Return(hosts, false)));
+    persist(() -> recordedOperations.add(new DeleteOperation(hosts, false)));
   }
 
   /** Marks the intents as changed; the change is written with a delay. */
-  void note() {
+  void markDirty() {
     dirty = true;
   }
 
   /** Writes deferred changes if the interval has passed and the state service is not busy. */
-  void tend() {
+  void writeDeferredChanges() {
     double now = timers.now();
-    if (dirty && ready() && now >= noteAt && !store.down() && store.writeDelayS() == 0) {
-      record(() -> {});
+    if (dirty
+        && ready()
+        && now >= nextDeferredWriteAt
+        && !store.unavailable()
+        && store.writeDelayS() == 0) {
+      persist(() -> {});
     }
   }
 
-  private void record(Runnable then) {
+  private void persist(Runnable then) {
     double now = timers.now();
     dirty = false;
-    noteAt = now + NOTE_S;
+    nextDeferredWriteAt = now + DEFERRED_WRITE_INTERVAL_S;
     // After four times the list lag the machine list shows these machines, and a new holder reads
     // the list before it decides.
-    long since = timers.timeOfDayMs() - Math.round(4000 * lagS);
-    intents.came.removeIf(
-        c -> c.atMs() < since || c.hosts().stream().noneMatch(inventory::isExpected));
-    ledger.write(
-        intents.write(valueBytes),
+    long since = timers.wallClockMs() - Math.round(4000 * listLagS);
+    intents.completedRents.removeIf(
+        c -> c.rentedAtMs() < since || c.hosts().stream().noneMatch(inventory::isExpected));
+    handoverRecord.write(
+        intents.write(maxValueBytes),
         written -> {
           if (written) {
             then.run();
             ready.run();
           } else {
-            lost = true;
+            recordConflict = true;
           }
         });
   }
 
   /** Sends the next recorded operation; returns whether one was sent. */
-  boolean next() {
-    for (Act act = recorded.poll(); act != null; act = recorded.poll()) {
-      if (act instanceof Rent r) {
-        ask(r.hire());
+  boolean executeNext() {
+    for (Operation act = recordedOperations.poll(); act != null; act = recordedOperations.poll()) {
+      if (act instanceof RentOperation r) {
+        execute(r.hire());
         return true;
-      } else if (act instanceof Return r && ask(r)) {
+      } else if (act instanceof DeleteOperation r && execute(r)) {
         return true;
       }
     }
     double now = timers.now();
     List<String> due = new ArrayList<>();
-    waiting.forEach(
+    deferredUntil.forEach(
         (host, until) -> {
-          if (now > until || !intents.deletions.get(host).mayStand(view(host))) {
+          if (now > until || !intents.deletions.get(host).mayApplyLater(machineView(host))) {
             due.add(host);
           }
         });
-    return !due.isEmpty() && ask(new Return(due, true));
+    return !due.isEmpty() && execute(new DeleteOperation(due, true));
   }
 
-  private void ask(Hire h) {
+  private void execute(RentRequest h) {
     long inTerm = term;
-    cloud.hire(
+    cloud.rent(
         h,
         result -> {
           if (inTerm != term) {
@@ -265,96 +269,100 @@
             return;
           }
           double now = timers.now();
-          if (result.outcome() == Cloud.Outcome.UNCLEAR) {
+          if (result.outcome() == CloudClient.Outcome.UNKNOWN) {
             // Repeated under the same name, so no machine is rented twice.
-            recorded.add(new Rent(h));
+            recordedOperations.add(new RentOperation(h));
             return;
           }
-          intents.hires.remove(h.name());
+          intents.rentRequests.remove(h.name());
           dirty = true;
-          if (result.outcome() == Cloud.Outcome.RENTED) {
+          if (result.outcome() == CloudClient.Outcome.RENTED) {
             LOG.log(
                 Level.INFO, "rented {0} of {1} {2}", result.hosts().size(), h.count(), h.kind());
-            inventory.expect(result.hosts(), h.kind(), now);
+            inventory.addExpected(result.hosts(), h.kind(), now);
             if (!result.hosts().isEmpty()) {
-              intents.came.add(new Intents.Came(h.kind(), timers.timeOfDayMs(), result.hosts()));
+              intents.completedRents.add(
+                  new Intents.CompletedRent(h.kind(), timers.wallClockMs(), result.hosts()));
             }
           }
-          if (result.outcome() != Cloud.Outcome.TOO_FAST && result.hosts().size() < h.count()) {
-            refused.put(h.kind(), now + REFUSED_S);
+          if (result.outcome() != CloudClient.Outcome.RATE_LIMITED
+              && result.hosts().size() < h.count()) {
+            refusedUntil.put(h.kind(), now + REFUSAL_TTL_S);
           }
         });
   }
 
   /** Returns false if no deletion of the operation applies any more. */
-  private boolean ask(Return act) {
+  private boolean execute(DeleteOperation act) {
     double now = timers.now();
     Map<String, ReturnReason> applicable = new LinkedHashMap<>();
     List<String> obsolete = new ArrayList<>();
     for (String host : act.hosts()) {
       ReturnReason why = intents.deletions.get(host);
-      View view = view(host);
-      Double until = waiting.get(host);
-      if (why.stands(view)) {
+      MachineView view = machineView(host);
+      Double until = deferredUntil.get(host);
+      if (why.stillApplies(view)) {
         applicable.put(host, why);
-        waiting.remove(host);
-      } else if (act.unclear() && why.mayStand(view) && (until == null || now <= until)) {
+        deferredUntil.remove(host);
+      } else if (act.outcomeUnknown()
+          && why.mayApplyLater(view)
+          && (until == null || now <= until)) {
         // An earlier request may still be in flight. After a restart of all controllers, holders
         // reach their machines within a lease and close them, so that no task runs on the machine
         // when the request takes effect.
-        waiting.putIfAbsent(host, now + leaseS);
+        deferredUntil.putIfAbsent(host, now + workerLeaseS);
       } else {
-        waiting.remove(host);
+        deferredUntil.remove(host);
         LOG.log(Level.INFO, "cancelled the deletion of {0}: its reason no longer applies", host);
         obsolete.add(host);
       }
     }
-    dropped += obsolete.size();
-    settled(obsolete, false);
+    droppedCount += obsolete.size();
+    completeDeletions(obsolete, false);
     if (applicable.isEmpty()) {
       return false;
     }
     List<String> hosts = List.copyOf(applicable.keySet());
     long inTerm = term;
-    cloud.delete(
+    cloud.deleteMachines(
         hosts,
         result -> {
-          if (result == Cloud.Deletion.CONFIRMED) {
+          if (result == CloudClient.DeletionResult.CONFIRMED) {
             confirmedDeletions.record(hosts);
           }
           if (inTerm != term) {
             return;
           }
-          if (result == Cloud.Deletion.CONFIRMED) {
-            settled(hosts, true);
-          } else if (result == Cloud.Deletion.REFUSED && !act.unclear()) {
+          if (result == CloudClient.DeletionResult.CONFIRMED) {
+            completeDeletions(hosts, true);
+          } else if (result == CloudClient.DeletionResult.REFUSED && !act.outcomeUnknown()) {
             // No request is in flight, so the return can be decided again.
-            settled(hosts, false);
+            completeDeletions(hosts, false);
           } else {
-            recorded.add(new Return(hosts, true));
+            recordedOperations.add(new DeleteOperation(hosts, true));
           }
         });
     return true;
   }
 
-  private View view(String host) {
-    Room.Seen seen = room.get(host);
+  private MachineView machineView(String host) {
+    MachineTable.Entry seen = room.get(host);
     return seen == null ? null : seen.view();
   }
 
-  private void settled(List<String> hosts, boolean confirmed) {
+  private void completeDeletions(List<String> hosts, boolean confirmed) {
     inventory.deleted(hosts, confirmed, timers.now());
     intents.deletions.keySet().removeAll(hosts);
     dirty |= !hosts.isEmpty();
   }
 
   /** Number of operations left open by a previous holder that were queued again here. */
-  int repeated() {
-    return repeated;
+  int repeatedCount() {
+    return repeatedCount;
   }
 
   /** Number of recorded operations that were dropped because they no longer applied. */
-  int dropped() {
-    return dropped;
+  int droppedCount() {
+    return droppedCount;
   }
 }
--- a/src/main/java/dev/dunefront/fleet/Idle.java
+++ b/src/main/java/dev/dunefront/fleet/IdlePolicy.java
@@ -13,11 +13,11 @@
  * could use and that are not part of the room kept ready. A machine idle for as long as a boot
  * takes has cost about as much as booting a new one.
  */
-final class Idle {
+final class IdlePolicy {
   /** A machine without tasks, and for how long it has been idle. */
-  record Machine(String host, Kind kind, double idleS) {}
+  record IdleMachine(String host, MachineKind kind, double idleS) {}
 
-  private Idle() {}
+  private IdlePolicy() {}
 
   /**
    * Returns the hosts to return, longest idle first.
@@ -26,16 +26,16 @@
    * @param usable kinds that some queued task could use
    * @param idleTimeoutS how long an idle machine of a kind is kept
    */
-  static List<String> toReturn(
-      List<Machine> idle,
-      Map<Kind, Double> surplus,
-      Set<Kind> usable,
-      ToDoubleFunction<Kind> idleTimeoutS) {
-    Map<Kind, Double> remaining = new HashMap<>(surplus);
-    List<Machine> longestFirst = new ArrayList<>(idle);
+  static List<String> selectForReturn(
+      List<IdleMachine> idle,
+      Map<MachineKind, Double> surplus,
+      Set<MachineKind> usable,
+      ToDoubleFunction<MachineKind> idleTimeoutS) {
+    Map<MachineKind, Double> remaining = new HashMap<>(surplus);
+    List<IdleMachine> longestFirst = new ArrayList<>(idle);
     longestFirst.sort(Comparator.comparingDouble(m -> -m.idleS));
     List<String> hosts = new ArrayList<>();
-    for (Machine m : longestFirst) {
+    for (IdleMachine m : longestFirst) {
       if (m.idleS >= idleTimeoutS.applyAsDouble(m.kind)
           && !usable.contains(m.kind)
           && remaining.getOrDefault(m.kind, 0.0) >= 1) {
--- a/src/main/java/dev/dunefront/fleet/Intents.java
+++ b/src/main/java/dev/dunefront/fleet/Intents.java
@@ -1,8 +1,8 @@
 package dev.dunefront.fleet;
 
-import dev.dunefront.fleet.Cloud.Hire;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.fleet.CloudClient.RentRequest;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -16,124 +16,131 @@
  */
 final class Intents {
   /** Since-times are rounded down to this step, so that many hosts share one group. */
-  private static final long STEP_MS = 5_000;
+  private static final long TIME_STEP_MS = 5_000;
 
   /** Encoding overhead of a host name, as the state service counts the size of a value. */
-  private static final int PER_NAME = 3;
+  private static final int BYTES_PER_NAME = 3;
 
   /** Upper bound of the encoded size of a group without its host names. */
-  private static final int PER_GROUP = 120;
+  private static final int BYTES_PER_GROUP = 120;
 
   /** Machines rented by one request; {@code atMs} is a time of day. */
-  record Came(Kind kind, long atMs, List<String> hosts) {}
+  record CompletedRent(MachineKind kind, long rentedAtMs, List<String> hosts) {}
 
   /** Rent requests sent or about to be sent, by name. */
-  final Map<String, Hire> hires = new LinkedHashMap<>();
+  final Map<String, RentRequest> rentRequests = new LinkedHashMap<>();
 
   /** Deletions sent or about to be sent: the reason by host. */
   final Map<String, ReturnReason> deletions = new LinkedHashMap<>();
 
   /** Rent requests with a response, oldest first. */
-  final List<Came> came = new ArrayList<>();
+  final List<CompletedRent> completedRents = new ArrayList<>();
 
   /** Time of day since when no controller receives a machine's reports, by host. */
-  final Map<String, Long> silent = new TreeMap<>();
+  final Map<String, Long> silentSinceMs = new TreeMap<>();
 
   /** Time of day since when a machine with tasks neither reports nor is listed, by host. */
-  final Map<String, Long> unlisted = new TreeMap<>();
+  final Map<String, Long> unlistedSinceMs = new TreeMap<>();
 
   /**
    * Encodes the intents within a size limit. Open requests and deletions are always kept; the
    * entries that are easiest to determine again are left out first.
    */
-  Doc write(int maxBytes) {
+  Document write(int maxBytes) {
     int left = maxBytes;
-    List<Doc> rentDocs = new ArrayList<>();
-    for (Hire h : hires.values()) {
+    List<Document> rentDocs = new ArrayList<>();
+    for (RentRequest h : rentRequests.values()) {
       rentDocs.add(kind(h.kind()).put("name", h.name()).put("n", h.count()));
-      left -= PER_GROUP;
+      left -= BYTES_PER_GROUP;
     }
     Map<String, List<String>> reasons = new LinkedHashMap<>();
     for (var e : deletions.entrySet()) {
       reasons.computeIfAbsent(e.getValue().name(), r -> new ArrayList<>()).add(e.getKey());
-      left -= e.getKey().length() + PER_NAME;
+      left -= e.getKey().length() + BYTES_PER_NAME;
     }
-    List<Doc> deletionDocs = new ArrayList<>();
-    reasons.forEach((r, hosts) -> deletionDocs.add(Doc.of().put("why", r).put("hosts", hosts)));
-    left -= ReturnReason.values().length * PER_GROUP;
-    List<Doc> completedDocs = new ArrayList<>();
-    for (int i = came.size() - 1; i >= 0; i--) {
-      Came c = came.get(i);
-      left -= PER_GROUP;
+    List<Document> deletionDocs = new ArrayList<>();
+    reasons.forEach(
+        (r, hosts) -> deletionDocs.add(Document.create().put("why", r).put("hosts", hosts)));
+    left -= ReturnReason.values().length * BYTES_PER_GROUP;
+    List<Document> completedDocs = new ArrayList<>();
+    for (int i = completedRents.size() - 1; i >= 0; i--) {
+      CompletedRent c = completedRents.get(i);
+      left -= BYTES_PER_GROUP;
       for (String host : c.hosts) {
-        left -= host.length() + PER_NAME;
+        left -= host.length() + BYTES_PER_NAME;
       }
       if (left < 0) {
         break;
       }
-      completedDocs.add(0, kind(c.kind).put("at", c.atMs).put("hosts", c.hosts));
+      completedDocs.add(0, kind(c.kind).put("at", c.rentedAtMs).put("hosts", c.hosts));
     }
-    Doc value =
-        Doc.of().put("hires", rentDocs).put("deletions", deletionDocs).put("came", completedDocs);
-    left = since(value, "unlisted", unlisted, left);
-    since(value, "silent", silent, left);
+    Document value =
+        Document.create()
+            .put("hires", rentDocs)
+            .put("deletions", deletionDocs)
+            .put("came", completedDocs);
+    left = writeSinceTimes(value, "unlisted", unlistedSinceMs, left);
+    writeSinceTimes(value, "silent", silentSinceMs, left);
     return value;
   }
 
-  private static int since(Doc value, String name, Map<String, Long> times, int maxBytes) {
+  private static int writeSinceTimes(
+      Document value, String name, Map<String, Long> times, int maxBytes) {
     int left = maxBytes;
     TreeMap<Long, List<String>> groups = new TreeMap<>();
     for (var e : times.entrySet()) {
       groups
-          .computeIfAbsent(e.getValue() / STEP_MS * STEP_MS, t -> new ArrayList<>())
+          .computeIfAbsent(e.getValue() / TIME_STEP_MS * TIME_STEP_MS, t -> new ArrayList<>())
           .add(e.getKey());
     }
-    List<Doc> all = new ArrayList<>();
+    List<Document> all = new ArrayList<>();
     for (var g : groups.entrySet()) {
-      left -= PER_GROUP;
+      left -= BYTES_PER_GROUP;
       for (String host : g.getValue()) {
-        left -= host.length() + PER_NAME;
+        left -= host.length() + BYTES_PER_NAME;
       }
       if (left < 0) {
         break;
       }
-      all.add(Doc.of().put("at", g.getKey()).put("hosts", g.getValue()));
+      all.add(Document.create().put("at", g.getKey()).put("hosts", g.getValue()));
     }
     value.put(name, all);
     return left;
   }
 
-  private static Doc kind(Kind k) {
-    return Doc.of().put("type", k.type()).put("zone", k.zone()).put("spot", k.spot());
+  private static Document kind(MachineKind k) {
+    return Document.create().put("type", k.type()).put("zone", k.zone()).put("spot", k.spot());
   }
 
-  private static Kind kind(Doc d) throws BadMessage {
-    return new Kind(d.text("type"), d.text("zone"), d.flag("spot"));
+  private static MachineKind kind(Document d) throws MalformedMessageException {
+    return new MachineKind(d.text("type"), d.text("zone"), d.flag("spot"));
   }
 
   /** Decodes recorded intents; a null value gives empty ones. */
-  static Intents read(Doc value) throws BadMessage {
+  static Intents read(Document value) throws MalformedMessageException {
     Intents i = new Intents();
     if (value == null) {
       return i;
     }
-    for (Doc d : value.docs("hires")) {
-      i.hires.put(d.text("name"), new Hire(d.text("name"), kind(d), (int) d.count("n")));
+    for (Document d : value.documents("hires")) {
+      i.rentRequests.put(
+          d.text("name"), new RentRequest(d.text("name"), kind(d), (int) d.count("n")));
     }
-    for (Doc d : value.docs("deletions")) {
+    for (Document d : value.documents("deletions")) {
       ReturnReason why = ReturnReason.of(d.text("why"));
       d.texts("hosts").forEach(host -> i.deletions.put(host, why));
     }
-    for (Doc d : value.docs("came")) {
-      i.came.add(new Came(kind(d), d.count("at"), d.texts("hosts")));
+    for (Document d : value.documents("came")) {
+      i.completedRents.add(new CompletedRent(kind(d), d.count("at"), d.texts("hosts")));
     }
-    readSince(value, "silent", i.silent);
-    readSince(value, "unlisted", i.unlisted);
+    readSinceTimes(value, "silent", i.silentSinceMs);
+    readSinceTimes(value, "unlisted", i.unlistedSinceMs);
     return i;
   }
 
-  private static void readSince(Doc value, String name, Map<String, Long> into) throws BadMessage {
-    for (Doc d : value.docs(name)) {
+  private static void readSinceTimes(Document value, String name, Map<String, Long> into)
+      throws MalformedMessageException {
+    for (Document d : value.documents(name)) {
       long at = d.count("at");
       d.texts("hosts").forEach(host -> into.put(host, at));
     }
--- a/src/main/java/dev/dunefront/fleet/Inventory.java
+++ b/src/main/java/dev/dunefront/fleet/Inventory.java
@@ -1,7 +1,7 @@
 package dev.dunefront.fleet;
 
-import dev.dunefront.claim.Room;
-import dev.dunefront.fleet.Cloud.Listed;
+import dev.dunefront.claim.MachineTable;
+import dev.dunefront.fleet.CloudClient.ListedMachine;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -14,16 +14,16 @@
  * yet, and those deleted that it still shows.
  */
 final class Inventory {
-  private record Expected(Kind kind, double at) {}
+  private record Expected(MachineKind kind, double rentedAt) {}
 
-  private final double lagS;
-  private final Map<String, Listed> listed = new HashMap<>();
+  private final double listLagS;
+  private final Map<String, ListedMachine> listed = new HashMap<>();
   private final Map<String, Expected> expected = new HashMap<>();
   private final Map<String, Double> deleted = new HashMap<>();
   private final Set<String> deleting = new HashSet<>();
 
   Inventory(double lagS) {
-    this.lagS = lagS;
+    this.listLagS = lagS;
   }
 
   /**
@@ -41,22 +41,23 @@
   }
 
   /** Replaces the listed machines by a new list. */
-  void took(List<Listed> all, double now) {
-    Map<String, Listed> next = new HashMap<>();
-    for (Listed l : all) {
-      Listed old = listed.get(l.host());
-      double since = old != null && old.status().equals(l.status()) ? old.since() : l.since();
-      next.put(l.host(), new Listed(l.host(), l.kind(), l.status(), since));
+  void applyList(List<ListedMachine> all, double now) {
+    Map<String, ListedMachine> next = new HashMap<>();
+    for (ListedMachine l : all) {
+      ListedMachine old = listed.get(l.host());
+      double since =
+          old != null && old.status().equals(l.status()) ? old.statusSince() : l.statusSince();
+      next.put(l.host(), new ListedMachine(l.host(), l.kind(), l.status(), since));
       expected.remove(l.host());
     }
     listed.clear();
     listed.putAll(next);
-    deleted.values().removeIf(at -> now - at > 20 * lagS);
-    expected.values().removeIf(e -> now - e.at > 4 * lagS);
+    deleted.values().removeIf(at -> now - at > 20 * listLagS);
+    expected.values().removeIf(e -> now - e.rentedAt > 4 * listLagS);
   }
 
   /** Adds machines that were rented at a time on the steady clock and may not be listed yet. */
-  void expect(List<String> hosts, Kind kind, double at) {
+  void addExpected(List<String> hosts, MachineKind kind, double at) {
     hosts.forEach(h -> expected.put(h, new Expected(kind, at)));
   }
 
@@ -84,11 +85,11 @@
     return deleting.contains(host);
   }
 
-  int deletions() {
+  int pendingDeletionCount() {
     return deleting.size();
   }
 
-  Collection<Listed> listed() {
+  Collection<ListedMachine> listed() {
     return listed.values();
   }
 
@@ -97,9 +98,9 @@
   }
 
   /** Counts the machines that are rented and that no controller holds yet. */
-  Map<Kind, Double> coming(Room room) {
-    Map<Kind, Double> arriving = new HashMap<>();
-    for (Listed l : listed.values()) {
+  Map<MachineKind, Double> arrivingByKind(MachineTable room) {
+    Map<MachineKind, Double> arriving = new HashMap<>();
+    for (ListedMachine l : listed.values()) {
       if (!l.failed() && !deleted.containsKey(l.host()) && room.get(l.host()) == null) {
         arriving.merge(l.kind(), 1.0, Double::sum);
       }
--- a/src/main/java/dev/dunefront/fleet/Catalog.java
+++ b/src/main/java/dev/dunefront/fleet/MachineCatalog.java
@@ -1,15 +1,15 @@
 package dev.dunefront.fleet;
 
-import dev.dunefront.net.Caller;
 import dev.dunefront.net.DecisionLock;
+import dev.dunefront.net.HttpCaller;
 import dev.dunefront.net.Timers;
-import dev.dunefront.store.Store;
+import dev.dunefront.store.StateStore;
 import dev.dunefront.store.Txn;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.wire.Document;
 import dev.dunefront.wire.JobSpec;
 import dev.dunefront.wire.MachineType;
-import dev.dunefront.wire.Size;
+import dev.dunefront.wire.MalformedMessageException;
+import dev.dunefront.wire.Resources;
 import java.util.Collection;
 import java.util.Collections;
 import java.util.HashSet;
@@ -23,51 +23,58 @@
  * a copy in the state service, so that a restart does not depend on the cloud. It also records the
  * observed task sizes and urgent jobs, which placement and scaling take into account.
  */
-public final class Catalog {
+public final class MachineCatalog {
   private static final String KEY = "c/catalog";
-  private static final double ASK_AGAIN_S = 2;
-  private static final int MAX_SIZES = 100;
+  private static final double RETRY_S = 2;
+  private static final int MAX_SEEN_SIZES = 100;
 
   /**
    * A type is too expensive for a service replica if the replica costs more than this many times as
    * much there as on its cheapest type.
    */
-  private static final double DEAR = 1.2;
+  private static final double EXPENSIVE_PRICE_RATIO = 1.2;
 
-  private final String cloud;
-  private final Caller caller;
-  private final Store store;
+  private final String cloudAddress;
+  private final HttpCaller caller;
+  private final StateStore store;
   private final Timers timers;
   private final DecisionLock decisionLock;
   private Map<String, MachineType> types = Map.of();
   private Set<String> zones = Set.of();
 
-  /** Task sizes observed so far, bounded by {@link #MAX_SIZES}; users submit few distinct sizes. */
-  private final Set<Size> sizes =
+  /**
+   * Task sizes observed so far, bounded by {@link #MAX_SEEN_SIZES}; users submit few distinct
+   * sizes.
+   */
+  private final Set<Resources> seenSizes =
       Collections.newSetFromMap(
           new LinkedHashMap<>() {
             @Override
-            protected boolean removeEldestEntry(Map.Entry<Size, Boolean> eldest) {
-              return size() > MAX_SIZES;
+            protected boolean removeEldestEntry(Map.Entry<Resources, Boolean> eldest) {
+              return size() > MAX_SEEN_SIZES;
             }
           });
 
   /** One observed job for each class of urgent arrays. */
-  private final Map<String, JobSpec> urgentArrays = new LinkedHashMap<>();
+  private final Map<String, JobSpec> urgentArraysByClass = new LinkedHashMap<>();
 
   /** Types that are the cheapest for some observed urgent job that excludes spot machines. */
-  private final Set<String> urgentHomes = new HashSet<>();
-
-  public Catalog(
-      String cloudAddress, Caller caller, Store store, Timers timers, DecisionLock decisionLock) {
-    this.cloud = cloudAddress;
+  private final Set<String> cheapestUrgentTypes = new HashSet<>();
+
+  public MachineCatalog(
+      String cloudAddress,
+      HttpCaller caller,
+      StateStore store,
+      Timers timers,
+      DecisionLock decisionLock) {
+    this.cloudAddress = cloudAddress;
     this.caller = caller;
     this.store = store;
     this.timers = timers;
     this.decisionLock = decisionLock;
   }
 
-  public boolean known() {
+  public boolean isLoaded() {
     return !types.isEmpty();
   }
 
@@ -80,7 +87,7 @@
   }
 
   /** A machine that fits at least this many tasks of a job is oversized for that job. */
-  public static final int OVERSIZE = 8;
+  public static final int OVERSIZE_TASKS = 8;
 
   /** All zones in which a machine type is available. */
   public Set<String> zones() {
@@ -88,17 +95,17 @@
   }
 
   /** Records a job's requirements, for which other jobs leave room. */
-  public void seen(JobSpec spec) {
-    sizes.add(spec.size());
+  public void observe(JobSpec spec) {
+    seenSizes.add(spec.taskResources());
     if (!spec.priority().urgent()) {
       return;
     }
-    if (!spec.service() && urgentArrays.size() < MAX_SIZES) {
-      urgentArrays.putIfAbsent(spec.jobClass(), spec);
+    if (!spec.service() && urgentArraysByClass.size() < MAX_SEEN_SIZES) {
+      urgentArraysByClass.putIfAbsent(spec.jobClass(), spec);
     }
-    MachineType home = home(spec);
+    MachineType home = cheapestType(spec);
     if (home != null) {
-      urgentHomes.add(home.name());
+      cheapestUrgentTypes.add(home.name());
     }
   }
 
@@ -106,12 +113,12 @@
    * Whether urgent arrays may use machines of the kind. They arrive in bursts, and they start in
    * time only on machines that have their images cached.
    */
-  boolean servesUrgentArrays(Kind kind) {
+  boolean servesUrgentArrays(MachineKind kind) {
     MachineType t = types.get(kind.type());
-    for (JobSpec spec : urgentArrays.values()) {
+    for (JobSpec spec : urgentArraysByClass.values()) {
       if (t != null
           && spec.allows(kind.type(), kind.zone(), kind.spot())
-          && spec.size().fits(t.size())) {
+          && spec.taskResources().fitsIn(t.resources())) {
         return true;
       }
     }
@@ -122,11 +129,11 @@
    * The type on which a task of the job costs least, for a job that excludes spot machines; null
    * for a job that allows them, or if no type fits.
    */
-  public MachineType home(JobSpec spec) {
+  public MachineType cheapestType(JobSpec spec) {
     MachineType home = null;
     for (MachineType t : types()) {
-      if (!spec.spot()
-          && allows(spec, t)
+      if (!spec.spotAllowed()
+          && allowsType(spec, t)
           && (home == null || taskPrice(spec, t) < taskPrice(spec, home))) {
         home = t;
       }
@@ -136,44 +143,45 @@
 
   /** Cost of one task on a fully used on-demand machine of the type. */
   private static double taskPrice(JobSpec spec, MachineType t) {
-    return t.price() / Math.max(1, spec.size().timesIn(t.size()));
+    return t.price() / Math.max(1, spec.taskResources().countFittingIn(t.resources()));
   }
 
   /** Whether an urgent job that excludes spot machines has been observed. */
-  public boolean ordinaryNeeded() {
-    return !urgentHomes.isEmpty();
+  public boolean needsOnDemand() {
+    return !cheapestUrgentTypes.isEmpty();
   }
 
   /** Whether the type is the cheapest for an urgent job that excludes spot machines. */
-  public boolean urgentHome(String type) {
-    return urgentHomes.contains(type);
+  public boolean isCheapestForUrgent(String type) {
+    return cheapestUrgentTypes.contains(type);
   }
 
-  private static boolean allows(JobSpec spec, MachineType t) {
-    return (spec.types() == null || spec.types().contains(t.name())) && spec.size().fits(t.size());
+  private static boolean allowsType(JobSpec spec, MachineType t) {
+    return (spec.machineTypes() == null || spec.machineTypes().contains(t.name()))
+        && spec.taskResources().fitsIn(t.resources());
   }
 
   /**
    * Whether a service replica should wait for a cheaper type than this one. A replica stays on the
    * machine on which it starts, so it keeps costing the higher price.
    */
-  public boolean dear(JobSpec spec, MachineType type) {
-    MachineType home = spec.service() ? home(spec) : null;
-    return home != null && taskPrice(spec, type) > DEAR * taskPrice(spec, home);
+  public boolean isExpensive(JobSpec spec, MachineType type) {
+    MachineType home = spec.service() ? cheapestType(spec) : null;
+    return home != null && taskPrice(spec, type) > EXPENSIVE_PRICE_RATIO * taskPrice(spec, home);
   }
 
   /**
    * Whether the job should avoid types that are oversized for it: it is allowed on a type that is
    * not, and some observed task size fits only on oversized ones.
    */
-  public boolean leavesLarge(JobSpec spec) {
+  public boolean avoidsOversized(JobSpec spec) {
     boolean smallerAllowed = false;
-    Set<Size> needLarge = new HashSet<>(sizes);
+    Set<Resources> needLarge = new HashSet<>(seenSizes);
     for (MachineType t : types()) {
-      int times = spec.size().timesIn(t.size());
-      if (times > 0 && times < OVERSIZE) {
-        smallerAllowed |= spec.types() == null || spec.types().contains(t.name());
-        needLarge.removeIf(s -> s.fits(t.size()));
+      int times = spec.taskResources().countFittingIn(t.resources());
+      if (times > 0 && times < OVERSIZE_TASKS) {
+        smallerAllowed |= spec.machineTypes() == null || spec.machineTypes().contains(t.name());
+        needLarge.removeIf(s -> s.fitsIn(t.resources()));
       }
     }
     return smallerAllowed && !needLarge.isEmpty();
@@ -183,20 +191,20 @@
   public void start() {
     store.get(
         KEY,
-        Store.Urgency.CORE,
+        StateStore.RequestPriority.CORE,
         got -> {
-          if (got.outcome() == Store.Outcome.OK && take(got.value())) {
+          if (got.outcome() == StateStore.Outcome.OK && load(got.value())) {
             return;
           }
-          ask(got.outcome() == Store.Outcome.MISSING);
+          fetch(got.outcome() == StateStore.Outcome.NOT_FOUND);
         });
   }
 
-  private void ask(boolean storeCopy) {
-    decisionLock.then(
+  private void fetch(boolean storeCopy) {
+    decisionLock.defer(
         () ->
             caller.call(
-                cloud,
+                cloudAddress,
                 "GET",
                 "/catalog",
                 null,
@@ -204,32 +212,34 @@
                 reply ->
                     decisionLock.run(
                         () -> {
-                          Doc doc = null;
+                          Document doc = null;
                           if (reply.ok()) {
                             try {
-                              doc = Doc.decode(reply.body());
-                            } catch (BadMessage e) {
+                              doc = Document.decode(reply.body());
+                            } catch (MalformedMessageException e) {
                               // fetched again below
                             }
                           }
-                          if (doc == null || !take(doc)) {
-                            timers.after(ASK_AGAIN_S, () -> decisionLock.run(this::start));
+                          if (doc == null || !load(doc)) {
+                            timers.after(RETRY_S, () -> decisionLock.run(this::start));
                           } else if (storeCopy) {
                             store.tryTxn(
-                                new Txn().put(KEY, doc), Store.Urgency.BACKGROUND, done -> {});
+                                new Txn().put(KEY, doc),
+                                StateStore.RequestPriority.BACKGROUND,
+                                done -> {});
                           }
                         })));
   }
 
   /** Loads a catalog in the cloud's format; returns false if it is malformed or empty. */
-  boolean take(Doc doc) {
+  boolean load(Document doc) {
     Map<String, MachineType> read = new LinkedHashMap<>();
     try {
-      for (Doc d : doc.docs("flavors")) {
-        MachineType t = MachineType.read(d);
+      for (Document d : doc.documents("flavors")) {
+        MachineType t = MachineType.fromDocument(d);
         read.put(t.name(), t);
       }
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       return false;
     }
     if (read.isEmpty()) {
--- a/src/main/java/dev/dunefront/fleet/Health.java
+++ b/src/main/java/dev/dunefront/fleet/MachineHealth.java
@@ -1,9 +1,9 @@
 package dev.dunefront.fleet;
 
-import dev.dunefront.book.Holds;
-import dev.dunefront.claim.Room;
+import dev.dunefront.book.HoldTable;
+import dev.dunefront.claim.MachineTable;
 import dev.dunefront.config.Settings;
-import dev.dunefront.fleet.Cloud.Listed;
+import dev.dunefront.fleet.CloudClient.ListedMachine;
 import dev.dunefront.store.Membership;
 import dev.dunefront.wire.MachineType;
 import java.util.HashMap;
@@ -12,42 +12,42 @@
 import java.util.Set;
 
 /** Decides which machines to delete because they failed, are silent or are gone, and why. */
-final class Health {
+final class MachineHealth {
   /**
    * A zone counts as partitioned if at least this many of its machines are silent, and more than
-   * {@link #CUT_PART} of all.
+   * {@link #PARTITION_SILENT_FRACTION} of all.
    */
-  private static final int CUT_LEAST = 4;
+  private static final int PARTITION_MIN_SILENT = 4;
 
-  private static final double CUT_PART = 0.3;
+  private static final double PARTITION_SILENT_FRACTION = 0.3;
 
   /** How often the hold records are scanned for machines that no longer exist. */
-  private static final double STRAYS_S = 10;
+  private static final double STRAY_SCAN_INTERVAL_S = 10;
 
   /** Timeout for silent machines in a partitioned zone, in worker leases. */
-  private static final double CUT_LEASES = 10;
+  private static final double PARTITION_TIMEOUT_LEASES = 10;
 
   private final Settings settings;
   private final Membership membership;
-  private final Holds holds;
-  private final Room room;
-  private final Catalog catalog;
+  private final HoldTable holds;
+  private final MachineTable room;
+  private final MachineCatalog catalog;
   private final Inventory inventory;
   private final Map<String, Double> silentSince = new HashMap<>();
   private final Map<String, Double> unlistedSince = new HashMap<>();
-  private final Map<String, Double> deafSince = new HashMap<>();
+  private final Map<String, Double> unresponsiveSince = new HashMap<>();
 
   /** Recorded machines that neither report nor are listed, as of the last scan. */
   private Set<String> strays = Set.of();
 
-  private double straysAt = Double.NEGATIVE_INFINITY;
+  private double straysScannedAt = Double.NEGATIVE_INFINITY;
 
-  Health(
+  MachineHealth(
       Settings settings,
       Membership membership,
-      Holds holds,
-      Room room,
-      Catalog catalog,
+      HoldTable holds,
+      MachineTable room,
+      MachineCatalog catalog,
       Inventory inventory) {
     this.settings = settings;
     this.membership = membership;
@@ -62,9 +62,9 @@
    *
    * @param nowMs the time of day that corresponds to {@code now} on the steady clock
    */
-  void begin(Intents left, double now, long nowMs) {
-    restore(left.silent, silentSince, now, nowMs);
-    restore(left.unlisted, unlistedSince, now, nowMs);
+  void startTerm(Intents left, double now, long nowMs) {
+    restore(left.silentSinceMs, silentSince, now, nowMs);
+    restore(left.unlistedSinceMs, unlistedSince, now, nowMs);
   }
 
   private static void restore(
@@ -77,17 +77,17 @@
    * Saves since when machines are silent or unlisted, as times of day; returns whether the set of
    * such machines has changed.
    */
-  boolean note(Intents into, double now, long nowMs) {
-    boolean changed = !into.silent.keySet().equals(silentSince.keySet());
-    changed |= !into.unlisted.keySet().equals(unlistedSince.keySet());
+  boolean saveTo(Intents into, double now, long nowMs) {
+    boolean changed = !into.silentSinceMs.keySet().equals(silentSince.keySet());
+    changed |= !into.unlistedSinceMs.keySet().equals(unlistedSince.keySet());
     if (changed) {
-      keep(silentSince, into.silent, now, nowMs);
-      keep(unlistedSince, into.unlisted, now, nowMs);
+      save(silentSince, into.silentSinceMs, now, nowMs);
+      save(unlistedSince, into.unlistedSinceMs, now, nowMs);
     }
     return changed;
   }
 
-  private static void keep(
+  private static void save(
       Map<String, Double> from, Map<String, Long> into, double now, long nowMs) {
     into.clear();
     from.forEach((host, since) -> into.put(host, nowMs - Math.round((now - since) * 1000)));
@@ -109,25 +109,27 @@
       Map<String, ReturnReason> why) {
     double lease = settings.workers().leaseS();
     Set<String> silent = silentHosts(reporting);
-    Set<String> partitioned = cutZones(silent);
+    Set<String> partitioned = partitionedZones(silent);
     // The previous holder's times count, but this controller must have watched for a lease as well.
     boolean watchedLease = watchedS > lease;
     Set<String> running = new HashSet<>();
-    for (Listed l : inventory.listed()) {
-      Room.Seen seen = room.get(l.host());
+    for (ListedMachine l : inventory.listed()) {
+      MachineTable.Entry seen = room.get(l.host());
       MachineType type = catalog.type(l.kind().type());
       if (l.failed()) {
         why.put(l.host(), ReturnReason.FAILED);
       } else if (l.booting()) {
         double bootTimeout = 30 + 4 * (type == null ? 30 : type.bootS());
-        if (seen == null && now - l.since() > bootTimeout) {
+        if (seen == null && now - l.statusSince() > bootTimeout) {
           why.put(l.host(), ReturnReason.NOT_BOOTING);
         }
       } else if (silent.contains(l.host())) {
         running.add(l.host());
         double since = silentSince.computeIfAbsent(l.host(), h -> now);
         double timeout =
-            partitioned.contains(l.kind().zone()) ? CUT_LEASES * lease : patience(type, lease);
+            partitioned.contains(l.kind().zone())
+                ? PARTITION_TIMEOUT_LEASES * lease
+                : silenceTimeoutS(type, lease);
         if (now - since > timeout && watchedLease) {
           why.put(l.host(), ReturnReason.SILENT);
         }
@@ -137,13 +139,13 @@
       }
     }
     silentSince.keySet().retainAll(running);
-    deaf(now, lease, watchedLease, why);
-    if (now - straysAt > STRAYS_S) {
-      straysAt = now;
+    checkUnresponsive(now, lease, watchedLease, why);
+    if (now - straysScannedAt > STRAY_SCAN_INTERVAL_S) {
+      straysScannedAt = now;
       strays = strays();
     }
     unreported.addAll(strays);
-    unlisted(
+    checkUnlisted(
         now, watchedLease && watchedS > 2 * settings.cloudLimits().listLagS(), unreported, why);
   }
 
@@ -153,20 +155,21 @@
    * since their reports arrive from it. The times are not handed over: the next holder of the duty
    * starts the timeout again.
    */
-  private void deaf(double now, double lease, boolean watchedLease, Map<String, ReturnReason> why) {
+  private void checkUnresponsive(
+      double now, double lease, boolean watchedLease, Map<String, ReturnReason> why) {
     Set<String> notReceiving = new HashSet<>();
-    for (Room.Seen seen : room.all()) {
-      if (seen.view().deaf()) {
+    for (MachineTable.Entry seen : room.all()) {
+      if (seen.view().unresponsive()) {
         String host = seen.view().host();
         notReceiving.add(host);
-        double since = deafSince.computeIfAbsent(host, h -> now);
-        double timeout = patience(catalog.type(seen.view().type()), lease);
+        double since = unresponsiveSince.computeIfAbsent(host, h -> now);
+        double timeout = silenceTimeoutS(catalog.type(seen.view().type()), lease);
         if (now - since > timeout && watchedLease) {
           why.put(host, ReturnReason.DEAF);
         }
       }
     }
-    deafSince.keySet().retainAll(notReceiving);
+    unresponsiveSince.keySet().retainAll(notReceiving);
   }
 
   /**
@@ -175,9 +178,10 @@
    * it. Only the cloud's confirmation of a deletion proves that those tasks are over; without it
    * they would never be placed again.
    */
-  private void unlisted(
+  private void checkUnlisted(
       double now, boolean watched, Set<String> unreported, Map<String, ReturnReason> why) {
-    unreported.removeIf(h -> inventory.isListed(h) || inventory.isDeleted(h) || heard(room.get(h)));
+    unreported.removeIf(
+        h -> inventory.isListed(h) || inventory.isDeleted(h) || isReporting(room.get(h)));
     unlistedSince.keySet().retainAll(unreported);
     // A new machine is listed within twice the list lag and stays listed until it is deleted.
     double timeout = 2 * settings.workers().leaseS() + 3 * settings.cloudLimits().listLagS();
@@ -196,10 +200,13 @@
    */
   private Set<String> strays() {
     Set<String> found = new HashSet<>();
-    for (Holds.Hold h : holds.recorded()) {
-      Room.Seen seen = room.get(h.host());
-      boolean held = seen != null && !seen.view().lost();
-      if (!h.dead() && !held && !inventory.isListed(h.host()) && !inventory.isExpected(h.host())) {
+    for (HoldTable.Hold h : holds.records()) {
+      MachineTable.Entry seen = room.get(h.host());
+      boolean held = seen != null && !seen.view().leaseExpired();
+      if (!h.machineDeleted()
+          && !held
+          && !inventory.isListed(h.host())
+          && !inventory.isExpected(h.host())) {
         found.add(h.host());
       }
     }
@@ -211,7 +218,7 @@
    * failed machines as failed; a silent one mostly hangs or is partitioned, and returns with its
    * cached images before a replacement has fetched them.
    */
-  private double patience(MachineType type, double lease) {
+  private double silenceTimeoutS(MachineType type, double lease) {
     double bootS = type == null ? 30 : type.bootS();
     return 2 * lease + 1.5 * bootS + settings.cloudLimits().listLagS();
   }
@@ -220,9 +227,9 @@
    * Zones in which so many machines are silent at once that a network partition is more likely than
    * broken machines. Inside the zone they may still be reachable and run their tasks.
    */
-  private Set<String> cutZones(Set<String> silent) {
+  private Set<String> partitionedZones(Set<String> silent) {
     Map<String, int[]> zones = new HashMap<>();
-    for (Listed l : inventory.listed()) {
+    for (ListedMachine l : inventory.listed()) {
       if (l.running()) {
         int[] counts = zones.computeIfAbsent(l.kind().zone(), z -> new int[2]);
         counts[0]++;
@@ -232,22 +239,23 @@
     Set<String> partitioned = new HashSet<>();
     zones.forEach(
         (zone, counts) -> {
-          if (counts[1] >= CUT_LEAST && counts[1] > counts[0] * CUT_PART) {
+          if (counts[1] >= PARTITION_MIN_SILENT
+              && counts[1] > counts[0] * PARTITION_SILENT_FRACTION) {
             partitioned.add(zone);
           }
         });
     return partitioned;
   }
 
-  private static boolean heard(Room.Seen seen) {
-    return seen != null && seen.view().settled() && !seen.view().lost();
+  private static boolean isReporting(MachineTable.Entry seen) {
+    return seen != null && seen.view().tokenAcknowledged() && !seen.view().leaseExpired();
   }
 
   /** Running listed machines from which no controller receives reports. */
   private Set<String> silentHosts(Set<String> reporting) {
     Set<String> silent = new HashSet<>();
-    for (Listed l : inventory.listed()) {
-      if (!l.failed() && !l.booting() && silent(l, room.get(l.host()), reporting)) {
+    for (ListedMachine l : inventory.listed()) {
+      if (!l.failed() && !l.booting() && isSilent(l, room.get(l.host()), reporting)) {
         silent.add(l.host());
       }
     }
@@ -255,12 +263,12 @@
   }
 
   /** Whether no controller receives the machine's reports, as far as this controller knows. */
-  private boolean silent(Listed l, Room.Seen seen, Set<String> reporting) {
+  private boolean isSilent(ListedMachine l, MachineTable.Entry seen, Set<String> reporting) {
     if (seen != null) {
-      return seen.view().lost();
+      return seen.view().leaseExpired();
     }
-    Holds.Hold hold = holds.of(l.host(), l.kind().zone());
-    if (hold == null || hold.dead()) {
+    HoldTable.Hold hold = holds.holdOf(l.host(), l.kind().zone());
+    if (hold == null || hold.machineDeleted()) {
       return hold != null;
     }
     // A live holder that reports to this controller would have sent a view of the machine.
--- a/src/main/java/dev/dunefront/fleet/Kind.java
+++ b/src/main/java/dev/dunefront/fleet/MachineKind.java
@@ -5,11 +5,14 @@
  * up the kind of every machine, so both methods are written out for speed: strings cache their
  * hashes, and most compared kinds are the same object.
  */
-record Kind(String type, String zone, boolean spot) {
+record MachineKind(String type, String zone, boolean spot) {
   @Override
   public boolean equals(Object o) {
     return this == o
-        || o instanceof Kind k && spot == k.spot && type.equals(k.type) && zone.equals(k.zone);
+        || o instanceof MachineKind k
+            && spot == k.spot
+            && type.equals(k.type)
+            && zone.equals(k.zone);
   }
 
   @Override
--- a/src/main/java/dev/dunefront/fleet/ReturnReason.java
+++ b/src/main/java/dev/dunefront/fleet/ReturnReason.java
@@ -1,6 +1,6 @@
 package dev.dunefront.fleet;
 
-import dev.dunefront.peer.Message.View;
+import dev.dunefront.peer.Message.MachineView;
 
 /**
  * Why a machine is returned, and whether a recorded deletion without a confirmation still applies
@@ -15,15 +15,15 @@
   QUARANTINED("it is quarantined because tasks fail on it"),
   UNLISTED("it neither reports nor is listed");
 
-  private final String reason;
+  private final String description;
 
   ReturnReason(String description) {
-    this.reason = description;
+    this.description = description;
   }
 
   /** The reason as it appears in the log. */
-  String reason() {
-    return reason;
+  String description() {
+    return description;
   }
 
   /** The reason of that name; {@code IDLE}, the most restrictive, for one of a newer version. */
@@ -40,8 +40,8 @@
    * Whether a deletion that does not apply now may apply later: no controller holds the machine
    * yet, or its holder has not closed it yet.
    */
-  boolean mayStand(View view) {
-    return this == IDLE && (view == null || view.idle() && !stands(view));
+  boolean mayApplyLater(MachineView view) {
+    return this == IDLE && (view == null || view.idle() && !stillApplies(view));
   }
 
   /**
@@ -51,12 +51,12 @@
    *
    * @param view the holder's view of the machine, or null if no controller holds it
    */
-  boolean stands(View view) {
+  boolean stillApplies(MachineView view) {
     if (view == null) {
       // Its former holder may hold it again shortly, with tasks placed on it in the meantime.
       return this != IDLE;
     }
-    if (view.lost()) {
+    if (view.leaseExpired()) {
       return true;
     }
     return switch (this) {
@@ -64,8 +64,8 @@
       case QUARANTINED -> view.quarantined();
       // The cloud reported the failure, and it lists no running machine as failed.
       case FAILED -> true;
-      case UNLISTED -> !view.settled();
-      case DEAF -> view.deaf();
+      case UNLISTED -> !view.tokenAcknowledged();
+      case DEAF -> view.unresponsive();
       case NOT_BOOTING, SILENT -> false;
     };
   }
--- a/src/main/java/dev/dunefront/job/JobApi.java
+++ b/src/main/java/dev/dunefront/job/JobApi.java
@@ -2,18 +2,18 @@
 
 import dev.dunefront.claim.Claims;
 import dev.dunefront.config.Settings;
-import dev.dunefront.fleet.Catalog;
+import dev.dunefront.fleet.MachineCatalog;
 import dev.dunefront.job.JobRecord.Status;
 import dev.dunefront.net.DecisionLock;
-import dev.dunefront.net.HttpServer.Answer;
+import dev.dunefront.net.HttpServer.Responder;
 import dev.dunefront.net.Timers;
 import dev.dunefront.peer.Message;
 import dev.dunefront.peer.Peers;
 import dev.dunefront.store.Membership;
-import dev.dunefront.store.Proofs;
-import dev.dunefront.store.Store;
-import dev.dunefront.store.Store.Outcome;
-import dev.dunefront.store.Store.Urgency;
+import dev.dunefront.store.ReadBarrier;
+import dev.dunefront.store.StateStore;
+import dev.dunefront.store.StateStore.Outcome;
+import dev.dunefront.store.StateStore.RequestPriority;
 import dev.dunefront.store.Txn;
 import dev.dunefront.wire.JobSpec;
 import java.lang.System.Logger.Level;
@@ -27,46 +27,46 @@
 /**
  * The users' requests. Nothing is said before it is written, and what may still change is proven
  * anew for every answer: what changes it is based on a read, what only asks on a proof that is
- * shared ({@link Proofs}). What cannot be served is refused at once.
+ * shared ({@link ReadBarrier}). What cannot be served is refused at once.
  */
 public final class JobApi {
   private static final System.Logger LOG = System.getLogger(JobApi.class.getName());
-  private static final int TRIES = 5;
+  private static final int MAX_CANCEL_TRIES = 5;
 
   /** How long the proof that a cancelled job's tasks are gone mostly takes at the most. */
-  private static final double END_S = 0.5;
+  private static final double CANCEL_WAIT_S = 0.5;
 
   private final JobTable jobs;
   private final Claims claims;
-  private final Store store;
+  private final StateStore store;
   private final Peers peers;
   private final Timers timers;
   private final DecisionLock decisionLock;
 
   /** Questions about jobs that are not in the replica cost a read each; so many at a time. */
-  private static final int MOST_READ = 32;
+  private static final int MAX_CONCURRENT_READS = 32;
 
-  private final Proofs proofs;
+  private final ReadBarrier proofs;
   private final Submissions submissions;
-  private int reading;
+  private int readsInFlight;
 
   /**
    * Live jobs whose cancellation had no answer: if it shows in the record, the others are to be
    * told. Whatever becomes of it, each is forgotten when its live record is gone.
    */
-  private final Set<String> toTell = new HashSet<>();
+  private final Set<String> unannouncedCancellations = new HashSet<>();
 
   /** Who waits for the end of a cancelled job. */
-  private final Map<String, List<Answer>> ends = new HashMap<>();
+  private final Map<String, List<Responder>> cancelWaiters = new HashMap<>();
 
   public JobApi(
       Settings settings,
       Membership membership,
       JobTable jobs,
       Claims claims,
-      Catalog catalog,
-      Store store,
-      Proofs proofs,
+      MachineCatalog catalog,
+      StateStore store,
+      ReadBarrier proofs,
       Peers peers,
       Timers timers,
       DecisionLock decisionLock) {
@@ -78,59 +78,60 @@
     this.decisionLock = decisionLock;
     this.proofs = proofs;
     this.submissions = new Submissions(settings, membership, jobs, claims, catalog, store, timers);
-    jobs.listen((id, before, entry) -> changed(id, entry));
+    jobs.addListener((id, before, entry) -> onJobChanged(id, entry));
   }
 
-  public void submit(byte[] body, Answer answer) {
+  public void submit(byte[] body, Responder answer) {
     submissions.submit(body, answer);
   }
 
   // ---- poll ----
 
-  public void poll(String id, Answer answer) {
-    if (!JobSpec.isId(id)) {
-      answer.send(404, Answers.error("no such job"));
+  public void poll(String id, Responder answer) {
+    if (!JobSpec.isValidId(id)) {
+      answer.send(404, JobResponses.errorBody("no such job"));
       return;
     }
     Status known = jobs.finalStatus(id);
     if (known != null) {
-      answer.send(200, Answers.status(claims, id, known, jobs.get(id)));
+      answer.send(200, JobResponses.statusBody(claims, id, known, jobs.get(id)));
       return;
     }
-    if (store.down()) {
-      Answers.again(answer);
+    if (store.unavailable()) {
+      JobResponses.sendRetryLater(answer);
       return;
     }
-    proofs.await(
+    proofs.whenCurrent(
         proven -> {
           if (!proven) {
-            Answers.again(answer);
+            JobResponses.sendRetryLater(answer);
             return;
           }
-          JobTable.Found live = jobs.shown(id);
+          JobTable.LookupResult live = jobs.lookUpLocally(id);
           if (live != null) {
-            polled(id, live, answer);
-          } else if (reading >= MOST_READ) {
-            Answers.again(answer);
+            respondToPoll(id, live, answer);
+          } else if (readsInFlight >= MAX_CONCURRENT_READS) {
+            JobResponses.sendRetryLater(answer);
           } else {
             // Over and forgotten here, or never submitted.
-            reading++;
-            jobs.readEnded(
+            readsInFlight++;
+            jobs.readFinalStatus(
                 id,
-                Urgency.USER,
+                RequestPriority.USER,
                 found -> {
-                  reading--;
-                  polled(id, found, answer);
+                  readsInFlight--;
+                  respondToPoll(id, found, answer);
                 });
           }
         });
   }
 
-  private void polled(String id, JobTable.Found found, Answer answer) {
+  private void respondToPoll(String id, JobTable.LookupResult found, Responder answer) {
     switch (found.outcome()) {
-      case OK -> answer.send(200, Answers.status(claims, id, found.status(), found.entry()));
-      case MISSING -> answer.send(404, Answers.error("no such job"));
-      default -> Answers.again(answer);
+      case OK ->
+          answer.send(200, JobResponses.statusBody(claims, id, found.status(), found.entry()));
+      case NOT_FOUND -> answer.send(404, JobResponses.errorBody("no such job"));
+      default -> JobResponses.sendRetryLater(answer);
     }
   }
 
@@ -142,132 +143,132 @@
    * beyond the time within which users have been promised that nothing runs. Mostly the proof takes
    * a fraction of a second; where it takes longer the user is told to come back.
    */
-  public void cancel(String id, Answer answer) {
-    if (!JobSpec.isId(id)) {
-      answer.send(404, Answers.error("no such job"));
+  public void cancel(String id, Responder answer) {
+    if (!JobSpec.isValidId(id)) {
+      answer.send(404, JobResponses.errorBody("no such job"));
       return;
     }
-    cancel(id, answer, TRIES);
+    cancel(id, answer, MAX_CANCEL_TRIES);
   }
 
-  private void cancel(String id, Answer answer, int tries) {
+  private void cancel(String id, Responder answer, int tries) {
     Status known = jobs.finalStatus(id);
     if (known != null) {
-      answer.send(200, Answers.status(claims, id, known, jobs.get(id)));
+      answer.send(200, JobResponses.statusBody(claims, id, known, jobs.get(id)));
       return;
     }
-    if (store.down() || tries == 0) {
-      Answers.again(answer);
+    if (store.unavailable() || tries == 0) {
+      JobResponses.sendRetryLater(answer);
       return;
     }
-    jobs.read(
+    jobs.readCurrent(
         id,
-        Urgency.USER,
+        RequestPriority.USER,
         found -> {
-          if (found.outcome() == Outcome.MISSING) {
-            answer.send(404, Answers.error("no such job"));
+          if (found.outcome() == Outcome.NOT_FOUND) {
+            answer.send(404, JobResponses.errorBody("no such job"));
           } else if (found.outcome() != Outcome.OK) {
-            Answers.again(answer);
+            JobResponses.sendRetryLater(answer);
           } else if (found.status() != Status.OPEN) {
             // A job that is done stays done, also while its last chunks are still being removed.
-            answer.send(200, Answers.status(claims, id, found.status(), found.entry()));
+            answer.send(200, JobResponses.statusBody(claims, id, found.status(), found.entry()));
           } else if (found.entry().record().status() == Status.CANCELLED) {
             // Its writer may never have heard that it was written, and have told nobody.
-            tellCancelled(id);
-            awaitEnd(id, answer);
+            broadcastCancellation(id);
+            awaitFinalStatus(id, answer);
           } else {
-            record(found.entry(), answer, tries);
+            recordCancellation(found.entry(), answer, tries);
           }
         });
   }
 
   /** Records that the job is to end. Of one that was never claimed no task can be anywhere. */
-  private void record(JobTable.Entry entry, Answer answer, int tries) {
+  private void recordCancellation(JobTable.Entry entry, Responder answer, int tries) {
     JobRecord old = entry.record();
     String id = old.spec().id();
     boolean untouched = old.term() == 0;
-    JobRecord next = old.with(Status.CANCELLED);
-    String mark = store.newMark();
-    Txn txn = new Txn().when(JobRecord.key(id), entry.stamp());
+    JobRecord next = old.withStatus(Status.CANCELLED);
+    String mark = store.newWriteId();
+    Txn txn = new Txn().requireRevision(JobRecord.key(id), entry.revision());
     if (untouched) {
-      txn.put(JobRecord.finalKey(id), JobRecord.writeFinal(Status.CANCELLED, mark))
+      txn.put(JobRecord.finalKey(id), JobRecord.finalToDocument(Status.CANCELLED, mark))
           .remove(JobRecord.key(id));
     } else {
-      txn.put(JobRecord.key(id), next.write(mark));
+      txn.put(JobRecord.key(id), next.toDocument(mark));
     }
     store.tryTxn(
         txn,
-        Urgency.USER,
+        RequestPriority.USER,
         done -> {
           if (done.ok()) {
             LOG.log(Level.INFO, "cancelling {0}", id);
             if (untouched) {
-              jobs.finished(id, Status.CANCELLED, done.revision());
+              jobs.applyOwnFinalWrite(id, Status.CANCELLED, done.revision());
             } else {
-              jobs.wrote(id, next, mark, done.revision());
-              tellCancelled(id);
+              jobs.applyOwnWrite(id, next, mark, done.revision());
+              broadcastCancellation(id);
             }
-            awaitEnd(id, answer);
+            awaitFinalStatus(id, answer);
           } else if (done.outcome() == Outcome.CONFLICT) {
             cancel(id, answer, tries - 1);
           } else {
-            if (done.outcome() == Outcome.UNCLEAR) {
+            if (done.outcome() == Outcome.UNKNOWN) {
               // It may have been carried out, now or earlier, or yet be.
-              toTell.add(id);
-              changed(id, jobs.get(id));
+              unannouncedCancellations.add(id);
+              onJobChanged(id, jobs.get(id));
             }
-            Answers.again(answer);
+            JobResponses.sendRetryLater(answer);
           }
         });
   }
 
   /** Whoever the state service refuses hears of it in this way alone. */
-  private void tellCancelled(String id) {
-    toTell.remove(id);
-    peers.broadcast(new Message.Cancelled(id));
+  private void broadcastCancellation(String id) {
+    unannouncedCancellations.remove(id);
+    peers.broadcast(new Message.JobCancelled(id));
   }
 
   /** A live record has changed; something of ours may show that has no answer. */
-  private void changed(String id, JobTable.Entry entry) {
+  private void onJobChanged(String id, JobTable.Entry entry) {
     if (entry != null) {
-      submissions.shown(id, entry);
+      submissions.onRecordReplicated(id, entry);
     }
-    if (toTell.contains(id)) {
+    if (unannouncedCancellations.contains(id)) {
       if (entry == null) {
-        toTell.remove(id);
+        unannouncedCancellations.remove(id);
       } else if (entry.record().status() == Status.CANCELLED) {
-        tellCancelled(id);
+        broadcastCancellation(id);
       }
     }
-    ended(id);
+    completeCancelWaiters(id);
   }
 
-  private void awaitEnd(String id, Answer answer) {
+  private void awaitFinalStatus(String id, Responder answer) {
     Status known = jobs.finalStatus(id);
     if (known != null) {
-      answer.send(200, Answers.status(claims, id, known, null));
+      answer.send(200, JobResponses.statusBody(claims, id, known, null));
       return;
     }
-    ends.computeIfAbsent(id, k -> new ArrayList<>()).add(answer);
+    cancelWaiters.computeIfAbsent(id, k -> new ArrayList<>()).add(answer);
     timers.after(
-        END_S,
+        CANCEL_WAIT_S,
         () ->
             decisionLock.run(
                 () -> {
-                  List<Answer> waiting = ends.get(id);
+                  List<Responder> waiting = cancelWaiters.get(id);
                   if (waiting != null && waiting.remove(answer)) {
-                    Answers.again(answer);
-                    ends.remove(id, List.of());
+                    JobResponses.sendRetryLater(answer);
+                    cancelWaiters.remove(id, List.of());
                   }
                 }));
   }
 
-  private void ended(String id) {
+  private void completeCancelWaiters(String id) {
     Status known = jobs.finalStatus(id);
     if (known != null) {
-      List<Answer> waiting = ends.remove(id);
+      List<Responder> waiting = cancelWaiters.remove(id);
       if (waiting != null) {
-        waiting.forEach(a -> a.send(200, Answers.status(claims, id, known, null)));
+        waiting.forEach(a -> a.send(200, JobResponses.statusBody(claims, id, known, null)));
       }
     }
   }
--- a/src/main/java/dev/dunefront/job/Answers.java
+++ b/src/main/java/dev/dunefront/job/JobResponses.java
@@ -1,19 +1,19 @@
 package dev.dunefront.job;
 
-import dev.dunefront.claim.Account;
 import dev.dunefront.claim.Claims;
+import dev.dunefront.claim.JobStatistics;
 import dev.dunefront.job.JobRecord.Status;
-import dev.dunefront.net.HttpServer.Answer;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.net.HttpServer.Responder;
+import dev.dunefront.wire.Document;
 
 /** What users are answered. */
-final class Answers {
-  private static final int AGAIN_S = 1;
+final class JobResponses {
+  private static final int RETRY_AFTER_S = 1;
 
-  private Answers() {}
+  private JobResponses() {}
 
-  static byte[] status(Claims claims, String id, Status status, JobTable.Entry entry) {
-    Account.Counts counts = claims.account().counts(id);
+  static byte[] statusBody(Claims claims, String id, Status status, JobTable.Entry entry) {
+    JobStatistics.Counts counts = claims.statistics().counts(id);
     int done = counts.done();
     int running = counts.running();
     if (status == Status.DONE && entry != null) {
@@ -25,7 +25,7 @@
           case DONE -> "done";
           case CANCELLED -> "cancelled";
         };
-    return Doc.of()
+    return Document.create()
         .put("id", id)
         .put("status", word)
         .put("done", done)
@@ -33,11 +33,11 @@
         .encode();
   }
 
-  static byte[] error(String what) {
-    return Doc.of().put("error", what).encode();
+  static byte[] errorBody(String what) {
+    return Document.create().put("error", what).encode();
   }
 
-  static void again(Answer answer) {
-    answer.send(503, error("not now"), AGAIN_S);
+  static void sendRetryLater(Responder answer) {
+    answer.send(503, errorBody("not now"), RETRY_AFTER_S);
   }
 }
--- a/src/main/java/dev/dunefront/job/Cancellations.java
+++ b/src/main/java/dev/dunefront/job/PendingCancellations.java
@@ -15,41 +15,44 @@
  *
  * <p>The record is the fact. Nobody may say this of a job before its record says so.
  */
-public final class Cancellations {
-  /** Far more than wait at any time; see {@link JobTable#tidy} for those of which nobody tells. */
-  private static final int MOST = 10_000;
+public final class PendingCancellations {
+  /**
+   * Far more than wait at any time; see {@link JobTable#verifyOldestCancellation} for those of
+   * which nobody tells.
+   */
+  private static final int MAX_ENTRIES = 10_000;
 
   private final Timers timers;
-  private final Map<String, Double> since =
+  private final Map<String, Double> addedAt =
       new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Double> eldest) {
-          return size() > MOST;
+          return size() > MAX_ENTRIES;
         }
       };
 
-  Cancellations(Timers timers) {
+  PendingCancellations(Timers timers) {
     this.timers = timers;
   }
 
   /** The job's record says that it is to end. */
   void add(String id) {
-    since.putIfAbsent(id, timers.now());
+    addedAt.putIfAbsent(id, timers.now());
   }
 
   /** The job's end is recorded. */
   void remove(String id) {
-    since.remove(id);
+    addedAt.remove(id);
   }
 
   boolean contains(String id) {
-    return since.containsKey(id);
+    return addedAt.containsKey(id);
   }
 
   /** The oldest that is known for so long and that the condition holds for, or null. */
   String oldest(double forS, Predicate<String> condition) {
     double until = timers.now() - forS;
-    for (var e : since.entrySet()) {
+    for (var e : addedAt.entrySet()) {
       if (e.getValue() > until) {
         return null;
       }
@@ -62,15 +65,15 @@
 
   /** All of them, the oldest first. */
   public List<String> all() {
-    return List.copyOf(since.keySet());
+    return List.copyOf(addedAt.keySet());
   }
 
-  public int waiting() {
-    return since.size();
+  public int count() {
+    return addedAt.size();
   }
 
   /** For how long the oldest has been known here, in whole seconds; 0 if there is none. */
   public int oldestS() {
-    return since.isEmpty() ? 0 : (int) (timers.now() - since.values().iterator().next());
+    return addedAt.isEmpty() ? 0 : (int) (timers.now() - addedAt.values().iterator().next());
   }
 }
--- a/src/main/java/dev/dunefront/job/Submissions.java
+++ b/src/main/java/dev/dunefront/job/Submissions.java
@@ -2,20 +2,20 @@
 
 import dev.dunefront.claim.Claims;
 import dev.dunefront.config.Settings;
-import dev.dunefront.fleet.Catalog;
+import dev.dunefront.fleet.MachineCatalog;
 import dev.dunefront.job.JobRecord.Status;
-import dev.dunefront.net.HttpServer.Answer;
+import dev.dunefront.net.HttpServer.Responder;
 import dev.dunefront.net.Timers;
 import dev.dunefront.store.Membership;
-import dev.dunefront.store.Store;
-import dev.dunefront.store.Store.Outcome;
-import dev.dunefront.store.Store.Urgency;
+import dev.dunefront.store.StateStore;
+import dev.dunefront.store.StateStore.Outcome;
+import dev.dunefront.store.StateStore.RequestPriority;
 import dev.dunefront.store.Txn;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.wire.Document;
 import dev.dunefront.wire.JobSpec;
 import dev.dunefront.wire.MachineType;
-import dev.dunefront.wire.Size;
+import dev.dunefront.wire.MalformedMessageException;
+import dev.dunefront.wire.Resources;
 import java.lang.System.Logger.Level;
 import java.util.HashMap;
 import java.util.Map;
@@ -29,20 +29,20 @@
   private final Membership membership;
   private final JobTable jobs;
   private final Claims claims;
-  private final Catalog catalog;
-  private final Store store;
+  private final MachineCatalog catalog;
+  private final StateStore store;
   private final Timers timers;
 
   /** Submissions that are being written. */
-  private final Map<String, Acceptance> accepting = new HashMap<>();
+  private final Map<String, PendingSubmission> pendingSubmissions = new HashMap<>();
 
   Submissions(
       Settings settings,
       Membership membership,
       JobTable jobs,
       Claims claims,
-      Catalog catalog,
-      Store store,
+      MachineCatalog catalog,
+      StateStore store,
       Timers timers) {
     this.settings = settings;
     this.membership = membership;
@@ -53,47 +53,48 @@
     this.timers = timers;
   }
 
-  void submit(byte[] body, Answer answer) {
+  void submit(byte[] body, Responder answer) {
     JobSpec spec;
     try {
-      spec = JobSpec.submitted(Doc.decode(body));
-    } catch (BadMessage e) {
+      spec = JobSpec.fromSubmission(Document.decode(body));
+    } catch (MalformedMessageException e) {
       LOG.log(Level.INFO, "a submission is malformed: {0}", e.getMessage());
-      answer.send(400, Answers.error(e.getMessage()));
+      answer.send(400, JobResponses.errorBody(e.getMessage()));
       return;
     }
     if (jobs.finalStatus(spec.id()) != null) {
-      answer.send(200, Answers.status(claims, spec.id(), jobs.finalStatus(spec.id()), null));
+      answer.send(
+          200, JobResponses.statusBody(claims, spec.id(), jobs.finalStatus(spec.id()), null));
       return;
     }
-    if (store.down() || membership.self() == null) {
-      Answers.again(answer);
+    if (store.unavailable() || membership.ownIncarnation() == null) {
+      JobResponses.sendRetryLater(answer);
       return;
     }
-    String reason = neverRuns(spec);
+    String reason = rejectionReason(spec);
     if (jobs.get(spec.id()) != null || reason != null) {
       // A known job is never refused, whatever would be said of it today.
-      repeated(spec, reason, answer);
-    } else if (!catalog.known()) {
-      Answers.again(answer);
+      respondWithCurrentStatus(spec, reason, answer);
+    } else if (!catalog.isLoaded()) {
+      JobResponses.sendRetryLater(answer);
     } else {
       accept(spec, answer);
     }
   }
 
-  private void accept(JobSpec spec, Answer answer) {
-    String claim = claims.admitsAtOnce(spec) ? membership.self() : null;
+  private void accept(JobSpec spec, Responder answer) {
+    String claim = claims.admitsAtOnce(spec) ? membership.ownIncarnation() : null;
     JobRecord record =
-        new JobRecord(spec, timers.timeOfDayMs(), claim, claim == null ? 0 : 1, Status.OPEN, 0);
-    String mark = store.newMark();
-    Acceptance under = new Acceptance(answer);
-    accepting.putIfAbsent(spec.id(), under);
+        new JobRecord(spec, timers.wallClockMs(), claim, claim == null ? 0 : 1, Status.OPEN, 0);
+    String mark = store.newWriteId();
+    PendingSubmission under = new PendingSubmission(answer);
+    pendingSubmissions.putIfAbsent(spec.id(), under);
     store.tryTxn(
         new Txn()
-            .when(JobRecord.key(spec.id()), 0)
-            .when(JobRecord.finalKey(spec.id()), 0)
-            .put(JobRecord.key(spec.id()), record.write(mark)),
-        Urgency.USER,
+            .requireRevision(JobRecord.key(spec.id()), 0)
+            .requireRevision(JobRecord.finalKey(spec.id()), 0)
+            .put(JobRecord.key(spec.id()), record.toDocument(mark)),
+        RequestPriority.USER,
         done -> {
           if (done.ok()) {
             LOG.log(
@@ -103,27 +104,27 @@
                 spec.tasks(),
                 spec.jobClass(),
                 spec.team());
-            jobs.wrote(spec.id(), record, mark, done.revision());
+            jobs.applyOwnWrite(spec.id(), record, mark, done.revision());
           }
-          accepting.remove(spec.id(), under);
+          pendingSubmissions.remove(spec.id(), under);
           if (under.answered) {
             return;
           }
           if (done.ok() || done.outcome() == Outcome.CONFLICT) {
             // Known, though not by this write, or over before it was ever shown here.
-            repeated(spec, null, answer);
+            respondWithCurrentStatus(spec, null, answer);
           } else {
-            Answers.again(answer);
+            JobResponses.sendRetryLater(answer);
           }
         });
   }
 
   /** A submission whose record is being written. */
-  private static final class Acceptance {
-    final Answer answer;
+  private static final class PendingSubmission {
+    final Responder answer;
     boolean answered;
 
-    Acceptance(Answer answer) {
+    PendingSubmission(Responder answer) {
       this.answer = answer;
     }
   }
@@ -133,50 +134,51 @@
    * this write or another. Its answer may be lost, and its user would wait for that, be told to
    * come back, and have the job wait as well until its claim is found.
    */
-  void shown(String id, JobTable.Entry entry) {
-    Acceptance under = accepting.remove(id);
+  void onRecordReplicated(String id, JobTable.Entry entry) {
+    PendingSubmission under = pendingSubmissions.remove(id);
     if (under == null) {
       return;
     }
     under.answered = true;
     JobRecord record = entry.record();
-    if (record.heldBy(membership.self()) && record.term() == 1) {
+    if (record.isClaimedBy(membership.ownIncarnation()) && record.term() == 1) {
       claims.adopt(id, true);
     }
-    under.answer.send(201, Answers.status(claims, id, jobs.shown(id).status(), entry));
+    under.answer.send(
+        201, JobResponses.statusBody(claims, id, jobs.lookUpLocally(id).status(), entry));
   }
 
   /** Answers a submission of a job that is, or may be, known; 422 with the reason if it is not. */
-  private void repeated(JobSpec spec, String reason, Answer answer) {
-    jobs.read(
+  private void respondWithCurrentStatus(JobSpec spec, String reason, Responder answer) {
+    jobs.readCurrent(
         spec.id(),
-        Urgency.USER,
+        RequestPriority.USER,
         found -> {
           if (found.outcome() == Outcome.OK) {
-            answer.send(200, Answers.status(claims, spec.id(), found.status(), null));
-          } else if (found.outcome() == Outcome.MISSING && reason != null) {
-            answer.send(422, Answers.error(reason));
+            answer.send(200, JobResponses.statusBody(claims, spec.id(), found.status(), null));
+          } else if (found.outcome() == Outcome.NOT_FOUND && reason != null) {
+            answer.send(422, JobResponses.errorBody(reason));
           } else {
-            Answers.again(answer);
+            JobResponses.sendRetryLater(answer);
           }
         });
   }
 
   /** Why a job can never run, or null. */
-  private String neverRuns(JobSpec spec) {
+  private String rejectionReason(JobSpec spec) {
     Optional<Settings.Team> team = settings.team(spec.team());
     if (team.isEmpty()) {
       return "owner is not a known team";
     }
-    if (!catalog.known()) {
+    if (!catalog.isLoaded()) {
       return null;
     }
-    Size size = spec.size();
+    Resources size = spec.taskResources();
     boolean fits = false;
     for (MachineType t : catalog.types()) {
-      boolean allowed = spec.types() == null || spec.types().contains(t.name());
+      boolean allowed = spec.machineTypes() == null || spec.machineTypes().contains(t.name());
       boolean there = spec.zone() == null || t.zones().isEmpty() || t.zones().contains(spec.zone());
-      fits |= allowed && there && size.fits(t.size());
+      fits |= allowed && there && size.fitsIn(t.resources());
     }
     if (!fits) {
       return "a task fits no allowed machine type";
--- a/src/main/java/dev/dunefront/metrics/Meters.java
+++ b/src/main/java/dev/dunefront/metrics/Meters.java
@@ -28,26 +28,26 @@
     REPORT
   }
 
-  private static final long MOST_MICROS = 60_000_000;
+  private static final long MAX_LATENCY_MICROS = 60_000_000;
   private static final double[] QUANTILES = {0.5, 0.95, 0.99, 1.0};
 
-  private static final class Served {
-    private final Histogram micros = new Histogram(MOST_MICROS, 2);
+  private static final class RequestStats {
+    private final Histogram latencyMicros = new Histogram(MAX_LATENCY_MICROS, 2);
     private long refused;
   }
 
-  private final Map<Request, Served> served = new EnumMap<>(Request.class);
+  private final Map<Request, RequestStats> requestStats = new EnumMap<>(Request.class);
   private final Map<String, IntSupplier> gauges = new LinkedHashMap<>();
-  private final Map<String, Supplier<List<Labelled>>> labelled = new LinkedHashMap<>();
-  private final Map<String, MultiGauge> rows = new LinkedHashMap<>();
+  private final Map<String, Supplier<List<LabelledValue>>> labelledGauges = new LinkedHashMap<>();
+  private final Map<String, MultiGauge> multiGauges = new LinkedHashMap<>();
   private PrometheusMeterRegistry registry;
 
   /** A number for what the labels name. */
-  public record Labelled(Map<String, String> labels, double value) {}
+  public record LabelledValue(Map<String, String> labels, double value) {}
 
   /** Adds numbers by label, of which there may be others at each look. */
-  public void gauges(String name, Supplier<List<Labelled>> values) {
-    labelled.put(name, values);
+  public void gauges(String name, Supplier<List<LabelledValue>> values) {
+    labelledGauges.put(name, values);
   }
 
   /** Adds a number that is asked for whenever somebody looks. */
@@ -56,9 +56,10 @@
   }
 
   /** Counts a request that has been answered. */
-  public void answered(Request request, int status, double seconds) {
-    Served s = served.computeIfAbsent(request, r -> new Served());
-    s.micros.recordValue(Math.max(0, Math.min(MOST_MICROS, Math.round(seconds * 1e6))));
+  public void recordRequest(Request request, int status, double seconds) {
+    RequestStats s = requestStats.computeIfAbsent(request, r -> new RequestStats());
+    s.latencyMicros.recordValue(
+        Math.max(0, Math.min(MAX_LATENCY_MICROS, Math.round(seconds * 1e6))));
     if (status >= 500) {
       s.refused++;
     }
@@ -70,17 +71,20 @@
       registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
       gauges.forEach((name, value) -> Gauge.builder(name, value::getAsInt).register(registry));
       for (Request r : Request.values()) {
-        register(r, served.computeIfAbsent(r, k -> new Served()));
+        register(r, requestStats.computeIfAbsent(r, k -> new RequestStats()));
       }
-      labelled.keySet().forEach(n -> rows.put(n, MultiGauge.builder(n).register(registry)));
+      labelledGauges
+          .keySet()
+          .forEach(n -> multiGauges.put(n, MultiGauge.builder(n).register(registry)));
     }
-    rows.forEach((name, gauge) -> gauge.register(rowsOf(labelled.get(name).get()), true));
+    multiGauges.forEach(
+        (name, gauge) -> gauge.register(toRows(labelledGauges.get(name).get()), true));
     return registry.scrape();
   }
 
-  private static List<MultiGauge.Row<?>> rowsOf(List<Labelled> values) {
+  private static List<MultiGauge.Row<?>> toRows(List<LabelledValue> values) {
     List<MultiGauge.Row<?>> all = new ArrayList<>();
-    for (Labelled l : values) {
+    for (LabelledValue l : values) {
       Tags tags = Tags.empty();
       for (var e : l.labels.entrySet()) {
         tags = tags.and(e.getKey(), e.getValue());
@@ -90,9 +94,9 @@
     return all;
   }
 
-  private void register(Request r, Served s) {
+  private void register(Request r, RequestStats s) {
     String kind = r.name().toLowerCase(java.util.Locale.ROOT);
-    FunctionCounter.builder("dunefront.requests", s, x -> x.micros.getTotalCount())
+    FunctionCounter.builder("dunefront.requests", s, x -> x.latencyMicros.getTotalCount())
         .tag("kind", kind)
         .register(registry);
     FunctionCounter.builder("dunefront.requests.refused", s, x -> x.refused)
@@ -100,7 +104,9 @@
         .register(registry);
     for (double q : QUANTILES) {
       Gauge.builder(
-              "dunefront.request.seconds", s, x -> x.micros.getValueAtPercentile(q * 100) / 1e6)
+              "dunefront.request.seconds",
+              s,
+              x -> x.latencyMicros.getValueAtPercentile(q * 100) / 1e6)
           .tag("kind", kind)
           .tag("quantile", Double.toString(q))
           .register(registry);
--- a/src/main/java/dev/dunefront/metrics/SafetyMonitor.java
+++ b/src/main/java/dev/dunefront/metrics/SafetyMonitor.java
@@ -19,23 +19,23 @@
 public final class SafetyMonitor {
   private static final System.Logger LOG = System.getLogger(SafetyMonitor.class.getName());
 
-  private final Map<EndProof.Kind, Integer> ends = new EnumMap<>(EndProof.Kind.class);
+  private final Map<EndProof.Kind, Integer> endsByProof = new EnumMap<>(EndProof.Kind.class);
   private final Map<StartRefusal, Integer> refusals = new EnumMap<>(StartRefusal.class);
   private final Map<Invariant, Integer> violations = new EnumMap<>(Invariant.class);
-  private double oldestBasisS;
+  private double maxProofAgeS;
   private int straysSeen;
-  private int straysGone;
+  private int straysResolved;
 
   /** An attempt was proven over. */
-  public void ended(EndProof proof) {
-    ends.merge(proof.kind(), 1, Integer::sum);
+  public void attemptEnded(EndProof proof) {
+    endsByProof.merge(proof.kind(), 1, Integer::sum);
     if (proof.conditional()) {
-      oldestBasisS = Math.max(oldestBasisS, proof.basis().ageS());
+      maxProofAgeS = Math.max(maxProofAgeS, proof.basis().ageS());
     }
   }
 
   /** A start was refused. */
-  public void refused(StartRefusal reason) {
+  public void startRefused(StartRefusal reason) {
     refusals.merge(reason, 1, Integer::sum);
   }
 
@@ -45,8 +45,8 @@
   }
 
   /** So many of them are gone, or nothing more is known of it here. */
-  public void straysGone(int count) {
-    straysGone += count;
+  public void straysResolved(int count) {
+    straysResolved += count;
   }
 
   /**
@@ -55,7 +55,7 @@
    *
    * @param facts what is known of it, for the log
    */
-  public void violated(Invariant invariant, String facts) {
+  public void invariantViolated(Invariant invariant, String facts) {
     violations.merge(invariant, 1, Integer::sum);
     LOG.log(Level.ERROR, "invariant violated: {0}: {1}", invariant, facts);
   }
@@ -67,21 +67,22 @@
 
   /** Registers all counts. */
   public void register(Meters meters) {
-    meters.gauges("dunefront.attempts.ended", () -> rows("proof", ends));
-    meters.gauges("dunefront.starts.refused", () -> rows("reason", refusals));
-    meters.gauges("dunefront.invariants.violated", () -> rows("invariant", violations));
-    meters.gauge("dunefront.proofs.oldest.ms", () -> (int) Math.round(oldestBasisS * 1000));
+    meters.gauges("dunefront.attempts.ended", () -> labelledValues("proof", endsByProof));
+    meters.gauges("dunefront.starts.refused", () -> labelledValues("reason", refusals));
+    meters.gauges("dunefront.invariants.violated", () -> labelledValues("invariant", violations));
+    meters.gauge("dunefront.proofs.oldest.ms", () -> (int) Math.round(maxProofAgeS * 1000));
     meters.gauge("dunefront.strays.seen", () -> straysSeen);
-    meters.gauge("dunefront.strays.outstanding", () -> straysSeen - straysGone);
+    meters.gauge("dunefront.strays.outstanding", () -> straysSeen - straysResolved);
   }
 
-  private static <K extends Enum<K>> List<Meters.Labelled> rows(
+  private static <K extends Enum<K>> List<Meters.LabelledValue> labelledValues(
       String label, Map<K, Integer> counts) {
-    List<Meters.Labelled> rows = new ArrayList<>();
+    List<Meters.LabelledValue> rows = new ArrayList<>();
     counts.forEach(
         (key, count) ->
             rows.add(
-                new Meters.Labelled(Map.of(label, key.name().toLowerCase(Locale.ROOT)), count)));
+                new Meters.LabelledValue(
+                    Map.of(label, key.name().toLowerCase(Locale.ROOT)), count)));
     return rows;
   }
 }
--- a/src/main/java/dev/dunefront/net/DecisionLock.java
+++ b/src/main/java/dev/dunefront/net/DecisionLock.java
@@ -6,7 +6,7 @@
 
 /**
  * One short lock round a controller's decisions. Decisions change memory only; what they want sent
- * is queued with {@link #then} and runs, in order, after the lock is released.
+ * is queued with {@link #defer} and runs, in order, after the lock is released.
  *
  * <p>A decision or an effect that throws ends itself and nothing else: loops are chains of timers
  * and answers, and an exception that went through would end the chain while the process lives on.
@@ -14,48 +14,48 @@
  */
 public final class DecisionLock {
   private final ReentrantLock lock = new ReentrantLock();
-  private final ArrayDeque<Runnable> effects = new ArrayDeque<>();
-  private final Consumer<RuntimeException> failed;
-  private Runnable entering = () -> {};
-  private boolean draining;
+  private final ArrayDeque<Runnable> deferredActions = new ArrayDeque<>();
+  private final Consumer<RuntimeException> failureListener;
+  private Runnable beforeDecision = () -> {};
+  private boolean runningDeferred;
 
   /** {@code failed} hears of every decision or effect that has thrown. */
   public DecisionLock(Consumer<RuntimeException> failed) {
-    this.failed = failed;
+    this.failureListener = failed;
   }
 
   /** What is run inside the lock before each decision. */
-  public void onEntering(Runnable action) {
-    entering = action;
+  public void beforeEachDecision(Runnable action) {
+    beforeDecision = action;
   }
 
   public void run(Runnable decision) {
     lock.lock();
     try {
       if (lock.getHoldCount() == 1) {
-        guarded(entering);
+        runCatching(beforeDecision);
       }
-      guarded(decision);
+      runCatching(decision);
     } finally {
       lock.unlock();
     }
-    drain();
+    runDeferred();
   }
 
-  private void guarded(Runnable action) {
+  private void runCatching(Runnable action) {
     try {
       action.run();
     } catch (RuntimeException e) {
-      failed.accept(e);
+      failureListener.accept(e);
     }
   }
 
   /** Queues what has to happen outside the lock. */
-  public void then(Runnable effect) {
-    effects.add(effect);
+  public void defer(Runnable effect) {
+    deferredActions.add(effect);
   }
 
-  private void drain() {
+  private void runDeferred() {
     if (lock.isHeldByCurrentThread()) {
       return;
     }
@@ -63,19 +63,19 @@
       Runnable next;
       lock.lock();
       try {
-        if (draining || effects.isEmpty()) {
+        if (runningDeferred || deferredActions.isEmpty()) {
           return;
         }
-        next = effects.poll();
-        draining = true;
+        next = deferredActions.poll();
+        runningDeferred = true;
       } finally {
         lock.unlock();
       }
       try {
-        guarded(next);
+        runCatching(next);
       } finally {
         lock.lock();
-        draining = false;
+        runningDeferred = false;
         lock.unlock();
       }
     }
--- a/src/main/java/dev/dunefront/net/Caller.java
+++ b/src/main/java/dev/dunefront/net/HttpCaller.java
@@ -3,10 +3,10 @@
 import java.util.function.Consumer;
 
 /** Makes HTTP calls. The answer always comes, within the deadline: a hung call yields UNCLEAR. */
-public interface Caller {
+public interface HttpCaller {
   /** An answer; status 0 means that none came and the request may or may not be carried out. */
-  record Reply(int status, byte[] body, double retryAfterS) {
-    public static final Reply UNCLEAR = new Reply(0, new byte[0], 0);
+  record Response(int status, byte[] body, double retryAfterS) {
+    public static final Response NO_RESPONSE = new Response(0, new byte[0], 0);
 
     public boolean ok() {
       return status == 200;
@@ -19,5 +19,5 @@
       String path,
       byte[] body,
       double deadlineS,
-      Consumer<Reply> then);
+      Consumer<Response> then);
 }
--- a/src/main/java/dev/dunefront/net/HttpServer.java
+++ b/src/main/java/dev/dunefront/net/HttpServer.java
@@ -14,16 +14,16 @@
 /** The HTTP server for users, workers and health checks. */
 public final class HttpServer {
   /** The largest body that is taken. */
-  public static final int MAX_BODY = 64 * 1024;
+  public static final int MAX_BODY_BYTES = 64 * 1024;
 
   /** The one path whose answer is text for people and their tools. */
-  public static final String TEXT_PATH = "/metrics";
+  public static final String METRICS_PATH = "/metrics";
 
   /** A request with its whole body. */
   public record Request(String method, String path, String query, byte[] body) {}
 
   /** Takes an answer once; only the first counts. */
-  public interface Answer {
+  public interface Responder {
     void send(int status, byte[] body, int retryAfterS);
 
     default void send(int status, byte[] body) {
@@ -33,7 +33,7 @@
 
   /** What serves the requests; it must answer each one, now or later. */
   public interface Handler {
-    void handle(Request request, Answer answer);
+    void handle(Request request, Responder answer);
   }
 
   private HttpServer() {}
@@ -54,13 +54,13 @@
   }
 
   private static void receive(HttpServerExchange exchange, Handler handler) {
-    if (exchange.getRequestContentLength() > MAX_BODY) {
+    if (exchange.getRequestContentLength() > MAX_BODY_BYTES) {
       exchange.setPersistent(false);
-      answer(exchange).send(413, null);
+      responder(exchange).send(413, null);
       return;
     }
     Receiver receiver = exchange.getRequestReceiver();
-    receiver.setMaxBufferSize(MAX_BODY);
+    receiver.setMaxBufferSize(MAX_BODY_BYTES);
     receiver.receiveFullBytes(
         (ex, body) ->
             // Dispatching keeps the exchange open until the answer comes, however late.
@@ -73,16 +73,16 @@
                             ex.getRequestPath(),
                             ex.getQueryString(),
                             body),
-                        answer(ex))),
+                        responder(ex))),
         (ex, error) -> {
           ex.setPersistent(false);
           int status = error instanceof Receiver.RequestToLargeException ? 413 : 400;
-          answer(ex).send(status, null);
+          responder(ex).send(status, null);
         });
   }
 
-  private static Answer answer(HttpServerExchange exchange) {
-    return new Answer() {
+  private static Responder responder(HttpServerExchange exchange) {
+    return new Responder() {
       private boolean sent;
 
       @Override
@@ -103,7 +103,7 @@
             .getResponseHeaders()
             .put(
                 Headers.CONTENT_TYPE,
-                exchange.getRequestPath().equals(TEXT_PATH)
+                exchange.getRequestPath().equals(METRICS_PATH)
                     ? "text/plain; charset=utf-8"
                     : "application/msgpack");
         exchange.getResponseSender().send(ByteBuffer.wrap(body));
--- a/src/main/java/dev/dunefront/net/Loops.java
+++ b/src/main/java/dev/dunefront/net/LoopWatchdog.java
@@ -9,28 +9,28 @@
  * turned for as long as it may take its process is not to be trusted with users' requests. Counts
  * what has failed as well. Guarded by the controller's lock.
  */
-public final class Loops {
-  private static final System.Logger LOG = System.getLogger(Loops.class.getName());
+public final class LoopWatchdog {
+  private static final System.Logger LOG = System.getLogger(LoopWatchdog.class.getName());
 
-  private record Turn(double at, double within) {}
+  private record Iteration(double at, double timeoutS) {}
 
-  private final Map<String, Turn> turns = new HashMap<>();
+  private final Map<String, Iteration> lastIterations = new HashMap<>();
   private int failures;
 
   /** The loop has turned, and will within so many seconds again. */
-  public void turned(String loop, double now, double withinS) {
-    turns.put(loop, new Turn(now, withinS));
+  public void recordIteration(String loop, double now, double withinS) {
+    lastIterations.put(loop, new Iteration(now, withinS));
   }
 
   /** The whole process has stood still until now, which is no loop's fault. */
-  public void stoodStill(double now) {
-    turns.replaceAll((loop, turn) -> new Turn(now, turn.within));
+  public void resetAfterPause(double now) {
+    lastIterations.replaceAll((loop, turn) -> new Iteration(now, turn.timeoutS));
   }
 
   /** A loop that should have turned and has not, or null. */
-  public String stalled(double now) {
-    for (var e : turns.entrySet()) {
-      if (now - e.getValue().at > e.getValue().within) {
+  public String stalledLoop(double now) {
+    for (var e : lastIterations.entrySet()) {
+      if (now - e.getValue().at > e.getValue().timeoutS) {
         return e.getKey();
       }
     }
@@ -38,7 +38,7 @@
   }
 
   /** A decision or an effect has thrown; it is over, and all else goes on. */
-  public void failed(RuntimeException e) {
+  public void recordFailure(RuntimeException e) {
     failures++;
     LOG.log(Level.ERROR, "a decision failed and was given up", e);
   }
--- a/src/main/java/dev/dunefront/net/Timers.java
+++ b/src/main/java/dev/dunefront/net/Timers.java
@@ -6,7 +6,7 @@
   double now();
 
   /** The time of day in milliseconds, good to within the settings' bound. */
-  long timeOfDayMs();
+  long wallClockMs();
 
   /** Runs the action once, after so many seconds. */
   void after(double seconds, Runnable action);
--- a/src/main/java/dev/dunefront/net/UndertowCaller.java
+++ b/src/main/java/dev/dunefront/net/UndertowHttpCaller.java
@@ -28,20 +28,20 @@
  * Undertow's client with a small pool of open connections for each address. All of it runs on one
  * I/O thread, so its own fields need no lock.
  */
-public final class UndertowCaller implements Caller {
-  private static final int MAX_IDLE = 6;
+public final class UndertowHttpCaller implements HttpCaller {
+  private static final int MAX_IDLE_CONNECTIONS = 6;
   private static final double MAX_IDLE_S = 20;
-  private static final int MAX_BODY = 16 << 20;
+  private static final int MAX_BODY_BYTES = 16 << 20;
 
-  private record Idle(ClientConnection connection, double since) {}
+  private record IdleConnection(ClientConnection connection, double since) {}
 
-  private final XnioIoThread thread;
+  private final XnioIoThread ioThread;
   private final ByteBufferPool buffers;
   private final Timers timers;
-  private final Map<String, ArrayDeque<Idle>> pool = new HashMap<>();
+  private final Map<String, ArrayDeque<IdleConnection>> idleConnections = new HashMap<>();
 
-  public UndertowCaller(XnioIoThread thread, ByteBufferPool buffers, Timers timers) {
-    this.thread = thread;
+  public UndertowHttpCaller(XnioIoThread thread, ByteBufferPool buffers, Timers timers) {
+    this.ioThread = thread;
     this.buffers = buffers;
     this.timers = timers;
   }
@@ -53,12 +53,12 @@
       String path,
       byte[] body,
       double deadlineS,
-      Consumer<Reply> then) {
+      Consumer<Response> then) {
     Call call = new Call(address, method, path, body, then);
-    if (Thread.currentThread() == thread) {
+    if (Thread.currentThread() == ioThread) {
       call.start(deadlineS);
     } else {
-      thread.execute(() -> call.start(deadlineS));
+      ioThread.execute(() -> call.start(deadlineS));
     }
   }
 
@@ -67,13 +67,13 @@
     private final String method;
     private final String path;
     private final byte[] body;
-    private final Consumer<Reply> then;
+    private final Consumer<Response> then;
     private XnioExecutor.Key deadline;
     private IoFuture<ClientConnection> connecting;
     private ClientConnection connection;
-    private boolean over;
+    private boolean finished;
 
-    Call(String address, String method, String path, byte[] body, Consumer<Reply> then) {
+    Call(String address, String method, String path, byte[] body, Consumer<Response> then) {
       this.address = address;
       this.method = method;
       this.path = path;
@@ -83,13 +83,13 @@
 
     void start(double deadlineS) {
       deadline =
-          thread.executeAfter(
-              () -> finish(Reply.UNCLEAR, false),
+          ioThread.executeAfter(
+              () -> finish(Response.NO_RESPONSE, false),
               Math.max(1, Math.round(deadlineS * 1000)),
               java.util.concurrent.TimeUnit.MILLISECONDS);
-      ArrayDeque<Idle> idle = pool.get(address);
+      ArrayDeque<IdleConnection> idle = idleConnections.get(address);
       while (idle != null && !idle.isEmpty()) {
-        Idle i = idle.pollLast();
+        IdleConnection i = idle.pollLast();
         if (i.connection.isOpen() && timers.now() - i.since < MAX_IDLE_S) {
           send(i.connection);
           return;
@@ -102,22 +102,22 @@
     private void connect() {
       connecting =
           UndertowClient.getInstance()
-              .connect(URI.create("http://" + address), thread, buffers, OptionMap.EMPTY);
+              .connect(URI.create("http://" + address), ioThread, buffers, OptionMap.EMPTY);
       connecting.addNotifier(
           (future, unused) -> {
             if (future.getStatus() != IoFuture.Status.DONE) {
-              thread.execute(() -> finish(Reply.UNCLEAR, false));
+              ioThread.execute(() -> finish(Response.NO_RESPONSE, false));
               return;
             }
             try {
               ClientConnection c = future.get();
-              if (over) {
+              if (finished) {
                 IoUtils.safeClose(c);
               } else {
                 send(c);
               }
             } catch (IOException e) {
-              finish(Reply.UNCLEAR, false);
+              finish(Response.NO_RESPONSE, false);
             }
           },
           null);
@@ -146,26 +146,26 @@
 
                     @Override
                     public void failed(IOException e) {
-                      broken();
+                      connectionFailed();
                     }
                   });
               try {
                 sendBody(exchange.getRequestChannel());
               } catch (IOException e) {
-                broken();
+                connectionFailed();
               }
             }
 
             @Override
             public void failed(IOException e) {
-              broken();
+              connectionFailed();
             }
           });
     }
 
     private void sendBody(StreamSinkChannel channel) throws IOException {
       ByteBuffer buffer = ByteBuffer.wrap(body == null ? new byte[0] : body);
-      if (pump(channel, buffer)) {
+      if (writeRemaining(channel, buffer)) {
         return;
       }
       channel
@@ -173,17 +173,18 @@
           .set(
               c -> {
                 try {
-                  if (pump(c, buffer)) {
+                  if (writeRemaining(c, buffer)) {
                     c.suspendWrites();
                   }
                 } catch (IOException e) {
-                  broken();
+                  connectionFailed();
                 }
               });
       channel.resumeWrites();
     }
 
-    private boolean pump(StreamSinkChannel channel, ByteBuffer buffer) throws IOException {
+    private boolean writeRemaining(StreamSinkChannel channel, ByteBuffer buffer)
+        throws IOException {
       while (buffer.hasRemaining()) {
         if (channel.write(buffer) == 0) {
           return false;
@@ -196,21 +197,21 @@
     private void receive(ClientExchange exchange) {
       StreamSourceChannel channel = exchange.getResponseChannel();
       ByteArrayOutputStream all = new ByteArrayOutputStream();
-      if (drain(exchange, channel, all)) {
+      if (readAvailable(exchange, channel, all)) {
         return;
       }
       channel
           .getReadSetter()
           .set(
               c -> {
-                if (drain(exchange, c, all)) {
+                if (readAvailable(exchange, c, all)) {
                   c.suspendReads();
                 }
               });
       channel.resumeReads();
     }
 
-    private boolean drain(
+    private boolean readAvailable(
         ClientExchange exchange, StreamSourceChannel channel, ByteArrayOutputStream all) {
       ByteBuffer buffer = ByteBuffer.allocate(4096);
       try {
@@ -224,13 +225,13 @@
             break;
           }
           all.write(buffer.array(), 0, n);
-          if (all.size() > MAX_BODY) {
-            broken();
+          if (all.size() > MAX_BODY_BYTES) {
+            connectionFailed();
             return true;
           }
         }
       } catch (IOException e) {
-        broken();
+        connectionFailed();
         return true;
       }
       double retryAfter = 0;
@@ -243,26 +244,28 @@
         }
       }
       finish(
-          new Reply(exchange.getResponse().getResponseCode(), all.toByteArray(), retryAfter), true);
+          new Response(exchange.getResponse().getResponseCode(), all.toByteArray(), retryAfter),
+          true);
       return true;
     }
 
     /** The connection failed; nobody knows whether the request arrived. */
-    private void broken() {
-      finish(Reply.UNCLEAR, false);
+    private void connectionFailed() {
+      finish(Response.NO_RESPONSE, false);
     }
 
-    private void finish(Reply reply, boolean keep) {
-      if (over) {
+    private void finish(Response reply, boolean keep) {
+      if (finished) {
         return;
       }
-      over = true;
+      finished = true;
       deadline.remove();
       if (connection != null) {
         if (keep && connection.isOpen()) {
-          ArrayDeque<Idle> idle = pool.computeIfAbsent(address, a -> new ArrayDeque<>());
-          idle.addLast(new Idle(connection, timers.now()));
-          if (idle.size() > MAX_IDLE) {
+          ArrayDeque<IdleConnection> idle =
+              idleConnections.computeIfAbsent(address, a -> new ArrayDeque<>());
+          idle.addLast(new IdleConnection(connection, timers.now()));
+          if (idle.size() > MAX_IDLE_CONNECTIONS) {
             IoUtils.safeClose(idle.pollFirst().connection);
           }
         } else {
--- a/src/main/java/dev/dunefront/net/XnioTimers.java
+++ b/src/main/java/dev/dunefront/net/XnioTimers.java
@@ -17,7 +17,7 @@
   }
 
   @Override
-  public long timeOfDayMs() {
+  public long wallClockMs() {
     return System.currentTimeMillis();
   }
 
