--- a/src/main/java/dev/dunefront/peer/Records.java
+++ b/src/main/java/dev/dunefront/peer/MessageCodec.java
@@ -1,38 +1,38 @@
 package dev.dunefront.peer;
 
-import dev.dunefront.peer.Message.Absent;
-import dev.dunefront.peer.Message.Blame;
-import dev.dunefront.peer.Message.Cancelled;
-import dev.dunefront.peer.Message.Clear;
-import dev.dunefront.peer.Message.Count;
-import dev.dunefront.peer.Message.Decline;
+import dev.dunefront.peer.Message.AttemptAbsent;
+import dev.dunefront.peer.Message.AttemptQuery;
+import dev.dunefront.peer.Message.ClearTask;
+import dev.dunefront.peer.Message.ControllerStatus;
+import dev.dunefront.peer.Message.DeclineOffer;
 import dev.dunefront.peer.Message.Demand;
 import dev.dunefront.peer.Message.DutyTerm;
-import dev.dunefront.peer.Message.Ended;
-import dev.dunefront.peer.Message.Health;
+import dev.dunefront.peer.Message.ExitReason;
+import dev.dunefront.peer.Message.FailureReport;
 import dev.dunefront.peer.Message.Hello;
-import dev.dunefront.peer.Message.HoldAsk;
-import dev.dunefront.peer.Message.HoldSay;
-import dev.dunefront.peer.Message.Interest;
+import dev.dunefront.peer.Message.HoldQuery;
+import dev.dunefront.peer.Message.HoldReleased;
+import dev.dunefront.peer.Message.HoldStatus;
+import dev.dunefront.peer.Message.JobCancelled;
+import dev.dunefront.peer.Message.JobCounts;
+import dev.dunefront.peer.Message.JobEnded;
+import dev.dunefront.peer.Message.JobProgress;
 import dev.dunefront.peer.Message.Loan;
-import dev.dunefront.peer.Message.LoanAsk;
+import dev.dunefront.peer.Message.LoanRequest;
+import dev.dunefront.peer.Message.MachineView;
 import dev.dunefront.peer.Message.Offer;
+import dev.dunefront.peer.Message.PendingTasks;
 import dev.dunefront.peer.Message.Ping;
 import dev.dunefront.peer.Message.Preempt;
-import dev.dunefront.peer.Message.Probe;
-import dev.dunefront.peer.Message.Progress;
-import dev.dunefront.peer.Message.Retire;
-import dev.dunefront.peer.Message.Start;
+import dev.dunefront.peer.Message.ReserveOffer;
+import dev.dunefront.peer.Message.RetireMachine;
+import dev.dunefront.peer.Message.StartTask;
 import dev.dunefront.peer.Message.State;
-import dev.dunefront.peer.Message.Stop;
-import dev.dunefront.peer.Message.Taking;
-import dev.dunefront.peer.Message.TaskState;
-import dev.dunefront.peer.Message.Unheld;
-import dev.dunefront.peer.Message.View;
-import dev.dunefront.peer.Message.Waiting;
+import dev.dunefront.peer.Message.StopTask;
+import dev.dunefront.peer.Message.TaskStatus;
+import dev.dunefront.peer.Message.ViewSubscription;
 import dev.dunefront.peer.Message.Want;
-import dev.dunefront.peer.Message.Why;
-import dev.dunefront.wire.Size;
+import dev.dunefront.wire.Resources;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -44,11 +44,11 @@
 import java.util.Map;
 
 /** Messages as bytes: one byte of kind, then the fields in order. */
-public final class Records {
+public final class MessageCodec {
   /** The largest record that is taken, in bytes. */
-  static final int MAX_RECORD = 4 << 20;
+  static final int MAX_RECORD_BYTES = 4 << 20;
 
-  private Records() {}
+  private MessageCodec() {}
 
   public static byte[] encode(Message m) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream(64);
@@ -66,38 +66,38 @@
       out.writeUTF(h.node());
     } else if (m instanceof Ping) {
       out.writeByte(2);
-    } else if (m instanceof View v) {
+    } else if (m instanceof MachineView v) {
       out.writeByte(3);
       out.writeUTF(v.host());
       out.writeUTF(v.type());
       out.writeUTF(v.zone());
       out.writeBoolean(v.spot());
       out.writeLong(v.token());
-      out.writeLong(v.holdStamp());
+      out.writeLong(v.holdRevision());
       out.writeLong(v.session());
-      out.writeBoolean(v.settled());
-      out.writeBoolean(v.lost());
-      out.writeBoolean(v.open());
+      out.writeBoolean(v.tokenAcknowledged());
+      out.writeBoolean(v.leaseExpired());
+      out.writeBoolean(v.schedulable());
       out.writeBoolean(v.quarantined());
       out.writeBoolean(v.retiring());
-      out.writeBoolean(v.deaf());
+      out.writeBoolean(v.unresponsive());
       out.writeLong(v.idleSinceMs());
       writeSize(out, v.free());
       out.writeShort(v.images().size());
       for (String image : v.images()) {
         out.writeUTF(image);
       }
-      writeCounts(out, v.unfinished());
-      writeCounts(out, v.young());
+      writeCounts(out, v.unfinishedByPriority());
+      writeCounts(out, v.preemptibleByPriority());
       out.writeInt(v.tasks().size());
-      for (TaskState t : v.tasks()) {
+      for (TaskStatus t : v.tasks()) {
         out.writeUTF(t.job());
         out.writeInt(t.number());
         out.writeLong(t.attempt());
         out.writeByte(t.state().ordinal());
-        out.writeByte(t.why().ordinal());
+        out.writeByte(t.exitReason().ordinal());
       }
-    } else if (m instanceof Unheld u) {
+    } else if (m instanceof HoldReleased u) {
       out.writeByte(4);
       out.writeUTF(u.host());
     } else if (m instanceof Want w) {
@@ -110,46 +110,46 @@
       out.writeInt(w.count());
     } else if (m instanceof Offer o) {
       out.writeByte(6);
-      out.writeLong(o.offer());
+      out.writeLong(o.offerId());
       out.writeUTF(o.host());
       out.writeUTF(o.job());
       out.writeLong(o.token());
-      out.writeLong(o.holdStamp());
+      out.writeLong(o.holdRevision());
       out.writeLong(o.session());
-    } else if (m instanceof Decline d) {
+    } else if (m instanceof DeclineOffer d) {
       out.writeByte(7);
-      out.writeLong(d.offer());
+      out.writeLong(d.offerId());
       out.writeUTF(d.host());
-    } else if (m instanceof Taking t) {
+    } else if (m instanceof ReserveOffer t) {
       out.writeByte(21);
-      out.writeLong(t.offer());
+      out.writeLong(t.offerId());
       out.writeUTF(t.host());
-    } else if (m instanceof Start s) {
+    } else if (m instanceof StartTask s) {
       out.writeByte(8);
-      out.writeLong(s.offer());
+      out.writeLong(s.offerId());
       out.writeUTF(s.host());
       out.writeLong(s.token());
       out.writeLong(s.session());
       out.writeLong(s.term());
       writeAttempt(out, s.job(), s.number(), s.attempt());
-    } else if (m instanceof Probe p) {
+    } else if (m instanceof AttemptQuery p) {
       out.writeByte(9);
       out.writeUTF(p.host());
       out.writeLong(p.term());
       writeAttempt(out, p.job(), p.number(), p.attempt());
-    } else if (m instanceof Absent a) {
+    } else if (m instanceof AttemptAbsent a) {
       out.writeByte(10);
       out.writeUTF(a.host());
       out.writeLong(a.token());
-      out.writeLong(a.holdStamp());
+      out.writeLong(a.holdRevision());
       writeAttempt(out, a.job(), a.number(), a.attempt());
-    } else if (m instanceof Stop s) {
+    } else if (m instanceof StopTask s) {
       out.writeByte(11);
       out.writeUTF(s.host());
       out.writeLong(s.term());
       writeAttempt(out, s.job(), s.number(), s.attempt());
       out.writeDouble(s.graceS());
-    } else if (m instanceof Clear c) {
+    } else if (m instanceof ClearTask c) {
       out.writeByte(12);
       out.writeUTF(c.host());
       out.writeLong(c.term());
@@ -161,23 +161,23 @@
 
   /** What concerns neither a task nor an offer. */
   private static void writeOther(DataOutputStream out, Message m) throws IOException {
-    if (m instanceof Blame b) {
+    if (m instanceof FailureReport b) {
       out.writeByte(13);
       out.writeUTF(b.host());
       out.writeUTF(b.job());
       out.writeByte(b.weight());
-    } else if (m instanceof HoldAsk a) {
+    } else if (m instanceof HoldQuery a) {
       out.writeByte(14);
       out.writeUTF(a.host());
       out.writeLong(a.session());
       out.writeLong(a.serial());
       out.writeLong(a.token());
-    } else if (m instanceof HoldSay s) {
+    } else if (m instanceof HoldStatus s) {
       out.writeByte(15);
       out.writeUTF(s.host());
       out.writeBoolean(s.held());
-      out.writeDouble(s.heardAgoS());
-    } else if (m instanceof Retire r) {
+      out.writeDouble(s.lastReportAgeS());
+    } else if (m instanceof RetireMachine r) {
       out.writeByte(22);
       out.writeUTF(r.host());
       out.writeLong(r.term());
@@ -185,22 +185,22 @@
       out.writeByte(23);
       out.writeUTF(t.duty());
       out.writeLong(t.term());
-    } else if (m instanceof Ended e) {
+    } else if (m instanceof JobEnded e) {
       out.writeByte(24);
       out.writeUTF(e.job());
       out.writeBoolean(e.done());
-    } else if (m instanceof Interest i) {
+    } else if (m instanceof ViewSubscription i) {
       out.writeByte(25);
       out.writeByte(i.detail().ordinal());
-    } else if (m instanceof LoanAsk a) {
+    } else if (m instanceof LoanRequest a) {
       out.writeByte(26);
-      out.writeLong(a.number());
-      out.writeInt(a.changes());
+      out.writeLong(a.requestNumber());
+      out.writeInt(a.writes());
     } else if (m instanceof Loan l) {
       out.writeByte(27);
-      out.writeLong(l.number());
-      out.writeInt(l.changes());
-    } else if (m instanceof Cancelled c) {
+      out.writeLong(l.requestNumber());
+      out.writeInt(l.writes());
+    } else if (m instanceof JobCancelled c) {
       out.writeByte(16);
       out.writeUTF(c.job());
     } else if (m instanceof Preempt p) {
@@ -209,36 +209,36 @@
       out.writeByte(p.priority());
       writeSize(out, p.size());
       out.writeInt(p.count());
-    } else if (m instanceof Progress p) {
+    } else if (m instanceof JobProgress p) {
       out.writeByte(20);
       out.writeInt(p.counts().size());
-      for (Count n : p.counts()) {
+      for (JobCounts n : p.counts()) {
         out.writeUTF(n.job());
         out.writeInt(n.done());
         out.writeInt(n.running());
         out.writeInt(n.placed());
       }
-    } else if (m instanceof Health h) {
+    } else if (m instanceof ControllerStatus h) {
       out.writeByte(18);
-      out.writeBoolean(h.stateServes());
-      out.writeDouble(h.requests());
-      out.writeDouble(h.writes());
-      out.writeInt(h.held());
-      out.writeDouble(h.lagS());
+      out.writeBoolean(h.stateAvailable());
+      out.writeDouble(h.requestsPerS());
+      out.writeDouble(h.writesPerS());
+      out.writeInt(h.heldMachines());
+      out.writeDouble(h.timerLagS());
     } else if (m instanceof Demand d) {
       out.writeByte(17);
-      out.writeInt(d.waiting().size());
-      for (Waiting w : d.waiting()) {
+      out.writeInt(d.pending().size());
+      for (PendingTasks w : d.pending()) {
         out.writeUTF(w.job());
-        out.writeInt(w.tasks());
-        out.writeByte(w.zones().size());
-        for (var zone : w.zones().entrySet()) {
+        out.writeInt(w.count());
+        out.writeByte(w.roomByZone().size());
+        for (var zone : w.roomByZone().entrySet()) {
           out.writeUTF(zone.getKey());
           out.writeInt(zone.getValue());
         }
       }
-      out.writeInt(d.unheard().size());
-      for (String host : d.unheard()) {
+      out.writeInt(d.unreportedHosts().size());
+      for (String host : d.unreportedHosts()) {
         out.writeUTF(host);
       }
     }
@@ -259,7 +259,7 @@
     return counts;
   }
 
-  private static void writeSize(DataOutputStream out, Size s) throws IOException {
+  private static void writeSize(DataOutputStream out, Resources s) throws IOException {
     out.writeLong(s.cpu());
     out.writeLong(s.gpu());
     out.writeLong(s.ram());
@@ -281,7 +281,7 @@
           case 1 -> new Hello(in.readUTF());
           case 2 -> new Ping();
           case 3 -> readView(in);
-          case 4 -> new Unheld(in.readUTF());
+          case 4 -> new HoldReleased(in.readUTF());
           case 5 ->
               new Want(
                   in.readUTF(),
@@ -298,10 +298,10 @@
                   in.readLong(),
                   in.readLong(),
                   in.readLong());
-          case 7 -> new Decline(in.readLong(), in.readUTF());
-          case 21 -> new Taking(in.readLong(), in.readUTF());
+          case 7 -> new DeclineOffer(in.readLong(), in.readUTF());
+          case 21 -> new ReserveOffer(in.readLong(), in.readUTF());
           case 8 ->
-              new Start(
+              new StartTask(
                   in.readLong(),
                   in.readUTF(),
                   in.readLong(),
@@ -311,9 +311,10 @@
                   in.readInt(),
                   in.readLong());
           case 9 ->
-              new Probe(in.readUTF(), in.readLong(), in.readUTF(), in.readInt(), in.readLong());
+              new AttemptQuery(
+                  in.readUTF(), in.readLong(), in.readUTF(), in.readInt(), in.readLong());
           case 10 ->
-              new Absent(
+              new AttemptAbsent(
                   in.readUTF(),
                   in.readLong(),
                   in.readLong(),
@@ -321,7 +322,7 @@
                   in.readInt(),
                   in.readLong());
           case 11 ->
-              new Stop(
+              new StopTask(
                   in.readUTF(),
                   in.readLong(),
                   in.readUTF(),
@@ -329,22 +330,22 @@
                   in.readLong(),
                   in.readDouble());
           case 12 ->
-              new Clear(in.readUTF(), in.readLong(), in.readUTF(), in.readInt(), in.readLong());
-          case 13 -> new Blame(in.readUTF(), in.readUTF(), in.readByte());
-          case 14 -> new HoldAsk(in.readUTF(), in.readLong(), in.readLong(), in.readLong());
-          case 15 -> new HoldSay(in.readUTF(), in.readBoolean(), in.readDouble());
-          case 24 -> new Ended(in.readUTF(), in.readBoolean());
-          case 25 -> new Interest(pick(Detail.values(), in.readByte()));
-          case 26 -> new LoanAsk(in.readLong(), in.readInt());
+              new ClearTask(in.readUTF(), in.readLong(), in.readUTF(), in.readInt(), in.readLong());
+          case 13 -> new FailureReport(in.readUTF(), in.readUTF(), in.readByte());
+          case 14 -> new HoldQuery(in.readUTF(), in.readLong(), in.readLong(), in.readLong());
+          case 15 -> new HoldStatus(in.readUTF(), in.readBoolean(), in.readDouble());
+          case 24 -> new JobEnded(in.readUTF(), in.readBoolean());
+          case 25 -> new ViewSubscription(enumConstant(ViewDetail.values(), in.readByte()));
+          case 26 -> new LoanRequest(in.readLong(), in.readInt());
           case 27 -> new Loan(in.readLong(), in.readInt());
-          case 16 -> new Cancelled(in.readUTF());
-          case 22 -> new Retire(in.readUTF(), in.readLong());
+          case 16 -> new JobCancelled(in.readUTF());
+          case 22 -> new RetireMachine(in.readUTF(), in.readLong());
           case 23 -> new DutyTerm(in.readUTF(), in.readLong());
           case 17 -> {
             int n = in.readInt();
-            List<Waiting> all = new ArrayList<>();
+            List<PendingTasks> all = new ArrayList<>();
             for (int i = 0; i < n; i++) {
-              all.add(new Waiting(in.readUTF(), in.readInt(), readZones(in)));
+              all.add(new PendingTasks(in.readUTF(), in.readInt(), readRoomByZone(in)));
             }
             List<String> unheard = new ArrayList<>();
             for (int i = in.readInt(); i > 0; i--) {
@@ -354,7 +355,7 @@
           }
           case 19 -> new Preempt(in.readUTF(), in.readByte(), readSize(in), in.readInt());
           case 18 ->
-              new Health(
+              new ControllerStatus(
                   in.readBoolean(),
                   in.readDouble(),
                   in.readDouble(),
@@ -362,11 +363,11 @@
                   in.readDouble());
           case 20 -> {
             int n = in.readInt();
-            List<Count> all = new ArrayList<>();
+            List<JobCounts> all = new ArrayList<>();
             for (int i = 0; i < n; i++) {
-              all.add(new Count(in.readUTF(), in.readInt(), in.readInt(), in.readInt()));
+              all.add(new JobCounts(in.readUTF(), in.readInt(), in.readInt(), in.readInt()));
             }
-            yield new Progress(all);
+            yield new JobProgress(all);
           }
           default -> throw new IOException("unknown record " + kind);
         };
@@ -376,7 +377,7 @@
     return m;
   }
 
-  private static View readView(DataInputStream in) throws IOException {
+  private static MachineView readView(DataInputStream in) throws IOException {
     String host = in.readUTF();
     String type = in.readUTF();
     String zone = in.readUTF();
@@ -391,24 +392,24 @@
     boolean retiring = in.readBoolean();
     boolean deaf = in.readBoolean();
     long idleSinceMs = in.readLong();
-    Size free = readSize(in);
+    Resources free = readSize(in);
     List<String> images = new ArrayList<>();
     for (int n = in.readShort(); n > 0; n--) {
       images.add(in.readUTF());
     }
     List<Integer> unfinished = readCounts(in);
     List<Integer> young = readCounts(in);
-    List<TaskState> tasks = new ArrayList<>();
+    List<TaskStatus> tasks = new ArrayList<>();
     for (int n = in.readInt(); n > 0; n--) {
       tasks.add(
-          new TaskState(
+          new TaskStatus(
               in.readUTF(),
               in.readInt(),
               in.readLong(),
-              pick(State.values(), in.readByte()),
-              pick(Why.values(), in.readByte())));
+              enumConstant(State.values(), in.readByte()),
+              enumConstant(ExitReason.values(), in.readByte())));
     }
-    return new View(
+    return new MachineView(
         host,
         type,
         zone,
@@ -430,7 +431,7 @@
         tasks);
   }
 
-  private static Map<String, Integer> readZones(DataInputStream in) throws IOException {
+  private static Map<String, Integer> readRoomByZone(DataInputStream in) throws IOException {
     Map<String, Integer> zones = new LinkedHashMap<>();
     for (int n = in.readByte(); n > 0; n--) {
       zones.put(in.readUTF(), in.readInt());
@@ -438,14 +439,14 @@
     return zones;
   }
 
-  private static <T> T pick(T[] all, int index) throws IOException {
+  private static <T> T enumConstant(T[] all, int index) throws IOException {
     if (index < 0 || index >= all.length) {
       throw new IOException("unknown code " + index);
     }
     return all[index];
   }
 
-  private static Size readSize(DataInputStream in) throws IOException {
-    return new Size(in.readLong(), in.readLong(), in.readLong());
+  private static Resources readSize(DataInputStream in) throws IOException {
+    return new Resources(in.readLong(), in.readLong(), in.readLong());
   }
 }
--- a/src/main/java/dev/dunefront/peer/Peers.java
+++ b/src/main/java/dev/dunefront/peer/Peers.java
@@ -12,10 +12,10 @@
     void received(String from, Message message);
 
     /** A link for sending to the node is open. */
-    void reached(String node);
+    void connected(String node);
 
     /** What the node has said before no longer holds: its link here is gone. */
-    void gone(String node);
+    void disconnected(String node);
   }
 
   void send(String node, Message message);
@@ -29,7 +29,7 @@
   void broadcast(Message message);
 
   /** What has gone out to other controllers since the start. */
-  default Traffic sent() {
+  default Traffic sentTraffic() {
     return Traffic.NONE;
   }
 
--- a/src/main/java/dev/dunefront/peer/XnioPeers.java
+++ b/src/main/java/dev/dunefront/peer/XnioPeers.java
@@ -24,21 +24,21 @@
  */
 public final class XnioPeers implements Peers {
   private static final System.Logger LOG = System.getLogger(XnioPeers.class.getName());
-  private static final double PING_S = 1.0;
-  private static final double SILENCE_S = 5;
-  private static final double REDIAL_S = 0.5;
-  private static final int MAX_QUEUED = 8 << 20;
+  private static final double PING_INTERVAL_S = 1.0;
+  private static final double IDLE_TIMEOUT_S = 5;
+  private static final double RECONNECT_DELAY_S = 0.5;
+  private static final int MAX_QUEUED_BYTES = 8 << 20;
 
   /** A queue that has grown beyond this gives its memory back when it is empty. */
-  private static final int MAX_IDLE = 64 << 10;
+  private static final int MAX_IDLE_BUFFER_BYTES = 64 << 10;
 
   private final Settings settings;
   private final XnioWorker worker;
   private final Timers timers;
   private final DecisionLock decisionLock;
   private final Listener listener;
-  private final Map<String, Out> out = new HashMap<>();
-  private final Map<String, In> in = new HashMap<>();
+  private final Map<String, OutboundLink> outboundLinks = new HashMap<>();
+  private final Map<String, InboundLink> inboundLinks = new HashMap<>();
 
   /** What has been queued for other controllers; written on the I/O thread alone. */
   private volatile Traffic sent = Traffic.NONE;
@@ -55,7 +55,7 @@
     this.decisionLock = decisionLock;
     this.listener = listener;
     for (Settings.Peer p : settings.peers()) {
-      out.put(p.node(), new Out(p));
+      outboundLinks.put(p.node(), new OutboundLink(p));
     }
   }
 
@@ -67,7 +67,7 @@
               try {
                 StreamConnection c;
                 while ((c = channel.accept()) != null) {
-                  new In(c).open();
+                  new InboundLink(c).open();
                 }
               } catch (IOException e) {
                 LOG.log(Level.DEBUG, "accepting a peer failed: {0}", e.getMessage());
@@ -75,26 +75,26 @@
             },
             OptionMap.EMPTY);
     server.resumeAccepts();
-    out.values().forEach(Out::dial);
+    outboundLinks.values().forEach(OutboundLink::connect);
   }
 
   @Override
   public void send(String node, Message message) {
     if (node.equals(settings.node())) {
-      decisionLock.then(() -> decisionLock.run(() -> listener.received(node, message)));
+      decisionLock.defer(() -> decisionLock.run(() -> listener.received(node, message)));
       return;
     }
-    Out link = out.get(node);
+    OutboundLink link = outboundLinks.get(node);
     if (link != null) {
-      decisionLock.then(() -> link.send(Records.encode(message)));
+      decisionLock.defer(() -> link.send(MessageCodec.encode(message)));
     }
   }
 
   @Override
   public void send(Collection<String> nodes, Message message) {
-    List<Out> links = new ArrayList<>();
+    List<OutboundLink> links = new ArrayList<>();
     for (String node : nodes) {
-      Out link = out.get(node);
+      OutboundLink link = outboundLinks.get(node);
       if (link == null) {
         send(node, message);
       } else {
@@ -109,28 +109,28 @@
   @Override
   public void broadcast(Message message) {
     send(settings.node(), message);
-    sendAll(out.values(), message);
+    sendAll(outboundLinks.values(), message);
   }
 
   /** Encodes once for all links. */
-  private void sendAll(Collection<Out> links, Message message) {
-    decisionLock.then(
+  private void sendAll(Collection<OutboundLink> links, Message message) {
+    decisionLock.defer(
         () -> {
-          byte[] record = Records.encode(message);
+          byte[] record = MessageCodec.encode(message);
           links.forEach(link -> link.send(record));
         });
   }
 
   @Override
-  public Traffic sent() {
+  public Traffic sentTraffic() {
     return sent;
   }
 
   /** Bytes waiting to go out on one connection, side by side, so that one write takes them all. */
-  private static final class Queue {
-    private static final int USUAL = 4096;
+  private static final class SendBuffer {
+    private static final int INITIAL_BYTES = 4096;
 
-    private ByteBuffer buffer = ByteBuffer.allocate(USUAL);
+    private ByteBuffer buffer = ByteBuffer.allocate(INITIAL_BYTES);
 
     int bytes() {
       return buffer.position();
@@ -146,7 +146,7 @@
     }
 
     /** Writes what the socket takes; true when nothing is left. */
-    boolean pump(StreamConnection c) throws IOException {
+    boolean writeTo(StreamConnection c) throws IOException {
       buffer.flip();
       try {
         while (buffer.hasRemaining()) {
@@ -157,8 +157,8 @@
       } finally {
         buffer.compact();
       }
-      if (buffer.capacity() > MAX_IDLE) {
-        buffer = ByteBuffer.allocate(USUAL);
+      if (buffer.capacity() > MAX_IDLE_BUFFER_BYTES) {
+        buffer = ByteBuffer.allocate(INITIAL_BYTES);
       }
       c.getSinkChannel().flush();
       return true;
@@ -166,15 +166,15 @@
   }
 
   /** Cuts incoming bytes into records. */
-  private static final class Reader {
+  private static final class RecordReader {
     private ByteBuffer buffer = ByteBuffer.allocate(8192);
 
-    interface Sink {
-      void record(byte[] record) throws IOException;
+    interface RecordConsumer {
+      void accept(byte[] record) throws IOException;
     }
 
     /** False at the end of the stream. */
-    boolean read(StreamConnection c, Sink sink) throws IOException {
+    boolean read(StreamConnection c, RecordConsumer sink) throws IOException {
       while (true) {
         int n = c.getSourceChannel().read(buffer);
         if (n < 0) {
@@ -186,7 +186,7 @@
         buffer.flip();
         while (buffer.remaining() >= 4) {
           int length = buffer.getInt(buffer.position());
-          if (length < 1 || length > Records.MAX_RECORD) {
+          if (length < 1 || length > MessageCodec.MAX_RECORD_BYTES) {
             throw new IOException("a record of " + length + " bytes");
           }
           if (buffer.remaining() < 4 + length) {
@@ -195,7 +195,7 @@
           buffer.getInt();
           byte[] record = new byte[length];
           buffer.get(record);
-          sink.record(record);
+          sink.accept(record);
         }
         int wanted =
             buffer.remaining() >= 4 ? 4 + buffer.getInt(buffer.position()) : buffer.capacity();
@@ -209,28 +209,28 @@
   }
 
   /** The link to one peer, dialled again whenever it breaks. */
-  private final class Out {
+  private final class OutboundLink {
     private final Settings.Peer peer;
     private StreamConnection connection;
-    private IoFuture<StreamConnection> dialling;
-    private Queue queue = new Queue();
-    private Reader reader = new Reader();
-    private double heard;
-    private boolean up;
-    private boolean flushing;
-
-    Out(Settings.Peer peer) {
+    private IoFuture<StreamConnection> connectAttempt;
+    private SendBuffer sendBuffer = new SendBuffer();
+    private RecordReader reader = new RecordReader();
+    private double lastReceivedAt;
+    private boolean connected;
+    private boolean flushScheduled;
+
+    OutboundLink(Settings.Peer peer) {
       this.peer = peer;
     }
 
-    void dial() {
+    void connect() {
       IoFuture<StreamConnection> attempt =
           worker.getIoThread().openStreamConnection(peer.address(), null, null, OptionMap.EMPTY);
-      dialling = attempt;
+      connectAttempt = attempt;
       timers.after(
           1.5,
           () -> {
-            if (dialling == attempt && connection == null) {
+            if (connectAttempt == attempt && connection == null) {
               attempt.cancel();
             }
           });
@@ -248,22 +248,22 @@
                             LOG.log(Level.DEBUG, "dialling {0}: {1}", peer.node(), e.getMessage());
                           }
                         }
-                        timers.after(REDIAL_S, this::dial);
+                        timers.after(RECONNECT_DELAY_S, this::connect);
                       }),
           null);
     }
 
     private void opened(StreamConnection c) {
       connection = c;
-      queue = new Queue();
-      reader = new Reader();
-      heard = timers.now();
-      up = true;
-      c.getSourceChannel().getReadSetter().set(channel -> pongs(c));
+      sendBuffer = new SendBuffer();
+      reader = new RecordReader();
+      lastReceivedAt = timers.now();
+      connected = true;
+      c.getSourceChannel().getReadSetter().set(channel -> readPongs(c));
       c.getSourceChannel().resumeReads();
       c.getSinkChannel().getWriteSetter().set(channel -> flush(c));
-      send(Records.encode(new Message.Hello(settings.node())));
-      decisionLock.run(() -> listener.reached(peer.node()));
+      send(MessageCodec.encode(new Message.Hello(settings.node())));
+      decisionLock.run(() -> listener.connected(peer.node()));
       ping(c);
     }
 
@@ -271,17 +271,17 @@
       if (connection != c) {
         return;
       }
-      if (timers.now() - heard > SILENCE_S) {
+      if (timers.now() - lastReceivedAt > IDLE_TIMEOUT_S) {
         close(c, "silent");
         return;
       }
-      send(Records.encode(new Message.Ping()));
-      timers.after(PING_S, () -> ping(c));
+      send(MessageCodec.encode(new Message.Ping()));
+      timers.after(PING_INTERVAL_S, () -> ping(c));
     }
 
-    private void pongs(StreamConnection c) {
+    private void readPongs(StreamConnection c) {
       try {
-        if (!reader.read(c, record -> heard = timers.now())) {
+        if (!reader.read(c, record -> lastReceivedAt = timers.now())) {
           close(c, "closed");
         }
       } catch (IOException e) {
@@ -290,24 +290,24 @@
     }
 
     void send(byte[] record) {
-      if (!up) {
+      if (!connected) {
         return;
       }
-      queue.add(record);
+      sendBuffer.add(record);
       sent = new Traffic(sent.records() + 1, sent.bytes() + Integer.BYTES + record.length);
-      if (queue.bytes() > MAX_QUEUED) {
+      if (sendBuffer.bytes() > MAX_QUEUED_BYTES) {
         close(connection, "too much is queued");
         return;
       }
-      if (!flushing) {
+      if (!flushScheduled) {
         // One write for all that this turn of the loop queues.
-        flushing = true;
+        flushScheduled = true;
         worker
             .getIoThread()
             .execute(
                 () -> {
-                  flushing = false;
-                  if (up) {
+                  flushScheduled = false;
+                  if (connected) {
                     flush(connection);
                   }
                 });
@@ -319,7 +319,7 @@
         return;
       }
       try {
-        if (queue.pump(c)) {
+        if (sendBuffer.writeTo(c)) {
           c.getSinkChannel().suspendWrites();
         } else {
           c.getSinkChannel().resumeWrites();
@@ -336,21 +336,21 @@
       }
       LOG.log(Level.INFO, "link to {0} lost: {1}", peer.node(), why);
       connection = null;
-      up = false;
-      timers.after(REDIAL_S, this::dial);
+      connected = false;
+      timers.after(RECONNECT_DELAY_S, this::connect);
     }
   }
 
   /** A link from a peer. A newer one from the same peer replaces it. */
-  private final class In {
+  private final class InboundLink {
     private final StreamConnection connection;
-    private final Reader reader = new Reader();
-    private final Queue queue = new Queue();
-    private double heard = timers.now();
+    private final RecordReader reader = new RecordReader();
+    private final SendBuffer sendBuffer = new SendBuffer();
+    private double lastReceivedAt = timers.now();
     private String node;
     private boolean closed;
 
-    In(StreamConnection connection) {
+    InboundLink(StreamConnection connection) {
       this.connection = connection;
     }
 
@@ -358,23 +358,23 @@
       connection.getSourceChannel().getReadSetter().set(channel -> read());
       connection.getSourceChannel().resumeReads();
       connection.getSinkChannel().getWriteSetter().set(channel -> flush());
-      watch();
+      checkIdle();
     }
 
-    private void watch() {
+    private void checkIdle() {
       if (closed) {
         return;
       }
-      if (timers.now() - heard > SILENCE_S) {
+      if (timers.now() - lastReceivedAt > IDLE_TIMEOUT_S) {
         close();
         return;
       }
-      timers.after(PING_S, this::watch);
+      timers.after(PING_INTERVAL_S, this::checkIdle);
     }
 
     private void read() {
       try {
-        if (!reader.read(connection, this::record)) {
+        if (!reader.read(connection, this::handleRecord)) {
           close();
         }
       } catch (IOException | RuntimeException e) {
@@ -383,26 +383,26 @@
       }
     }
 
-    private void record(byte[] record) throws IOException {
+    private void handleRecord(byte[] record) throws IOException {
       if (closed) {
         return;
       }
-      heard = timers.now();
-      Message m = Records.decode(record);
+      lastReceivedAt = timers.now();
+      Message m = MessageCodec.decode(record);
       if (node == null) {
-        if (!(m instanceof Message.Hello hello) || !out.containsKey(hello.node())) {
+        if (!(m instanceof Message.Hello hello) || !outboundLinks.containsKey(hello.node())) {
           throw new IOException("not a known controller");
         }
         node = hello.node();
         // Records of an older link may still trickle in late; from here on they are not heard.
-        In older = in.put(node, this);
+        InboundLink older = inboundLinks.put(node, this);
         if (older != null) {
           older.closed = true;
           IoUtils.safeClose(older.connection);
-          decisionLock.run(() -> listener.gone(node));
+          decisionLock.run(() -> listener.disconnected(node));
         }
       } else if (m instanceof Message.Ping) {
-        queue.add(record);
+        sendBuffer.add(record);
         flush();
       } else {
         decisionLock.run(() -> listener.received(node, m));
@@ -411,7 +411,7 @@
 
     private void flush() {
       try {
-        if (queue.pump(connection)) {
+        if (sendBuffer.writeTo(connection)) {
           connection.getSinkChannel().suspendWrites();
         } else {
           connection.getSinkChannel().resumeWrites();
@@ -427,8 +427,8 @@
       }
       closed = true;
       IoUtils.safeClose(connection);
-      if (node != null && in.remove(node, this)) {
-        decisionLock.run(() -> listener.gone(node));
+      if (node != null && inboundLinks.remove(node, this)) {
+        decisionLock.run(() -> listener.disconnected(node));
       }
     }
   }
--- a/src/main/java/dev/dunefront/standin/StateStandIn.java
+++ b/src/main/java/dev/dunefront/standin/FakeStateService.java
@@ -1,9 +1,9 @@
 package dev.dunefront.standin;
 
-import dev.dunefront.net.Caller.Reply;
+import dev.dunefront.net.HttpCaller.Response;
 import dev.dunefront.net.Timers;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -13,76 +13,76 @@
 import java.util.function.Consumer;
 
 /** The state service: keys with stamps, transactions, leases, watches. */
-public final class StateStandIn {
+public final class FakeStateService {
   /** Changes that a transaction may hold; conditions may be four times as many. */
-  public static final int TXN_OPS = 24;
+  public static final int MAX_TXN_OPS = 24;
 
-  private static final int KEPT = 10_000;
+  private static final int MAX_CHANGES_KEPT = 10_000;
 
-  private record Value(Doc data, long stamp, long tenancy) {}
+  private record Value(Document data, long revision, long leaseId) {}
 
-  private record Change(long revision, String key, Doc data) {}
+  private record Change(long revision, String key, Document data) {}
 
   private final Timers timers;
   private final TreeMap<String, Value> keys = new TreeMap<>();
-  private final Map<Long, Double> leases = new HashMap<>();
-  private final Map<Long, Double> lives = new HashMap<>();
+  private final Map<Long, Double> leaseExpiries = new HashMap<>();
+  private final Map<Long, Double> leaseDurationsS = new HashMap<>();
   private final List<Change> changes = new ArrayList<>();
   private final List<Runnable> watches = new ArrayList<>();
-  private final Map<String, Integer> written = new HashMap<>();
+  private final Map<String, Integer> writes = new HashMap<>();
   private long revision = 1;
   private long lastLease = 6;
-  private int wasted;
-  private boolean out;
+  private int failedTxnOps;
+  private boolean inOutage;
 
-  public StateStandIn(Timers timers) {
+  public FakeStateService(Timers timers) {
     this.timers = timers;
   }
 
   /** Starts or ends an outage. At its end every lease has its full time again. */
   public void outage(boolean on) {
-    expire();
-    out = on;
+    expireLeases();
+    inOutage = on;
     if (!on) {
       double now = timers.now();
-      leases.replaceAll((id, until) -> now + lives.get(id));
-      wake();
+      leaseExpiries.replaceAll((id, until) -> now + leaseDurationsS.get(id));
+      notifyWatches();
     }
   }
 
   /** Changes of transactions whose conditions have failed so far; the limits count them as well. */
-  public int wasted() {
-    return wasted;
+  public int failedTxnOps() {
+    return failedTxnOps;
   }
 
   /** Ends a lease before its time, and with it its keys. */
   public void endLease(long id) {
-    leases.computeIfPresent(id, (k, until) -> Double.NEGATIVE_INFINITY);
-    expire();
+    leaseExpiries.computeIfPresent(id, (k, until) -> Double.NEGATIVE_INFINITY);
+    expireLeases();
   }
 
   /** How often keys with the prefix have been put or removed so far. */
-  public int written(String prefix) {
-    return written.entrySet().stream()
+  public int writes(String prefix) {
+    return writes.entrySet().stream()
         .filter(e -> e.getKey().startsWith(prefix))
         .mapToInt(Map.Entry::getValue)
         .sum();
   }
 
   /** The value of a key, or null. */
-  public Doc value(String key) {
-    expire();
+  public Document value(String key) {
+    expireLeases();
     Value v = keys.get(key);
     return v == null ? null : v.data;
   }
 
   public List<String> keys(String prefix) {
-    expire();
+    expireLeases();
     return keys.keySet().stream().filter(k -> k.startsWith(prefix)).toList();
   }
 
-  public void handle(String method, String pathAndQuery, byte[] body, Consumer<Reply> then) {
-    expire();
+  public void handle(String method, String pathAndQuery, byte[] body, Consumer<Response> then) {
+    expireLeases();
     int mark = pathAndQuery.indexOf('?');
     String path = mark < 0 ? pathAndQuery : pathAndQuery.substring(0, mark);
     Map<String, String> query = new HashMap<>();
@@ -92,8 +92,8 @@
         query.put(part.substring(0, eq), part.substring(eq + 1));
       }
     }
-    if (out) {
-      then.accept(reply(503, Doc.of()));
+    if (inOutage) {
+      then.accept(reply(503, Document.create()));
       return;
     }
     try {
@@ -102,49 +102,51 @@
       } else if (path.equals("/keys")) {
         range(query, then);
       } else if (path.equals("/txn")) {
-        txn(Doc.decode(body), then);
+        txn(Document.decode(body), then);
       } else if (path.equals("/leases")) {
         long id = ++lastLease;
-        lives.put(id, Doc.decode(body).count("life_ms") / 1000.0);
-        leases.put(id, timers.now() + lives.get(id));
-        then.accept(reply(200, Doc.of().put("tenancy", id)));
+        leaseDurationsS.put(id, Document.decode(body).count("life_ms") / 1000.0);
+        leaseExpiries.put(id, timers.now() + leaseDurationsS.get(id));
+        then.accept(reply(200, Document.create().put("tenancy", id)));
       } else if (path.startsWith("/leases/")) {
         long id = Long.parseLong(path.split("/")[2]);
-        if (!leases.containsKey(id)) {
-          then.accept(reply(404, Doc.of()));
+        if (!leaseExpiries.containsKey(id)) {
+          then.accept(reply(404, Document.create()));
           return;
         }
-        leases.put(id, timers.now() + lives.get(id));
-        then.accept(reply(200, Doc.of().put("tenancy", id)));
+        leaseExpiries.put(id, timers.now() + leaseDurationsS.get(id));
+        then.accept(reply(200, Document.create().put("tenancy", id)));
       } else if (path.equals("/watch")) {
         double until =
             timers.now() + Double.parseDouble(query.getOrDefault("block_ms", "0")) / 1000;
         watch(query.get("prefix"), Long.parseLong(query.get("from")), until, then);
       } else {
-        then.accept(reply(404, Doc.of()));
+        then.accept(reply(404, Document.create()));
       }
-    } catch (BadMessage e) {
-      then.accept(reply(400, Doc.of()));
+    } catch (MalformedMessageException e) {
+      then.accept(reply(400, Document.create()));
     }
   }
 
-  private static Reply reply(int status, Doc doc) {
-    return new Reply(status, doc.encode(), 0);
+  private static Response reply(int status, Document doc) {
+    return new Response(status, doc.encode(), 0);
   }
 
-  private void get(String key, Consumer<Reply> then) {
+  private void get(String key, Consumer<Response> then) {
     Value v = keys.get(key);
     then.accept(
-        v == null ? reply(404, Doc.of().put("ledger_rev", revision)) : reply(200, pair(key, v)));
+        v == null
+            ? reply(404, Document.create().put("ledger_rev", revision))
+            : reply(200, pair(key, v)));
   }
 
-  private static Doc pair(String key, Value v) {
-    return Doc.of().put("k", key).put("data", v.data).put("stamp", v.stamp);
+  private static Document pair(String key, Value v) {
+    return Document.create().put("k", key).put("data", v.data).put("stamp", v.revision);
   }
 
-  private void range(Map<String, String> query, Consumer<Reply> then) {
+  private void range(Map<String, String> query, Consumer<Response> then) {
     int page = Integer.parseInt(query.getOrDefault("page", "1000"));
-    List<Doc> pairs = new ArrayList<>();
+    List<Document> pairs = new ArrayList<>();
     boolean more = false;
     for (var e : keys.tailMap(query.getOrDefault("from", ""), false).entrySet()) {
       if (e.getKey().startsWith(query.get("prefix"))) {
@@ -156,70 +158,76 @@
       }
     }
     then.accept(
-        reply(200, Doc.of().put("pairs", pairs).put("more", more).put("ledger_rev", revision)));
+        reply(
+            200,
+            Document.create().put("pairs", pairs).put("more", more).put("ledger_rev", revision)));
   }
 
-  private void txn(Doc txn, Consumer<Reply> then) throws BadMessage {
-    if (txn.docs("then").size() > TXN_OPS || txn.docs("when").size() > 4 * TXN_OPS) {
-      then.accept(reply(400, Doc.of().put("error", "too much")));
+  private void txn(Document txn, Consumer<Response> then) throws MalformedMessageException {
+    if (txn.documents("then").size() > MAX_TXN_OPS
+        || txn.documents("when").size() > 4 * MAX_TXN_OPS) {
+      then.accept(reply(400, Document.create().put("error", "too much")));
       return;
     }
     List<String> failed = new ArrayList<>();
-    for (Doc w : txn.docs("when")) {
+    for (Document w : txn.documents("when")) {
       Value v = keys.get(w.text("k"));
-      if ((v == null ? 0 : v.stamp) != w.count("stamp")) {
+      if ((v == null ? 0 : v.revision) != w.count("stamp")) {
         failed.add(w.text("k"));
       }
     }
-    for (Doc t : txn.docs("then")) {
-      if (t.has("tenancy") && !leases.containsKey(t.count("tenancy"))) {
-        then.accept(reply(400, Doc.of().put("error", "no such lease")));
+    for (Document t : txn.documents("then")) {
+      if (t.has("tenancy") && !leaseExpiries.containsKey(t.count("tenancy"))) {
+        then.accept(reply(400, Document.create().put("error", "no such lease")));
         return;
       }
     }
     if (!failed.isEmpty()) {
-      wasted += txn.docs("then").size();
-      then.accept(reply(409, Doc.of().put("failed", failed).put("ledger_rev", revision)));
+      failedTxnOps += txn.documents("then").size();
+      then.accept(reply(409, Document.create().put("failed", failed).put("ledger_rev", revision)));
       return;
     }
     revision++;
-    for (Doc t : txn.docs("then")) {
+    for (Document t : txn.documents("then")) {
       if (t.has("put")) {
-        written.merge(t.text("put"), 1, Integer::sum);
-        keys.put(t.text("put"), new Value(t.doc("data"), revision, t.countOr("tenancy", 0)));
-        changes.add(new Change(revision, t.text("put"), t.doc("data")));
+        writes.merge(t.text("put"), 1, Integer::sum);
+        keys.put(t.text("put"), new Value(t.document("data"), revision, t.countOr("tenancy", 0)));
+        changes.add(new Change(revision, t.text("put"), t.document("data")));
       } else if (keys.remove(t.text("remove")) != null) {
-        written.merge(t.text("remove"), 1, Integer::sum);
+        writes.merge(t.text("remove"), 1, Integer::sum);
         changes.add(new Change(revision, t.text("remove"), null));
       }
     }
-    then.accept(reply(200, Doc.of().put("ledger_rev", revision)));
-    wake();
+    then.accept(reply(200, Document.create().put("ledger_rev", revision)));
+    notifyWatches();
   }
 
-  private void wake() {
-    if (changes.size() > KEPT) {
-      changes.subList(0, changes.size() - KEPT).clear();
+  private void notifyWatches() {
+    if (changes.size() > MAX_CHANGES_KEPT) {
+      changes.subList(0, changes.size() - MAX_CHANGES_KEPT).clear();
     }
     List<Runnable> all = List.copyOf(watches);
     watches.clear();
     all.forEach(Runnable::run);
   }
 
-  private void watch(String prefix, long from, double until, Consumer<Reply> then) {
+  private void watch(String prefix, long from, double until, Consumer<Response> then) {
     Map<String, Change> last = new LinkedHashMap<>();
-    for (Change c : changes.subList(firstAfter(from), changes.size())) {
+    for (Change c : changes.subList(firstIndexAfter(from), changes.size())) {
       if (c.key.startsWith(prefix)) {
         last.put(c.key, c);
       }
     }
-    if (!out && (!last.isEmpty() || timers.now() >= until)) {
-      List<Doc> events = new ArrayList<>();
+    if (!inOutage && (!last.isEmpty() || timers.now() >= until)) {
+      List<Document> events = new ArrayList<>();
       for (Change c : last.values()) {
-        Doc e = Doc.of().put(c.data == null ? "remove" : "put", c.key).put("stamp", c.revision);
+        Document e =
+            Document.create()
+                .put(c.data == null ? "remove" : "put", c.key)
+                .put("stamp", c.revision);
         events.add(c.data == null ? e : e.put("data", c.data));
       }
-      then.accept(reply(200, Doc.of().put("ledger_rev", revision).put("events", events)));
+      then.accept(reply(200, Document.create().put("ledger_rev", revision).put("events", events)));
       return;
     }
     boolean[] over = {false};
@@ -235,7 +243,7 @@
   }
 
   /** The place of the first change after a revision; changes are kept in their order. */
-  private int firstAfter(long from) {
+  private int firstIndexAfter(long from) {
     int first = changes.size();
     while (first > 0 && changes.get(first - 1).revision > from) {
       first--;
@@ -243,13 +251,13 @@
     return first;
   }
 
-  private void expire() {
-    if (out) {
+  private void expireLeases() {
+    if (inOutage) {
       return;
     }
     double now = timers.now();
     List<Long> ended = new ArrayList<>();
-    leases.forEach(
+    leaseExpiries.forEach(
         (id, until) -> {
           if (until < now) {
             ended.add(id);
@@ -258,14 +266,14 @@
     if (ended.isEmpty()) {
       return;
     }
-    ended.forEach(leases::remove);
+    ended.forEach(leaseExpiries::remove);
     for (var e : new TreeMap<>(keys).entrySet()) {
-      if (ended.contains(e.getValue().tenancy)) {
+      if (ended.contains(e.getValue().leaseId)) {
         revision++;
         keys.remove(e.getKey());
         changes.add(new Change(revision, e.getKey(), null));
       }
     }
-    wake();
+    notifyWatches();
   }
 }
--- a/src/main/java/dev/dunefront/standin/WorkerStandIn.java
+++ b/src/main/java/dev/dunefront/standin/FakeWorker.java
@@ -1,17 +1,17 @@
 package dev.dunefront.standin;
 
-import dev.dunefront.net.Caller.Reply;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.net.HttpCaller.Response;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
 /** A worker: keeps tasks, obeys tokens, writes reports. Tasks end when they are told to. */
-public final class WorkerStandIn {
+public final class FakeWorker {
   /** A task as the worker knows it. */
-  private record Task(long attempt, String state, String why) {}
+  private record Task(long attempt, String state, String exitReason) {}
 
   private final String host;
   private final String endpoint;
@@ -23,9 +23,9 @@
   private long session = 1;
   private long serial;
   private long token;
-  private Double noticeS;
+  private Double reclaimNoticeS;
 
-  public WorkerStandIn(String host, String endpoint, String type, String zone) {
+  public FakeWorker(String host, String endpoint, String type, String zone) {
     this.host = host;
     this.endpoint = endpoint;
     this.type = type;
@@ -54,13 +54,14 @@
 
   public byte[] report() {
     serial++;
-    List<Doc> pieces = new ArrayList<>();
+    List<Document> pieces = new ArrayList<>();
     tasks.forEach(
         (id, t) -> {
-          Doc d = Doc.of().put("piece", id).put("try_no", t.attempt).put("status", t.state);
-          pieces.add(t.why == null ? d : d.put("exit_reason", t.why));
+          Document d =
+              Document.create().put("piece", id).put("try_no", t.attempt).put("status", t.state);
+          pieces.add(t.exitReason == null ? d : d.put("exit_reason", t.exitReason));
         });
-    return Doc.of()
+    return Document.create()
         .put("host", host)
         .put("endpoint", endpoint)
         .put("flavor", type)
@@ -70,42 +71,42 @@
         .put("serial", serial)
         .put("baton", token)
         .put("pieces", pieces)
-        .put("recall_s", noticeS)
+        .put("recall_s", reclaimNoticeS)
         .encode();
   }
 
   /** The cloud gives notice that it takes the machine back. */
-  public void notice(double seconds) {
-    noticeS = seconds;
+  public void setReclaimNotice(double seconds) {
+    reclaimNoticeS = seconds;
   }
 
   /** Takes the answer to a report; false if it carried too low a token and was dropped. */
-  public boolean answered(byte[] body) throws BadMessage {
-    Doc d = Doc.decode(body);
+  public boolean handleReportResponse(byte[] body) throws MalformedMessageException {
+    Document d = Document.decode(body);
     if (d.countOr("baton", 0) < token) {
       return false;
     }
     token = d.count("baton");
-    carryOut(d.docs("orders"));
+    execute(d.documents("orders"));
     return true;
   }
 
   /** A direct command, as it arrives: now, or much later than it was sent. */
-  public Reply orders(byte[] body) throws BadMessage {
-    Doc d = Doc.decode(body);
+  public Response handleCommands(byte[] body) throws MalformedMessageException {
+    Document d = Document.decode(body);
     if (!d.has("baton") || !d.has("tenure")) {
-      return new Reply(400, new byte[0], 0);
+      return new Response(400, new byte[0], 0);
     }
     if (d.count("baton") < token || d.count("tenure") != session) {
-      return new Reply(409, report(), 0);
+      return new Response(409, report(), 0);
     }
     token = d.count("baton");
-    carryOut(d.docs("orders"));
-    return new Reply(200, report(), 0);
+    execute(d.documents("orders"));
+    return new Response(200, report(), 0);
   }
 
-  private void carryOut(List<Doc> orders) throws BadMessage {
-    for (Doc o : orders) {
+  private void execute(List<Document> orders) throws MalformedMessageException {
+    for (Document o : orders) {
       String id = o.text("piece");
       long attempt = o.count("try_no");
       Task t = tasks.get(id);
@@ -126,7 +127,7 @@
             tasks.remove(id);
           }
         }
-        default -> throw new BadMessage("verb");
+        default -> throw new MalformedMessageException("verb");
       }
     }
   }
@@ -147,7 +148,7 @@
   }
 
   /** It begins anew, as after a restart of its machine: whatever it knew is forgotten. */
-  public void beginAnew() {
+  public void restart() {
     session = 1;
     serial = 0;
     token = 0;
@@ -161,7 +162,7 @@
         .toList();
   }
 
-  public int known() {
+  public int taskCount() {
     return tasks.size();
   }
 
--- a/src/main/java/dev/dunefront/store/Share.java
+++ b/src/main/java/dev/dunefront/store/FairShare.java
@@ -8,33 +8,33 @@
  * nobody gets less than an equal part if it wants it, and what some leave unused is lent to the
  * others. All work it out alike from what they tell each other, so the sum stays within the rate.
  */
-final class Share {
+final class FairShare {
   /** Demand is taken a little larger than it was, so that a rising one finds room. */
-  private static final double RISING = 1.3;
+  private static final double DEMAND_HEADROOM = 1.3;
 
-  private static final double LEAST = 1;
+  private static final double MIN_DEMAND_PER_S = 1;
 
-  private final double total;
+  private final double totalPerS;
   private final int controllers;
 
-  Share(double total, int controllers) {
-    this.total = total;
+  FairShare(double total, int controllers) {
+    this.totalPerS = total;
     this.controllers = controllers;
   }
 
   /** What each may use while nothing is known of the others. */
-  double equalPart() {
-    return total / controllers;
+  double equalShare() {
+    return totalPerS / controllers;
   }
 
   /** The part of a controller that asks for {@code own} a second beside others that live. */
-  double of(double own, List<Double> others) {
+  double allocate(double own, List<Double> others) {
     List<Double> demands = new ArrayList<>();
-    others.forEach(d -> demands.add(d * RISING + LEAST));
-    double mine = own * RISING + LEAST;
+    others.forEach(d -> demands.add(d * DEMAND_HEADROOM + MIN_DEMAND_PER_S));
+    double mine = own * DEMAND_HEADROOM + MIN_DEMAND_PER_S;
     demands.add(mine);
     demands.sort(null);
-    double left = total;
+    double left = totalPerS;
     int sharers = demands.size();
     for (double d : demands) {
       double part = left / sharers;
--- a/src/main/java/dev/dunefront/store/Membership.java
+++ b/src/main/java/dev/dunefront/store/Membership.java
@@ -1,9 +1,9 @@
 package dev.dunefront.store;
 
-import dev.dunefront.net.Loops;
+import dev.dunefront.net.LoopWatchdog;
 import dev.dunefront.net.Timers;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import java.lang.System.Logger.Level;
 import java.util.Map;
 import java.util.Set;
@@ -18,65 +18,65 @@
   public static final String PREFIX = Replica.PREFIX + "n/";
 
   /** Even in an outage the lease is asked for more often than this. */
-  private static final double STALLED_S = 30;
+  private static final double STALL_TIMEOUT_S = 30;
 
   private static final System.Logger LOG = System.getLogger(Membership.class.getName());
 
   private final String node;
   private final String zone;
-  private final Store store;
+  private final StateStore store;
   private final Replica replica;
   private final Timers timers;
-  private final double lifeS;
-  private final Loops loops;
-  private final Map<String, String> live = new TreeMap<>();
+  private final double leaseTtlS;
+  private final LoopWatchdog loopWatchdog;
+  private final Map<String, String> liveIncarnations = new TreeMap<>();
 
   /** The zones of living controllers, as they tell. */
   private final Map<String, String> zones = new TreeMap<>();
 
-  private Runnable reborn = () -> {};
+  private Runnable newIncarnationListener = () -> {};
 
   /** The stamp of this controller's key as last seen; 0 if it is not there. */
-  private long keyStamp;
+  private long ownKeyRevision;
 
-  private long tenancy;
-  private String self;
+  private long leaseId;
+  private String ownIncarnation;
 
   public Membership(
       String node,
       String zone,
-      Store store,
+      StateStore store,
       Replica replica,
       Timers timers,
       double lifeS,
-      Loops loops) {
+      LoopWatchdog loops) {
     this.node = node;
     this.zone = zone;
     this.store = store;
     this.replica = replica;
     this.timers = timers;
-    this.lifeS = lifeS;
-    this.loops = loops;
-    replica.listen(
+    this.leaseTtlS = lifeS;
+    this.loopWatchdog = loops;
+    replica.addListener(
         PREFIX,
         (name, value, stamp) -> {
           String incarnation = null;
           try {
             incarnation = value == null ? null : value.text("inc");
             zones.put(name, value == null ? "" : value.textOr("zone", ""));
-          } catch (BadMessage e) {
+          } catch (MalformedMessageException e) {
             LOG.log(Level.ERROR, "the record of {0} cannot be read: {1}", name, e.getMessage());
           }
           if (incarnation == null) {
-            live.remove(name);
+            liveIncarnations.remove(name);
             zones.remove(name);
           } else {
-            live.put(name, incarnation);
+            liveIncarnations.put(name, incarnation);
           }
           if (name.equals(node)) {
-            keyStamp = value == null ? 0 : stamp;
-            if (self != null && !self.equals(incarnation)) {
-              reassert(self);
+            ownKeyRevision = value == null ? 0 : stamp;
+            if (ownIncarnation != null && !ownIncarnation.equals(incarnation)) {
+              rewriteOwnKey(ownIncarnation);
             }
           }
         });
@@ -87,64 +87,67 @@
    * run out, or somebody has written over it: then the others would take it for dead for ever while
    * it goes on.
    */
-  private void reassert(String name) {
-    if (!name.equals(self) || name.equals(live.get(node))) {
+  private void rewriteOwnKey(String name) {
+    if (!name.equals(ownIncarnation) || name.equals(liveIncarnations.get(node))) {
       return;
     }
-    Doc value = value(name);
+    Document value = memberRecord(name);
     store.tryTxn(
-        new Txn().when(PREFIX + node, keyStamp).put(PREFIX + node, value, tenancy),
-        Store.Urgency.USER,
+        new Txn().requireRevision(PREFIX + node, ownKeyRevision).put(PREFIX + node, value, leaseId),
+        StateStore.RequestPriority.USER,
         done -> {
-          if (!name.equals(self)) {
+          if (!name.equals(ownIncarnation)) {
             return;
           }
           if (done.ok()) {
             replica.apply(PREFIX + node, value, done.revision());
-          } else if (done.outcome() == Store.Outcome.MISSING) {
-            lapsed();
+          } else if (done.outcome() == StateStore.Outcome.NOT_FOUND) {
+            leaseExpired();
           } else {
-            timers.after(0.3, () -> reassert(name));
+            timers.after(0.3, () -> rewriteOwnKey(name));
           }
         });
   }
 
-  private void lapsed() {
-    LOG.log(Level.INFO, "lease of {0} has ended", self);
-    self = null;
-    tenancy = 0;
+  private void leaseExpired() {
+    LOG.log(Level.INFO, "lease of {0} has ended", ownIncarnation);
+    ownIncarnation = null;
+    leaseId = 0;
     start();
   }
 
-  private Doc value(String name) {
-    return Doc.of().put("inc", name).put("zone", zone).put(Store.MARK, store.newMark());
+  private Document memberRecord(String name) {
+    return Document.create()
+        .put("inc", name)
+        .put("zone", zone)
+        .put(StateStore.WRITE_ID_FIELD, store.newWriteId());
   }
 
   /** What to do whenever this controller has become a new incarnation. */
-  public void onReborn(Runnable action) {
-    reborn = action;
+  public void onNewIncarnation(Runnable action) {
+    newIncarnationListener = action;
   }
 
   /** This incarnation's name, or null while there is none. */
-  public String self() {
-    return self;
+  public String ownIncarnation() {
+    return ownIncarnation;
   }
 
-  public long tenancy() {
-    return tenancy;
+  public long leaseId() {
+    return leaseId;
   }
 
   public boolean alive(String incarnation) {
-    return incarnation.equals(live.get(nodeOf(incarnation)));
+    return incarnation.equals(liveIncarnations.get(nodeOf(incarnation)));
   }
 
   /** The living incarnation of a node, or null. */
-  public String incarnation(String name) {
-    return live.get(name);
+  public String liveIncarnation(String name) {
+    return liveIncarnations.get(name);
   }
 
   public Set<String> liveNodes() {
-    return live.keySet();
+    return liveIncarnations.keySet();
   }
 
   /** The zone of a living controller; empty while it has not told. */
@@ -158,7 +161,7 @@
   }
 
   /** The lease under which an incarnation lives; 0 for what is none. */
-  public static long leaseOf(String incarnation) {
+  public static long leaseIdOf(String incarnation) {
     try {
       return Long.parseLong(incarnation.substring(incarnation.lastIndexOf('#') + 1));
     } catch (NumberFormatException e) {
@@ -168,15 +171,15 @@
 
   public void start() {
     store.grantLease(
-        lifeS,
+        leaseTtlS,
         granted -> {
           if (!granted.ok()) {
             LOG.log(Level.INFO, "no lease is granted yet: {0}", granted.outcome());
             timers.after(0.3, this::start);
             return;
           }
-          loops.turned("renewing the lease", timers.now(), STALLED_S);
-          enrol(granted.revision());
+          loopWatchdog.recordIteration("renewing the lease", timers.now(), STALL_TIMEOUT_S);
+          register(granted.revision());
         });
   }
 
@@ -185,63 +188,66 @@
    * write of an earlier try, or of an earlier life, may come late, and would show a name that is
    * dead and take the key along when that one's lease ends.
    */
-  private void enrol(long id) {
+  private void register(long id) {
     String name = node + "#" + id;
     store.get(
         PREFIX + node,
         // Without a lease nothing else can be done: it waits behind nothing.
-        Store.Urgency.USER,
+        StateStore.RequestPriority.USER,
         got -> {
-          if (got.outcome() != Store.Outcome.OK && got.outcome() != Store.Outcome.MISSING) {
-            again(name, got.outcome());
+          if (got.outcome() != StateStore.Outcome.OK
+              && got.outcome() != StateStore.Outcome.NOT_FOUND) {
+            retryRegistration(name, got.outcome());
             return;
           }
-          Doc value = value(name);
+          Document value = memberRecord(name);
           store.tryTxn(
-              new Txn().when(PREFIX + node, got.stamp()).put(PREFIX + node, value, id),
-              Store.Urgency.USER,
+              new Txn()
+                  .requireRevision(PREFIX + node, got.revision())
+                  .put(PREFIX + node, value, id),
+              StateStore.RequestPriority.USER,
               done -> {
                 if (!done.ok()) {
-                  again(name, done.outcome());
+                  retryRegistration(name, done.outcome());
                   return;
                 }
-                tenancy = id;
-                self = name;
-                timers.after(lifeS / 4, () -> renew(id));
+                leaseId = id;
+                ownIncarnation = name;
+                timers.after(leaseTtlS / 4, () -> renewPeriodically(id));
                 replica.apply(PREFIX + node, value, done.revision());
                 LOG.log(Level.INFO, "serving as {0}", name);
-                reborn.run();
+                newIncarnationListener.run();
               });
         });
   }
 
-  private void again(String name, Store.Outcome why) {
+  private void retryRegistration(String name, StateStore.Outcome why) {
     LOG.log(Level.INFO, "not enrolled as {0} yet: {1}", name, why);
     timers.after(0.3, this::start);
   }
 
-  private void renew(long id) {
-    if (id == tenancy) {
-      touch(id, ok -> timers.after(ok ? lifeS / 4 : 0.3, () -> renew(id)));
+  private void renewPeriodically(long id) {
+    if (id == leaseId) {
+      renewOnce(id, ok -> timers.after(ok ? leaseTtlS / 4 : 0.3, () -> renewPeriodically(id)));
     }
   }
 
   /** Asks whether this incarnation still lives; by the time the action runs that is known. */
-  void verify(Runnable then) {
-    if (self == null) {
+  void verifyLease(Runnable then) {
+    if (ownIncarnation == null) {
       then.run();
     } else {
-      touch(tenancy, ok -> then.run());
+      renewOnce(leaseId, ok -> then.run());
     }
   }
 
-  private void touch(long id, Consumer<Boolean> then) {
-    store.touchLease(
+  private void renewOnce(long id, Consumer<Boolean> then) {
+    store.renewLease(
         id,
         done -> {
-          loops.turned("renewing the lease", timers.now(), STALLED_S);
-          if (done.outcome() == Store.Outcome.MISSING && id == tenancy) {
-            lapsed();
+          loopWatchdog.recordIteration("renewing the lease", timers.now(), STALL_TIMEOUT_S);
+          if (done.outcome() == StateStore.Outcome.NOT_FOUND && id == leaseId) {
+            leaseExpired();
           }
           then.accept(done.ok());
         });
--- a/src/main/java/dev/dunefront/store/Standstill.java
+++ b/src/main/java/dev/dunefront/store/PauseDetector.java
@@ -1,7 +1,7 @@
 package dev.dunefront.store;
 
 import dev.dunefront.net.DecisionLock;
-import dev.dunefront.net.Loops;
+import dev.dunefront.net.LoopWatchdog;
 import dev.dunefront.net.Timers;
 import java.lang.System.Logger.Level;
 import java.util.ArrayList;
@@ -19,45 +19,45 @@
  * and every proof is conditional on the record of the hold, so nothing untrue can be written; in an
  * outage nobody can have taken anything, and workers need answers.
  */
-public final class Standstill {
-  private static final System.Logger LOG = System.getLogger(Standstill.class.getName());
+public final class PauseDetector {
+  private static final System.Logger LOG = System.getLogger(PauseDetector.class.getName());
 
   /** How long is waited for the state service's word. */
-  private static final double WAIT_S = 1.5;
+  private static final double REFRESH_TIMEOUT_S = 1.5;
 
   private final Replica replica;
   private final Membership membership;
   private final Timers timers;
   private final DecisionLock decisionLock;
-  private final Loops loops;
-  private final double gapS;
+  private final LoopWatchdog loopWatchdog;
+  private final double pauseThresholdS;
   private final List<Runnable> waiting = new ArrayList<>();
   private final List<Runnable> listeners = new ArrayList<>();
-  private double turnedAt;
-  private long wakings;
-  private int unknown;
+  private double lastDecisionAt;
+  private long pauseCount;
+  private int pendingRefreshes;
   private boolean current = true;
 
   /** A gap of {@code gapS} is one in which this controller's lease may have run out. */
-  public Standstill(
+  public PauseDetector(
       Replica replica,
       Membership membership,
       Timers timers,
       DecisionLock decisionLock,
-      Loops loops,
+      LoopWatchdog loops,
       double gapS) {
     this.replica = replica;
     this.membership = membership;
     this.timers = timers;
     this.decisionLock = decisionLock;
-    this.loops = loops;
-    this.gapS = gapS;
-    this.turnedAt = timers.now();
-    decisionLock.onEntering(this::turned);
+    this.loopWatchdog = loops;
+    this.pauseThresholdS = gapS;
+    this.lastDecisionAt = timers.now();
+    decisionLock.beforeEachDecision(this::detectPause);
   }
 
   /** Hears whenever this controller knows again what holds. */
-  public void listen(Runnable woken) {
+  public void addResumeListener(Runnable woken) {
     listeners.add(woken);
   }
 
@@ -76,34 +76,34 @@
   }
 
   /** A decision is about to be made. */
-  private void turned() {
+  private void detectPause() {
     double now = timers.now();
-    double gap = now - turnedAt;
-    turnedAt = now;
-    if (gap < gapS) {
+    double gap = now - lastDecisionAt;
+    lastDecisionAt = now;
+    if (gap < pauseThresholdS) {
       return;
     }
-    loops.stoodStill(now);
+    loopWatchdog.resetAfterPause(now);
     if (!replica.ready()) {
       return;
     }
     LOG.log(Level.INFO, "stood still for {0} s; asks what has changed", gap);
-    long waking = ++wakings;
+    long waking = ++pauseCount;
     current = false;
-    unknown = 2;
-    replica.catchUp(() -> known(waking));
-    membership.verify(() -> known(waking));
-    timers.after(WAIT_S, () -> decisionLock.run(() -> wake(waking)));
+    pendingRefreshes = 2;
+    replica.catchUp(() -> refreshCompleted(waking));
+    membership.verifyLease(() -> refreshCompleted(waking));
+    timers.after(REFRESH_TIMEOUT_S, () -> decisionLock.run(() -> resume(waking)));
   }
 
-  private void known(long waking) {
-    if (waking == wakings && --unknown == 0) {
-      wake(waking);
+  private void refreshCompleted(long waking) {
+    if (waking == pauseCount && --pendingRefreshes == 0) {
+      resume(waking);
     }
   }
 
-  private void wake(long waking) {
-    if (waking != wakings || current) {
+  private void resume(long waking) {
+    if (waking != pauseCount || current) {
       return;
     }
     current = true;
--- a/src/main/java/dev/dunefront/store/Proofs.java
+++ b/src/main/java/dev/dunefront/store/ReadBarrier.java
@@ -12,29 +12,29 @@
  * and brings all changes since the last: it serves all questions that have come until it goes out,
  * so a storm of them costs the state service no more than a trickle.
  */
-public final class Proofs {
+public final class ReadBarrier {
   /** Between two proofs, in seconds; users wait for 2 s, and the state may lag by 3 s. */
-  private static final double PACE_S = 0.3;
+  private static final double MIN_READ_INTERVAL_S = 0.3;
 
   /** So many questions wait at the most; the rest are refused at once. */
-  private static final int MOST = 4000;
+  private static final int MAX_WAITING = 4000;
 
-  private final Store store;
+  private final StateStore store;
   private final Replica replica;
   private final Timers timers;
   private final DecisionLock decisionLock;
   private final String prefix;
   private List<Consumer<Boolean>> waiting = new ArrayList<>();
-  private double waitingSince;
-  private double begunAt = Double.NEGATIVE_INFINITY;
-  private boolean due;
-  private boolean underWay;
-  private long seen;
-  private int proofs;
+  private double oldestWaitingSince;
+  private double lastReadAt = Double.NEGATIVE_INFINITY;
+  private boolean readScheduled;
+  private boolean readInFlight;
+  private long verifiedRevision;
+  private int readCount;
 
   /** Proofs for what is under a prefix that is itself under the replica's. */
-  public Proofs(
-      Store store, Replica replica, Timers timers, DecisionLock decisionLock, String prefix) {
+  public ReadBarrier(
+      StateStore store, Replica replica, Timers timers, DecisionLock decisionLock, String prefix) {
     this.store = store;
     this.replica = replica;
     this.timers = timers;
@@ -49,72 +49,72 @@
 
   /** How long the oldest has waited, in seconds. */
   public double oldestS() {
-    return waiting.isEmpty() ? 0 : timers.now() - waitingSince;
+    return waiting.isEmpty() ? 0 : timers.now() - oldestWaitingSince;
   }
 
   /** Reads made so far. */
-  public int made() {
-    return proofs;
+  public int readCount() {
+    return readCount;
   }
 
   /** Runs the action once the replica is proven, or with false if it cannot be now. */
-  public void await(Consumer<Boolean> then) {
-    if (!replica.ready() || waiting.size() >= MOST) {
+  public void whenCurrent(Consumer<Boolean> then) {
+    if (!replica.ready() || waiting.size() >= MAX_WAITING) {
       then.accept(false);
       return;
     }
     if (waiting.isEmpty()) {
-      waitingSince = timers.now();
+      oldestWaitingSince = timers.now();
     }
     waiting.add(then);
-    beginSoon();
+    scheduleRead();
   }
 
-  private void beginSoon() {
-    if (due || underWay) {
+  private void scheduleRead() {
+    if (readScheduled || readInFlight) {
       return;
     }
-    double wait = begunAt + PACE_S - timers.now();
+    double wait = lastReadAt + MIN_READ_INTERVAL_S - timers.now();
     if (wait <= 0) {
-      begin();
+      startRead();
       return;
     }
-    due = true;
+    readScheduled = true;
     timers.after(
         wait,
         () ->
             decisionLock.run(
                 () -> {
-                  due = false;
-                  begin();
+                  readScheduled = false;
+                  startRead();
                 }));
   }
 
-  private void begin() {
-    if (underWay || waiting.isEmpty()) {
+  private void startRead() {
+    if (readInFlight || waiting.isEmpty()) {
       return;
     }
-    underWay = true;
-    proofs++;
-    begunAt = timers.now();
+    readInFlight = true;
+    readCount++;
+    lastReadAt = timers.now();
     List<Consumer<Boolean>> served = waiting;
     waiting = new ArrayList<>();
-    seen = Math.max(seen, replica.seen());
+    verifiedRevision = Math.max(verifiedRevision, replica.appliedRevision());
     store.watch(
         prefix,
-        seen,
+        verifiedRevision,
         0,
         watched -> {
-          underWay = false;
-          boolean ok = watched.outcome() == Store.Outcome.OK;
+          readInFlight = false;
+          boolean ok = watched.outcome() == StateStore.Outcome.OK;
           if (ok) {
-            watched.events().forEach(e -> replica.apply(e.key(), e.value(), e.stamp()));
-            seen = Math.max(seen, watched.revision());
+            watched.events().forEach(e -> replica.apply(e.key(), e.value(), e.revision()));
+            verifiedRevision = Math.max(verifiedRevision, watched.revision());
           }
           // One whose answer fails must not keep the others from theirs.
           served.forEach(then -> decisionLock.run(() -> then.accept(ok)));
           if (!waiting.isEmpty()) {
-            beginSoon();
+            scheduleRead();
           }
         });
   }
--- a/src/main/java/dev/dunefront/store/Replica.java
+++ b/src/main/java/dev/dunefront/store/Replica.java
@@ -1,10 +1,10 @@
 package dev.dunefront.store;
 
 import dev.dunefront.net.DecisionLock;
-import dev.dunefront.net.Loops;
+import dev.dunefront.net.LoopWatchdog;
 import dev.dunefront.net.Timers;
-import dev.dunefront.store.Store.Urgency;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.store.StateStore.RequestPriority;
+import dev.dunefront.wire.Document;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -16,43 +16,43 @@
   /** Everything under this prefix is copied. */
   public static final String PREFIX = "w/";
 
-  private static final double BLOCK_S = 10;
-  private static final double PAUSE_S = 0.06;
+  private static final double WATCH_BLOCK_S = 10;
+  private static final double WATCH_PAUSE_S = 0.06;
 
   /** A watch is answered, or given up, well within this time. */
-  private static final double STALLED_S = 30;
+  private static final double STALL_TIMEOUT_S = 30;
 
-  private static final int TOMBSTONES = 4096;
+  private static final int MAX_TOMBSTONES = 4096;
 
   /** Hears of each change; a null value means removed. */
   public interface Listener {
-    void changed(String key, Doc value, long stamp);
+    void changed(String key, Document value, long stamp);
   }
 
-  private final Store store;
+  private final StateStore store;
   private final Timers timers;
   private final Map<String, Listener> listeners = new LinkedHashMap<>();
-  private final Map<String, Long> stamps = new HashMap<>();
+  private final Map<String, Long> revisions = new HashMap<>();
   private final Map<String, Long> tombstones =
       new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
-          return size() > TOMBSTONES;
+          return size() > MAX_TOMBSTONES;
         }
       };
   private final DecisionLock decisionLock;
-  private final Loops loops;
+  private final LoopWatchdog loopWatchdog;
   private boolean ready;
-  private Runnable whenRead = () -> {};
+  private Runnable initialReadListener = () -> {};
 
   /** Everything up to here has been seen. */
-  private long seen;
+  private long appliedRevision;
 
-  public Replica(Store store, Timers timers, DecisionLock decisionLock, Loops loops) {
+  public Replica(StateStore store, Timers timers, DecisionLock decisionLock, LoopWatchdog loops) {
     this.store = store;
     this.timers = timers;
     this.decisionLock = decisionLock;
-    this.loops = loops;
+    this.loopWatchdog = loops;
   }
 
   /** Whether the first full read is complete. */
@@ -61,45 +61,45 @@
   }
 
   /** Every change up to this revision has been applied. */
-  public long seen() {
-    return seen;
+  public long appliedRevision() {
+    return appliedRevision;
   }
 
-  public void listen(String prefix, Listener listener) {
+  public void addListener(String prefix, Listener listener) {
     listeners.put(prefix, listener);
   }
 
   /** Reads everything, tells so, then follows the changes for ever. */
   public void start(Runnable read) {
-    whenRead = read;
+    initialReadListener = read;
     start();
   }
 
   private void start() {
     store.range(
         PREFIX,
-        Urgency.CORE,
+        RequestPriority.CORE,
         range -> {
-          if (range.outcome() != Store.Outcome.OK) {
+          if (range.outcome() != StateStore.Outcome.OK) {
             timers.after(0.3, this::start);
             return;
           }
           Set<String> there = new HashSet<>();
-          for (Store.Pair p : range.pairs()) {
+          for (StateStore.KeyValue p : range.pairs()) {
             there.add(p.key());
-            apply(p.key(), p.value(), p.stamp());
+            apply(p.key(), p.value(), p.revision());
           }
-          for (String key : Set.copyOf(stamps.keySet())) {
-            if (!there.contains(key) && stamps.get(key) <= range.revision()) {
+          for (String key : Set.copyOf(revisions.keySet())) {
+            if (!there.contains(key) && revisions.get(key) <= range.revision()) {
               apply(key, null, range.revision());
             }
           }
-          seen = Math.max(seen, range.revision());
+          appliedRevision = Math.max(appliedRevision, range.revision());
           if (!ready) {
             ready = true;
-            decisionLock.run(whenRead);
+            decisionLock.run(initialReadListener);
           }
-          follow(range.revision());
+          watchFrom(range.revision());
         });
   }
 
@@ -107,53 +107,53 @@
   void catchUp(Runnable then) {
     store.watch(
         PREFIX,
-        seen,
+        appliedRevision,
         0,
         watched -> {
-          took(watched);
+          applyWatchResult(watched);
           then.run();
         });
   }
 
-  private void took(Store.Watched watched) {
-    for (Store.Event e : watched.events()) {
-      apply(e.key(), e.value(), e.stamp());
+  private void applyWatchResult(StateStore.WatchResult watched) {
+    for (StateStore.WatchEvent e : watched.events()) {
+      apply(e.key(), e.value(), e.revision());
     }
-    if (watched.outcome() == Store.Outcome.OK) {
-      seen = Math.max(seen, watched.revision());
+    if (watched.outcome() == StateStore.Outcome.OK) {
+      appliedRevision = Math.max(appliedRevision, watched.revision());
     }
   }
 
-  private void follow(long from) {
-    loops.turned("following the state", timers.now(), STALLED_S);
+  private void watchFrom(long from) {
+    loopWatchdog.recordIteration("following the state", timers.now(), STALL_TIMEOUT_S);
     store.watch(
         PREFIX,
         from,
-        BLOCK_S,
+        WATCH_BLOCK_S,
         watched -> {
-          loops.turned("following the state", timers.now(), STALLED_S);
-          took(watched);
-          if (watched.tooOld()) {
+          loopWatchdog.recordIteration("following the state", timers.now(), STALL_TIMEOUT_S);
+          applyWatchResult(watched);
+          if (watched.compacted()) {
             start();
             return;
           }
-          boolean ok = watched.outcome() == Store.Outcome.OK;
-          timers.after(ok ? PAUSE_S : 0.3, () -> follow(watched.revision()));
+          boolean ok = watched.outcome() == StateStore.Outcome.OK;
+          timers.after(ok ? WATCH_PAUSE_S : 0.3, () -> watchFrom(watched.revision()));
         });
   }
 
   /** Takes a change that a watch, a read or our own write has shown; older ones are ignored. */
-  public void apply(String key, Doc value, long stamp) {
-    if (stamp <= stamps.getOrDefault(key, 0L) || stamp <= tombstones.getOrDefault(key, 0L)) {
+  public void apply(String key, Document value, long stamp) {
+    if (stamp <= revisions.getOrDefault(key, 0L) || stamp <= tombstones.getOrDefault(key, 0L)) {
       return;
     }
     if (value == null) {
       tombstones.put(key, stamp);
-      if (stamps.remove(key) == null) {
+      if (revisions.remove(key) == null) {
         return;
       }
     } else {
-      stamps.put(key, stamp);
+      revisions.put(key, stamp);
     }
     listeners.forEach(
         (prefix, listener) -> {
--- a/src/main/java/dev/dunefront/wire/Doc.java
+++ b/src/main/java/dev/dunefront/wire/Document.java
@@ -12,36 +12,37 @@
 import org.msgpack.core.MessageUnpacker;
 
 /** A MessagePack map keyed by text, with checked access to its fields. */
-public final class Doc {
+public final class Document {
   private static final int MAX_DEPTH = 24;
   private final Map<String, Object> fields;
 
-  private Doc(Map<String, Object> fields) {
+  private Document(Map<String, Object> fields) {
     this.fields = fields;
   }
 
-  public static Doc of() {
-    return new Doc(new LinkedHashMap<>());
+  public static Document create() {
+    return new Document(new LinkedHashMap<>());
   }
 
-  public static Doc decode(byte[] body) throws BadMessage {
+  public static Document decode(byte[] body) throws MalformedMessageException {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(body)) {
-      Object value = read(in, 0);
+      Object value = unpackValue(in, 0);
       if (in.hasNext()) {
-        throw new BadMessage("bytes after the message");
+        throw new MalformedMessageException("bytes after the message");
       }
-      if (value instanceof Doc doc) {
+      if (value instanceof Document doc) {
         return doc;
       }
-      throw new BadMessage("not a map");
+      throw new MalformedMessageException("not a map");
     } catch (IOException | MessagePackException e) {
-      throw new BadMessage("not MessagePack");
+      throw new MalformedMessageException("not MessagePack");
     }
   }
 
-  private static Object read(MessageUnpacker in, int depth) throws IOException, BadMessage {
+  private static Object unpackValue(MessageUnpacker in, int depth)
+      throws IOException, MalformedMessageException {
     if (depth > MAX_DEPTH) {
-      throw new BadMessage("nested too deeply");
+      throw new MalformedMessageException("nested too deeply");
     }
     MessageFormat format = in.getNextFormat();
     switch (format.getValueType()) {
@@ -65,43 +66,43 @@
         // The announced length is not trusted for memory: a short body may announce billions.
         List<Object> list = new ArrayList<>(Math.min(n, 1024));
         for (int i = 0; i < n; i++) {
-          list.add(read(in, depth + 1));
+          list.add(unpackValue(in, depth + 1));
         }
         return list;
       case MAP:
         int size = in.unpackMapHeader();
         Map<String, Object> map = new LinkedHashMap<>();
         for (int i = 0; i < size; i++) {
-          map.put(in.unpackString(), read(in, depth + 1));
+          map.put(in.unpackString(), unpackValue(in, depth + 1));
         }
-        return new Doc(map);
+        return new Document(map);
       default:
-        throw new BadMessage("binary data");
+        throw new MalformedMessageException("binary data");
     }
   }
 
   public byte[] encode() {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
-      write(out, this);
+      packValue(out, this);
       return out.toByteArray();
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  private static void write(MessageBufferPacker out, Object value) throws IOException {
+  private static void packValue(MessageBufferPacker out, Object value) throws IOException {
     if (value == null) {
       out.packNil();
-    } else if (value instanceof Doc doc) {
+    } else if (value instanceof Document doc) {
       out.packMapHeader(doc.fields.size());
       for (var e : doc.fields.entrySet()) {
         out.packString(e.getKey());
-        write(out, e.getValue());
+        packValue(out, e.getValue());
       }
     } else if (value instanceof List<?> list) {
       out.packArrayHeader(list.size());
       for (Object o : list) {
-        write(out, o);
+        packValue(out, o);
       }
     } else if (value instanceof String s) {
       out.packString(s);
@@ -117,7 +118,7 @@
   }
 
   /** Sets a field. Whole numbers are kept as long, as a decoded message would have them. */
-  public Doc put(String name, Object value) {
+  public Document put(String name, Object value) {
     fields.put(name, value instanceof Integer i ? (Object) i.longValue() : value);
     return this;
   }
@@ -126,18 +127,18 @@
     return fields.get(name) != null;
   }
 
-  public String text(String name) throws BadMessage {
+  public String text(String name) throws MalformedMessageException {
     if (fields.get(name) instanceof String s) {
       return s;
     }
-    throw new BadMessage(name + " is missing or not text");
+    throw new MalformedMessageException(name + " is missing or not text");
   }
 
-  public String textOr(String name, String fallback) throws BadMessage {
+  public String textOr(String name, String fallback) throws MalformedMessageException {
     return has(name) ? text(name) : fallback;
   }
 
-  public long count(String name) throws BadMessage {
+  public long count(String name) throws MalformedMessageException {
     Object v = fields.get(name);
     if (v instanceof Long l && l >= 0) {
       return l;
@@ -145,68 +146,68 @@
     if (v instanceof Double d && d >= 0 && d == Math.rint(d) && d < 9e15) {
       return d.longValue();
     }
-    throw new BadMessage(name + " is missing or not a count");
+    throw new MalformedMessageException(name + " is missing or not a count");
   }
 
-  public long countOr(String name, long fallback) throws BadMessage {
+  public long countOr(String name, long fallback) throws MalformedMessageException {
     return has(name) ? count(name) : fallback;
   }
 
-  public double amount(String name) throws BadMessage {
+  public double amount(String name) throws MalformedMessageException {
     if (fields.get(name) instanceof Number n
         && n.doubleValue() >= 0
         && n.doubleValue() < Double.POSITIVE_INFINITY) {
       return n.doubleValue();
     }
-    throw new BadMessage(name + " is missing or not an amount");
+    throw new MalformedMessageException(name + " is missing or not an amount");
   }
 
-  public Double amountOrNull(String name) throws BadMessage {
+  public Double amountOrNull(String name) throws MalformedMessageException {
     return has(name) ? (Double) amount(name) : null;
   }
 
-  public boolean flag(String name) throws BadMessage {
+  public boolean flag(String name) throws MalformedMessageException {
     if (fields.get(name) instanceof Boolean b) {
       return b;
     }
-    throw new BadMessage(name + " is missing or not a boolean");
+    throw new MalformedMessageException(name + " is missing or not a boolean");
   }
 
-  public boolean flagOr(String name, boolean fallback) throws BadMessage {
+  public boolean flagOr(String name, boolean fallback) throws MalformedMessageException {
     return has(name) ? flag(name) : fallback;
   }
 
-  public Doc doc(String name) throws BadMessage {
-    if (fields.get(name) instanceof Doc d) {
+  public Document document(String name) throws MalformedMessageException {
+    if (fields.get(name) instanceof Document d) {
       return d;
     }
-    throw new BadMessage(name + " is missing or not a map");
+    throw new MalformedMessageException(name + " is missing or not a map");
   }
 
-  public List<Doc> docs(String name) throws BadMessage {
-    return list(name, Doc.class);
+  public List<Document> documents(String name) throws MalformedMessageException {
+    return list(name, Document.class);
   }
 
-  public List<String> texts(String name) throws BadMessage {
+  public List<String> texts(String name) throws MalformedMessageException {
     return list(name, String.class);
   }
 
-  public List<Long> counts(String name) throws BadMessage {
+  public List<Long> counts(String name) throws MalformedMessageException {
     return list(name, Long.class);
   }
 
-  private <T> List<T> list(String name, Class<T> kind) throws BadMessage {
+  private <T> List<T> list(String name, Class<T> kind) throws MalformedMessageException {
     Object v = fields.get(name);
     if (v == null) {
       return List.of();
     }
     if (!(v instanceof List<?> raw)) {
-      throw new BadMessage(name + " is not a list");
+      throw new MalformedMessageException(name + " is not a list");
     }
     List<T> all = new ArrayList<>(raw.size());
     for (Object o : raw) {
       if (!kind.isInstance(o)) {
-        throw new BadMessage(name + " holds an item of the wrong kind");
+        throw new MalformedMessageException(name + " holds an item of the wrong kind");
       }
       all.add(kind.cast(o));
     }
--- a/src/main/java/dev/dunefront/wire/MachineType.java
+++ b/src/main/java/dev/dunefront/wire/MachineType.java
@@ -5,7 +5,7 @@
 /** A type of machine in the cloud's catalog. */
 public record MachineType(
     String name,
-    Size size,
+    Resources resources,
     double cacheGb,
     double fetchGbPerS,
     double price,
@@ -13,10 +13,11 @@
     double bootS,
     List<String> zones) {
 
-  public static MachineType read(Doc d) throws BadMessage {
+  public static MachineType fromDocument(Document d) throws MalformedMessageException {
     return new MachineType(
         d.text("label"),
-        Size.supply(d.amount("vcpus"), d.has("cards") ? d.amount("cards") : 0, d.amount("ram_gb")),
+        Resources.supply(
+            d.amount("vcpus"), d.has("cards") ? d.amount("cards") : 0, d.amount("ram_gb")),
         d.has("cache_gb") ? d.amount("cache_gb") : 0,
         d.has("pull_gb_per_s") ? d.amount("pull_gb_per_s") : 0,
         d.has("rate") ? d.amount("rate") : 0,
--- a/src/main/java/dev/dunefront/wire/BadMessage.java
+++ b/src/main/java/dev/dunefront/wire/MalformedMessageException.java
@@ -1,8 +1,8 @@
 package dev.dunefront.wire;
 
 /** A body or a field that breaks the published format; the message names what is wrong. */
-public final class BadMessage extends Exception {
-  public BadMessage(String what) {
+public final class MalformedMessageException extends Exception {
+  public MalformedMessageException(String what) {
     super(what);
   }
 }
--- a/src/main/java/dev/dunefront/wire/Priority.java
+++ b/src/main/java/dev/dunefront/wire/Priority.java
@@ -7,14 +7,14 @@
   NORMAL("normal"),
   BEST_EFFORT("best_effort");
 
-  private final String word;
+  private final String wireName;
 
   Priority(String word) {
-    this.word = word;
+    this.wireName = word;
   }
 
-  public String word() {
-    return word;
+  public String wireName() {
+    return wireName;
   }
 
   /** Whether a few seconds' delay of a start matters to the user. */
@@ -22,12 +22,12 @@
     return compareTo(HIGH) <= 0;
   }
 
-  static Priority parse(String word) throws BadMessage {
+  static Priority parse(String word) throws MalformedMessageException {
     for (Priority p : values()) {
-      if (p.word.equals(word)) {
+      if (p.wireName.equals(word)) {
         return p;
       }
     }
-    throw new BadMessage("urgency is none of critical, high, normal, best_effort");
+    throw new MalformedMessageException("urgency is none of critical, high, normal, best_effort");
   }
 }
--- a/src/main/java/dev/dunefront/wire/Report.java
+++ b/src/main/java/dev/dunefront/wire/Report.java
@@ -13,11 +13,11 @@
     long session,
     long serial,
     long token,
-    Double noticeS,
+    Double reclaimNoticeS,
     List<Task> tasks) {
 
   /** A task on the machine; {@code why} is set only once it has exited. */
-  public record Task(TaskId id, long attempt, String state, String why) {
+  public record Task(TaskId id, long attempt, String state, String exitReason) {
     public boolean exited() {
       return state.equals("exited");
     }
@@ -28,7 +28,7 @@
           && attempt == t.attempt
           && id.equals(t.id)
           && state.equals(t.state)
-          && why.equals(t.why);
+          && exitReason.equals(t.exitReason);
     }
 
     @Override
@@ -37,9 +37,9 @@
     }
   }
 
-  public static Report read(Doc d) throws BadMessage {
+  public static Report fromDocument(Document d) throws MalformedMessageException {
     List<Task> tasks = new ArrayList<>();
-    for (Doc t : d.docs("pieces")) {
+    for (Document t : d.documents("pieces")) {
       tasks.add(
           new Task(
               TaskId.parse(t.text("piece")),
--- a/src/main/java/dev/dunefront/wire/TaskId.java
+++ b/src/main/java/dev/dunefront/wire/TaskId.java
@@ -2,12 +2,12 @@
 
 /** A task of a job, written {@code job/number}. */
 public record TaskId(String job, int number) {
-  public static TaskId parse(String text) throws BadMessage {
+  public static TaskId parse(String text) throws MalformedMessageException {
     int slash = text.lastIndexOf('/');
     try {
       return new TaskId(text.substring(0, slash), Integer.parseInt(text.substring(slash + 1)));
     } catch (IndexOutOfBoundsException | NumberFormatException e) {
-      throw new BadMessage("not a task: " + text);
+      throw new MalformedMessageException("not a task: " + text);
     }
   }
 
--- a/src/test/java/dev/dunefront/book/InterestsTest.java
+++ b/src/test/java/dev/dunefront/book/InterestsTest.java
@@ -4,40 +4,42 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dev.dunefront.peer.Detail;
+import dev.dunefront.peer.ViewDetail;
 import org.junit.jupiter.api.Test;
 
 /** How much a holder tells each controller: everything, unless it has lately asked for less. */
 class InterestsTest {
-  private final Interests interests = new Interests();
+  private final ViewSubscriptions interests = new ViewSubscriptions();
 
   @Test
   void whoeverHasSaidNothingIsToldEverything() {
-    assertEquals(Detail.LOAD, interests.of("node-1", 5));
-    assertFalse(interests.declared("node-1", Detail.STANDING, 5), "nothing was missed");
-    assertEquals(Detail.STANDING, interests.of("node-1", 5));
+    assertEquals(ViewDetail.FULL, interests.detailFor("node-1", 5));
+    assertFalse(interests.subscribe("node-1", ViewDetail.STATUS, 5), "nothing was missed");
+    assertEquals(ViewDetail.STATUS, interests.detailFor("node-1", 5));
   }
 
   @Test
   void aDeclarationThatIsNotRepeatedLapses() {
-    interests.declared("node-1", Detail.STANDING, 5);
-    assertEquals(Detail.STANDING, interests.of("node-1", 5 + Interests.LAPSE_S));
-    assertEquals(Detail.LOAD, interests.of("node-1", 5.1 + Interests.LAPSE_S));
+    interests.subscribe("node-1", ViewDetail.STATUS, 5);
+    assertEquals(
+        ViewDetail.STATUS, interests.detailFor("node-1", 5 + ViewSubscriptions.SUBSCRIPTION_TTL_S));
+    assertEquals(
+        ViewDetail.FULL, interests.detailFor("node-1", 5.1 + ViewSubscriptions.SUBSCRIPTION_TTL_S));
   }
 
   @Test
   void aRiseIsNoticedOnceHoweverOftenItIsSaid() {
-    interests.declared("node-1", Detail.STANDING, 5);
-    assertTrue(interests.declared("node-1", Detail.ROOM, 6));
-    assertFalse(interests.declared("node-1", Detail.ROOM, 6));
-    assertFalse(interests.declared("node-1", Detail.STANDING, 7));
-    assertEquals(Detail.STANDING, interests.of("node-1", 7));
+    interests.subscribe("node-1", ViewDetail.STATUS, 5);
+    assertTrue(interests.subscribe("node-1", ViewDetail.CAPACITY, 6));
+    assertFalse(interests.subscribe("node-1", ViewDetail.CAPACITY, 6));
+    assertFalse(interests.subscribe("node-1", ViewDetail.STATUS, 7));
+    assertEquals(ViewDetail.STATUS, interests.detailFor("node-1", 7));
   }
 
   @Test
   void anotherLifeBeginsWithEverything() {
-    interests.declared("node-1", Detail.STANDING, 5);
-    interests.gone("node-1");
-    assertEquals(Detail.LOAD, interests.of("node-1", 5));
+    interests.subscribe("node-1", ViewDetail.STATUS, 5);
+    interests.remove("node-1");
+    assertEquals(ViewDetail.FULL, interests.detailFor("node-1", 5));
   }
 }
--- a/src/test/java/dev/dunefront/book/RosterTest.java
+++ b/src/test/java/dev/dunefront/book/RosterTest.java
@@ -6,8 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dev.dunefront.book.Roster.Member;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -20,20 +20,22 @@
           List.of(new Member("n-0", "a"), new Member("n-1", "b"), new Member("n-2", "a")), 4, 77);
 
   @Test
-  void isReadBackAsWrittenAndOneOfAnEarlierVersionIsOfTheFirstEpoch() throws BadMessage {
-    assertEquals(THREE, Roster.read(Doc.decode(THREE.write().encode()), 77));
-    Doc earlier = Doc.of().put("nodes", List.of("n-0")).put("zones", List.of("a"));
+  void isReadBackAsWrittenAndOneOfAnEarlierVersionIsOfTheFirstEpoch()
+      throws MalformedMessageException {
+    assertEquals(THREE, Roster.read(Document.decode(THREE.write().encode()), 77));
+    Document earlier = Document.create().put("nodes", List.of("n-0")).put("zones", List.of("a"));
     assertEquals(1, Roster.read(earlier, 5).epoch());
-    assertEquals(1, Roster.read(earlier, 5).token());
-    Doc torn = Doc.of().put("nodes", List.of("n-0", "n-1")).put("zones", List.of("a"));
-    assertThrows(BadMessage.class, () -> Roster.read(torn, 5));
+    assertEquals(1, Roster.read(earlier, 5).defaultToken());
+    Document torn =
+        Document.create().put("nodes", List.of("n-0", "n-1")).put("zones", List.of("a"));
+    assertThrows(MalformedMessageException.class, () -> Roster.read(torn, 5));
   }
 
   /** A token of the epoch before, however often it was raised, is refused by the worker. */
   @Test
   void tokensOfAnEpochAreAboveAllOfTheOneBefore() {
-    long raisedOften = new Roster(THREE.members(), 4, 1).token() + Integer.MAX_VALUE;
-    assertTrue(new Roster(THREE.members(), 5, 1).token() > raisedOften);
+    long raisedOften = new Roster(THREE.members(), 4, 1).defaultToken() + Integer.MAX_VALUE;
+    assertTrue(new Roster(THREE.members(), 5, 1).defaultToken() > raisedOften);
   }
 
   @Test
@@ -43,8 +45,8 @@
     int moved = 0;
     int machines = 1000;
     for (int i = 0; i < machines; i++) {
-      String before = THREE.holder("host-" + i, i % 2 == 0 ? "a" : "b");
-      String after = more.holder("host-" + i, i % 2 == 0 ? "a" : "b");
+      String before = THREE.defaultHolder("host-" + i, i % 2 == 0 ? "a" : "b");
+      String after = more.defaultHolder("host-" + i, i % 2 == 0 ? "a" : "b");
       if (!before.equals(after)) {
         moved++;
         assertEquals("n-3", after, "machines move to nobody else");
--- a/src/test/java/dev/dunefront/claim/UrgenciesTest.java
+++ b/src/test/java/dev/dunefront/claim/DeadlineRankingTest.java
@@ -3,18 +3,18 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dev.dunefront.config.BadSetting;
+import dev.dunefront.config.InvalidSettingException;
 import dev.dunefront.config.Settings;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.wire.Document;
 import dev.dunefront.wire.JobSpec;
+import dev.dunefront.wire.MalformedMessageException;
 import org.junit.jupiter.api.Test;
 
 /** What is served first within a priority. */
-class UrgenciesTest {
-  private static JobSpec job(int tasks) throws BadMessage {
-    return JobSpec.read(
-        Doc.of()
+class DeadlineRankingTest {
+  private static JobSpec job(int tasks) throws MalformedMessageException {
+    return JobSpec.fromDocument(
+        Document.create()
             .put("id", "wk-" + tasks)
             .put("batchclass", "c")
             .put("owner", "t")
@@ -27,7 +27,7 @@
   }
 
   /** What users expect of the jobs. */
-  private static final String AIMS =
+  private static final String OBJECTIVES =
       """
       [[facts.objectives]]
       kind = "finished"
@@ -50,7 +50,7 @@
       within_s = 20.0
       """;
 
-  private static Settings settings(String aims) throws BadSetting {
+  private static Settings settings(String aims) throws InvalidSettingException {
     return Settings.parse(
         """
         host_name = "n"
@@ -82,10 +82,10 @@
   }
 
   @Test
-  void whatCanStillBeWonComesFirstAndLargeJobsAfterSmallOnes() throws Exception {
-    Urgencies u = new Urgencies(settings(AIMS));
+  void ranksReachableObjectivesFirstAndLargeJobsAfterSmallOnes() throws Exception {
+    DeadlineRanking u = new DeadlineRanking(settings(OBJECTIVES));
     for (int i = 0; i < 20; i++) {
-      u.seen(job(40));
+      u.jobSeen(job(40));
     }
     int fresh = u.rank(job(40), 40, 0, 0);
     int pressing = u.rank(job(40), 40, 65, 0);
@@ -98,25 +98,26 @@
   }
 
   @Test
-  void howLongTasksRunIsLearned() throws Exception {
-    Urgencies u = new Urgencies(settings(AIMS));
-    assertEquals(Urgencies.IN_TIME, u.rank(job(40), 1, 40, 0));
+  void learnsTaskRunTimes() throws Exception {
+    DeadlineRanking u = new DeadlineRanking(settings(OBJECTIVES));
+    assertEquals(DeadlineRanking.ON_TIME, u.rank(job(40), 1, 40, 0));
     for (int i = 0; i < 60; i++) {
-      u.ran(job(40), 75);
+      u.taskCompleted(job(40), 75);
     }
-    assertEquals(Urgencies.LATE, u.rank(job(40), 1, 40, 0));
+    assertEquals(DeadlineRanking.LATE, u.rank(job(40), 1, 40, 0));
   }
 
   /** The next aim that can still be met counts, whatever was missed before. */
   @Test
-  void tasksMayWaitUntilTheNextAimForTheirStart() throws BadSetting, BadMessage {
-    Urgencies u = new Urgencies(settings(AIMS));
+  void startSlackFollowsNextReachableObjective()
+      throws InvalidSettingException, MalformedMessageException {
+    DeadlineRanking u = new DeadlineRanking(settings(OBJECTIVES));
     assertEquals(4.5, u.startSlackS(job(1), 0.5), 0.001);
     assertEquals(15, u.startSlackS(job(1), 5), 0.001);
     assertEquals(100 - 30 - 25, u.startSlackS(job(1), 25), 0.001, "then for the end");
     assertEquals(180 - 30 - 80, u.startSlackS(job(1), 80), 0.001);
     assertEquals(Double.POSITIVE_INFINITY, u.startSlackS(job(1), 170), "nothing can be won");
     assertEquals(
-        0, new Urgencies(settings("")).startSlackS(job(1), 0.5), "nothing is said of starts");
+        0, new DeadlineRanking(settings("")).startSlackS(job(1), 0.5), "nothing is said of starts");
   }
 }
--- a/src/test/java/dev/dunefront/config/SettingsTest.java
+++ b/src/test/java/dev/dunefront/config/SettingsTest.java
@@ -9,7 +9,7 @@
 
 /** Settings and scripts as operators may write them. */
 class SettingsTest {
-  private static final String GOOD =
+  private static final String VALID =
       """
       host_name = "n0"
       site = "a"
@@ -54,10 +54,10 @@
       """;
 
   @Test
-  void aGoodFileIsReadAndUnknownFieldsAreIgnored() throws BadSetting {
-    Settings s = Settings.parse(GOOD);
+  void validFileIsReadAndUnknownFieldsAreIgnored() throws InvalidSettingException {
+    Settings s = Settings.parse(VALID);
     assertEquals("n0", s.node());
-    assertEquals(2, s.controllers());
+    assertEquals(2, s.controllerCount());
     assertEquals(8081, s.peers().get(0).address().getPort());
     assertTrue(s.team("t").orElseThrow().limited());
     assertEquals(90, s.objectives().get(0).withinS());
@@ -65,47 +65,51 @@
   }
 
   @Test
-  void aBadFileIsRefusedNamingTheField() {
-    refused(GOOD.replace("lease_s = 18.0", ""), "facts.workers.lease_s is missing");
-    refused(GOOD.replace("lease_s = 18.0", "lease_s = -1"), "facts.workers.lease_s");
-    refused(GOOD.replace("txn_ops = 32", "txn_ops = 3.5"), "facts.state.txn_ops");
-    refused(GOOD.replace("10.0.0.1:8080", "here:80"), "listen");
-    refused(GOOD.replace("10.0.0.2:8081", "10.0.0.2"), "others[0].address");
-    refused(GOOD.replace("\"n1\"", "\"n0\""), "a second time");
-    refused(GOOD.replace("cpus_max = 4", "cpus_max = \"x\""), "facts.teams[0].cpus_max");
-    refused("= nonsense", "not TOML");
-    BadSetting e =
-        assertThrows(BadSetting.class, () -> Settings.load(Path.of("no", "such", "file")));
+  void invalidFileIsRejectedNamingTheField() {
+    assertRejected(VALID.replace("lease_s = 18.0", ""), "facts.workers.lease_s is missing");
+    assertRejected(VALID.replace("lease_s = 18.0", "lease_s = -1"), "facts.workers.lease_s");
+    assertRejected(VALID.replace("txn_ops = 32", "txn_ops = 3.5"), "facts.state.txn_ops");
+    assertRejected(VALID.replace("10.0.0.1:8080", "here:80"), "listen");
+    assertRejected(VALID.replace("10.0.0.2:8081", "10.0.0.2"), "others[0].address");
+    assertRejected(VALID.replace("\"n1\"", "\"n0\""), "a second time");
+    assertRejected(VALID.replace("cpus_max = 4", "cpus_max = \"x\""), "facts.teams[0].cpus_max");
+    assertRejected("= nonsense", "not TOML");
+    InvalidSettingException e =
+        assertThrows(
+            InvalidSettingException.class, () -> Settings.load(Path.of("no", "such", "file")));
     assertTrue(e.getMessage().contains("does not exist"));
   }
 
-  private static void refused(String toml, String why) {
-    BadSetting e = assertThrows(BadSetting.class, () -> Settings.parse(toml));
+  private static void assertRejected(String toml, String why) {
+    InvalidSettingException e =
+        assertThrows(InvalidSettingException.class, () -> Settings.parse(toml));
     assertTrue(e.getMessage().contains(why), e.getMessage());
   }
 
   @Test
-  void aScriptSetsTunables() throws BadSetting {
-    Tunables t = Script.run("local n = 2\nreach = n * 3\ntick_s = math.max(1, 1.5)", "o.lua");
+  void scriptSetsTunables() throws InvalidSettingException {
+    Tunables t =
+        TunablesScript.run("local n = 2\nreach = n * 3\ntick_s = math.max(1, 1.5)", "o.lua");
     assertEquals(6, t.reach());
     assertEquals(1.5, t.tickS());
     assertEquals(Tunables.DEFAULTS.headroom(), t.headroom());
   }
 
   @Test
-  void aBadScriptIsRefusedNamingFileAndLine() {
-    scriptRefused("\nreech = 4", "o.lua:2", "reech is not a setting");
-    scriptRefused("reach = 0", "o.lua:1", "reach must be a whole number from 1 to 1000");
-    scriptRefused("reach = 'many'", "o.lua:1", "reach must be");
-    scriptRefused("x y z", "o.lua:1", "");
-    scriptRefused("while true do end", "", "runs for too long");
-    scriptRefused("load('reach = 2')()", "o.lua:1", "");
-    scriptRefused("io.open('f')", "o.lua:1", "");
-    scriptRefused("require('x')", "o.lua:1", "");
+  void invalidScriptIsRejectedNamingFileAndLine() {
+    assertScriptRejected("\nreech = 4", "o.lua:2", "reech is not a setting");
+    assertScriptRejected("reach = 0", "o.lua:1", "reach must be a whole number from 1 to 1000");
+    assertScriptRejected("reach = 'many'", "o.lua:1", "reach must be");
+    assertScriptRejected("x y z", "o.lua:1", "");
+    assertScriptRejected("while true do end", "", "runs for too long");
+    assertScriptRejected("load('reach = 2')()", "o.lua:1", "");
+    assertScriptRejected("io.open('f')", "o.lua:1", "");
+    assertScriptRejected("require('x')", "o.lua:1", "");
   }
 
-  private static void scriptRefused(String script, String where, String why) {
-    BadSetting e = assertThrows(BadSetting.class, () -> Script.run(script, "o.lua"));
+  private static void assertScriptRejected(String script, String where, String why) {
+    InvalidSettingException e =
+        assertThrows(InvalidSettingException.class, () -> TunablesScript.run(script, "o.lua"));
     assertTrue(e.getMessage().contains(where), e.getMessage());
     assertTrue(e.getMessage().contains(why), e.getMessage());
   }
--- a/src/test/java/dev/dunefront/evidence/EndProofTest.java
+++ b/src/test/java/dev/dunefront/evidence/EndProofTest.java
@@ -8,28 +8,28 @@
 import dev.dunefront.evidence.EndProof.Attempt;
 import dev.dunefront.evidence.EndProof.Basis;
 import dev.dunefront.evidence.EndProof.Kind;
+import dev.dunefront.peer.Message.ExitReason;
+import dev.dunefront.peer.Message.MachineView;
 import dev.dunefront.peer.Message.State;
-import dev.dunefront.peer.Message.TaskState;
-import dev.dunefront.peer.Message.View;
-import dev.dunefront.peer.Message.Why;
-import dev.dunefront.wire.Size;
+import dev.dunefront.peer.Message.TaskStatus;
+import dev.dunefront.wire.Resources;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** What a view proves of an attempt that was placed in a worker's second session. */
 class EndProofTest {
-  private static final long HOLD_STAMP = 40;
+  private static final long HOLD_REVISION = 40;
   private static final Attempt PLACED = new Attempt(3, "host-1", 2);
 
-  private static View view(long session, boolean lost) {
+  private static MachineView view(long session, boolean lost) {
     List<Integer> none = List.of(0, 0, 0, 0);
-    return new View(
+    return new MachineView(
         "host-1",
         "small",
         "a",
         false,
         5,
-        HOLD_STAMP,
+        HOLD_REVISION,
         session,
         true,
         lost,
@@ -38,29 +38,29 @@
         false,
         false,
         0,
-        Size.NONE,
+        Resources.NONE,
         List.of(),
         none,
         none,
         List.of());
   }
 
-  private static EndProof find(long session, boolean lost, TaskState shown) {
-    View view = view(session, lost);
+  private static EndProof find(long session, boolean lost, TaskStatus shown) {
+    MachineView view = view(session, lost);
     return EndProof.find(PLACED, shown, view, Basis.of("node-0", view, 0.1));
   }
 
-  private static TaskState shown(State state, Why why) {
-    return new TaskState("wk-1", 0, PLACED.number(), state, why);
+  private static TaskStatus shown(State state, ExitReason why) {
+    return new TaskStatus("wk-1", 0, PLACED.number(), state, why);
   }
 
   @Test
   void aLeaseThatIsOverProvesForItsOwnSessionAlone() {
     assertNull(find(1, true, null));
-    EndProof proof = find(2, true, shown(State.RUNNING, Why.NONE));
+    EndProof proof = find(2, true, shown(State.RUNNING, ExitReason.NONE));
     assertEquals(Kind.LEASE_OVER, proof.kind());
     assertTrue(proof.conditional(), "another holder may hear the machine");
-    assertEquals(HOLD_STAMP, proof.basis().holdStamp());
+    assertEquals(HOLD_REVISION, proof.basis().holdRevision());
   }
 
   @Test
@@ -72,25 +72,25 @@
 
   @Test
   void whatIsShownAliveOrNotAtAllProvesNothing() {
-    assertNull(find(2, false, shown(State.RUNNING, Why.NONE)));
+    assertNull(find(2, false, shown(State.RUNNING, ExitReason.NONE)));
     assertNull(find(2, false, null));
     assertNull(find(1, false, null));
   }
 
   @Test
   void anExitNeedsNoCondition() {
-    EndProof proof = find(2, false, shown(State.EXITED, Why.DONE));
+    EndProof proof = find(2, false, shown(State.EXITED, ExitReason.DONE));
     assertEquals(Kind.EXITED, proof.kind());
-    assertEquals(Why.DONE, proof.why());
+    assertEquals(ExitReason.DONE, proof.exitReason());
     assertFalse(proof.conditional());
   }
 
   @Test
   void aProofOfAnotherSessionDoesNotConcernTheAttempt() {
     Basis former = Basis.of("node-0", view(1, true), 0.1);
-    assertFalse(new EndProof(Kind.LEASE_OVER, Why.NONE, former).concerns(PLACED));
-    assertFalse(new EndProof(Kind.LATER_SESSION, Why.NONE, former).concerns(PLACED));
-    assertFalse(new EndProof(Kind.EXITED, Why.DONE, former).concerns(PLACED));
-    assertTrue(EndProof.machineDeleted().concerns(PLACED));
+    assertFalse(new EndProof(Kind.LEASE_OVER, ExitReason.NONE, former).appliesTo(PLACED));
+    assertFalse(new EndProof(Kind.LATER_SESSION, ExitReason.NONE, former).appliesTo(PLACED));
+    assertFalse(new EndProof(Kind.EXITED, ExitReason.DONE, former).appliesTo(PLACED));
+    assertTrue(EndProof.machineDeleted().appliesTo(PLACED));
   }
 }
--- a/src/test/java/dev/dunefront/fleet/IntentsTest.java
+++ b/src/test/java/dev/dunefront/fleet/IntentsTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dev.dunefront.fleet.Cloud.Hire;
-import dev.dunefront.peer.Message.View;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
-import dev.dunefront.wire.Size;
+import dev.dunefront.fleet.CloudClient.RentRequest;
+import dev.dunefront.peer.Message.MachineView;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
+import dev.dunefront.wire.Resources;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -15,67 +15,67 @@
 
 /** Encoding of recorded intents, and which recorded deletions the next holder still executes. */
 class IntentsTest {
-  private static final Kind SMALL = new Kind("small", "a", true);
+  private static final MachineKind SMALL = new MachineKind("small", "a", true);
 
-  private static Intents some() {
+  private static Intents sampleIntents() {
     Intents i = new Intents();
-    i.hires.put("h-1", new Hire("h-1", SMALL, 7));
+    i.rentRequests.put("h-1", new RentRequest("h-1", SMALL, 7));
     i.deletions.put("host-1", ReturnReason.IDLE);
     i.deletions.put("host-2", ReturnReason.SILENT);
     i.deletions.put("host-3", ReturnReason.IDLE);
-    i.came.add(new Intents.Came(SMALL, 50_000, List.of("host-4", "host-5")));
-    i.silent.put("host-2", 12_345L);
-    i.unlisted.put("host-9", 20_000L);
+    i.completedRents.add(new Intents.CompletedRent(SMALL, 50_000, List.of("host-4", "host-5")));
+    i.silentSinceMs.put("host-2", 12_345L);
+    i.unlistedSinceMs.put("host-9", 20_000L);
     return i;
   }
 
   @Test
-  void whatIsWrittenIsReadBackWithTimesInSteps() throws BadMessage {
-    Intents i = some();
-    Intents back = Intents.read(Doc.decode(i.write(16_000).encode()));
-    assertEquals(i.hires, back.hires);
+  void intentsAreReadBackWithTimesRoundedToSteps() throws MalformedMessageException {
+    Intents i = sampleIntents();
+    Intents back = Intents.read(Document.decode(i.write(16_000).encode()));
+    assertEquals(i.rentRequests, back.rentRequests);
     assertEquals(i.deletions, back.deletions);
-    assertEquals(i.came, back.came);
-    assertEquals(Map.of("host-2", 10_000L), back.silent);
-    assertEquals(i.unlisted, back.unlisted);
-    assertTrue(Intents.read(null).hires.isEmpty());
+    assertEquals(i.completedRents, back.completedRents);
+    assertEquals(Map.of("host-2", 10_000L), back.silentSinceMs);
+    assertEquals(i.unlistedSinceMs, back.unlistedSinceMs);
+    assertTrue(Intents.read(null).rentRequests.isEmpty());
   }
 
   /** The state service rejects larger values, after which no machine could be rented any more. */
   @Test
-  void aThousandMachinesComeAndSilentStayWithinTheLimit() throws BadMessage {
-    Intents i = some();
+  void recordOfThousandsOfMachinesStaysWithinTheSizeLimit() throws MalformedMessageException {
+    Intents i = sampleIntents();
     for (int hire = 0; hire < 40; hire++) {
       List<String> hosts = new ArrayList<>();
       for (int n = 0; n < 50; n++) {
         hosts.add(String.format("host-%06d", hire * 50 + n));
       }
-      i.came.add(new Intents.Came(SMALL, 60_000 + hire, hosts));
+      i.completedRents.add(new Intents.CompletedRent(SMALL, 60_000 + hire, hosts));
     }
     for (int n = 0; n < 1000; n++) {
-      i.silent.put(String.format("host-%06d", 5000 + n), n * 1000L);
+      i.silentSinceMs.put(String.format("host-%06d", 5000 + n), n * 1000L);
     }
     for (int n = 0; n < 100; n++) {
       i.deletions.put(String.format("host-%06d", 9000 + n), ReturnReason.values()[n % 6]);
     }
     for (int limit : new int[] {12_000, 24_000}) {
-      Doc value = i.write(limit);
+      Document value = i.write(limit);
       // The state service counts the size as JSON, and the text form is at least as long.
       assertTrue(value.toString().length() < limit * 1.2, value.toString().length() + " bytes");
       Intents back = Intents.read(value);
       assertEquals(i.deletions, back.deletions, "open deletions are never left out");
-      assertEquals(i.hires, back.hires);
-      Intents.Came newest = i.came.get(i.came.size() - 1);
+      assertEquals(i.rentRequests, back.rentRequests);
+      Intents.CompletedRent newest = i.completedRents.get(i.completedRents.size() - 1);
       assertEquals(
           newest,
-          back.came.get(back.came.size() - 1),
+          back.completedRents.get(back.completedRents.size() - 1),
           "the newest completed request is kept, in last place");
     }
   }
 
-  private static View view(
+  private static MachineView view(
       boolean settled, boolean lost, boolean quarantined, boolean retiring, int running) {
-    return new View(
+    return new MachineView(
         "h",
         "t",
         "z",
@@ -90,7 +90,7 @@
         retiring,
         false,
         0,
-        Size.NONE,
+        Resources.NONE,
         List.of(),
         List.of(0, 0, running, 0),
         List.of(0, 0, 0, 0),
@@ -103,7 +103,7 @@
    * placed on the machine in the meantime.
    */
   @Test
-  void aDeletionOnRecordStandsOnlyWhileNothingCanHaveBeenPlacedSince() {
+  void recordedDeletionAppliesOnlyIfNoTaskCanHaveBeenPlacedSince() {
     Map<ReturnReason, String> table =
         Map.of(
             ReturnReason.IDLE, "-x---x",
@@ -113,7 +113,7 @@
             ReturnReason.DEAF, "x----x",
             ReturnReason.QUARANTINED, "x---xx",
             ReturnReason.UNLISTED, "x----x");
-    View[] views = {
+    MachineView[] views = {
       null,
       view(true, false, false, true, 0),
       view(true, false, false, false, 0),
@@ -123,16 +123,16 @@
     };
     for (ReturnReason why : ReturnReason.values()) {
       StringBuilder row = new StringBuilder();
-      for (View v : views) {
-        row.append(why.stands(v) ? 'x' : '-');
+      for (MachineView v : views) {
+        row.append(why.stillApplies(v) ? 'x' : '-');
       }
       assertEquals(table.get(why), row.toString(), why.toString());
     }
-    View closedButUsed = view(true, false, false, true, 1);
-    assertEquals(false, ReturnReason.IDLE.stands(closedButUsed));
+    MachineView closedButUsed = view(true, false, false, true, 1);
+    assertEquals(false, ReturnReason.IDLE.stillApplies(closedButUsed));
     assertEquals(
         true,
-        ReturnReason.UNLISTED.stands(view(false, false, false, false, 1)),
+        ReturnReason.UNLISTED.stillApplies(view(false, false, false, false, 1)),
         "no report under this token");
   }
 }
--- a/src/test/java/dev/dunefront/load/Deployment.java
+++ b/src/test/java/dev/dunefront/load/Deployment.java
@@ -1,7 +1,7 @@
 package dev.dunefront.load;
 
 import dev.dunefront.net.Timers;
-import dev.dunefront.net.UndertowCaller;
+import dev.dunefront.net.UndertowHttpCaller;
 import dev.dunefront.net.XnioTimers;
 import io.undertow.server.DefaultByteBufferPool;
 import java.io.IOException;
@@ -98,8 +98,8 @@
                 eventsKept),
             at(ports.get(3 * count + 1)).getPort());
     Timers timers = new XnioTimers(users.getIoThread());
-    UndertowCaller caller =
-        new UndertowCaller(
+    UndertowHttpCaller caller =
+        new UndertowHttpCaller(
             users.getIoThread(), new DefaultByteBufferPool(false, 8192, 64, 4), timers);
     source = new JobSource(options, addresses.users(), caller, timers, rules, log);
   }
--- a/src/test/java/dev/dunefront/load/HollowFleet.java
+++ b/src/test/java/dev/dunefront/load/HollowFleet.java
@@ -1,9 +1,9 @@
 package dev.dunefront.load;
 
-import dev.dunefront.net.Caller.Reply;
-import dev.dunefront.net.UndertowCaller;
+import dev.dunefront.net.HttpCaller.Response;
+import dev.dunefront.net.UndertowHttpCaller;
 import dev.dunefront.net.XnioTimers;
-import dev.dunefront.standin.WorkerStandIn;
+import dev.dunefront.standin.FakeWorker;
 import io.undertow.Undertow;
 import io.undertow.server.DefaultByteBufferPool;
 import io.undertow.server.HttpServerExchange;
@@ -32,7 +32,7 @@
 
   private final XnioWorker io;
   private final List<XnioIoThread> threads = new ArrayList<>();
-  private final List<UndertowCaller> callers = new ArrayList<>();
+  private final List<UndertowHttpCaller> callers = new ArrayList<>();
   private final List<FleetUse> uses = new ArrayList<>();
   private final Map<String, HollowWorker> byEndpoint = new ConcurrentHashMap<>();
   private final HollowWorker.Common common;
@@ -54,7 +54,7 @@
     for (int i = 0; i < THREADS; i++) {
       XnioIoThread thread = io.getIoThread(i);
       threads.add(thread);
-      callers.add(new UndertowCaller(thread, buffers, new XnioTimers(thread)));
+      callers.add(new UndertowHttpCaller(thread, buffers, new XnioTimers(thread)));
       uses.add(new FleetUse());
     }
     Undertow.builder()
@@ -75,7 +75,7 @@
     XnioIoThread thread = threads.get(place);
     HollowWorker worker =
         new HollowWorker(
-            new WorkerStandIn(host, endpoint, "small", zone),
+            new FakeWorker(host, endpoint, "small", zone),
             common,
             thread,
             callers.get(place),
@@ -122,7 +122,7 @@
     }
   }
 
-  private static void answer(HttpServerExchange exchange, Reply reply) {
+  private static void answer(HttpServerExchange exchange, Response reply) {
     exchange
         .getIoThread()
         .execute(
--- a/src/test/java/dev/dunefront/load/HollowWorker.java
+++ b/src/test/java/dev/dunefront/load/HollowWorker.java
@@ -1,11 +1,11 @@
 package dev.dunefront.load;
 
-import dev.dunefront.net.Caller.Reply;
+import dev.dunefront.net.HttpCaller.Response;
 import dev.dunefront.net.Timers;
-import dev.dunefront.net.UndertowCaller;
-import dev.dunefront.standin.WorkerStandIn;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.net.UndertowHttpCaller;
+import dev.dunefront.standin.FakeWorker;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -43,10 +43,10 @@
     boolean reaches(String zone, int controller);
   }
 
-  private final WorkerStandIn worker;
+  private final FakeWorker worker;
   private final Common common;
   private final XnioIoThread thread;
-  private final UndertowCaller caller;
+  private final UndertowHttpCaller caller;
   private final Timers timers;
   private final Random random;
   private final FleetUse use;
@@ -73,10 +73,10 @@
   private final List<Runnable> waiting = new ArrayList<>();
 
   HollowWorker(
-      WorkerStandIn worker,
+      FakeWorker worker,
       Common common,
       XnioIoThread thread,
-      UndertowCaller caller,
+      UndertowHttpCaller caller,
       Timers timers,
       FleetUse use,
       int firstNode,
@@ -149,29 +149,29 @@
     endAll();
     life++;
     waiting.clear();
-    worker.beginAnew();
+    worker.restart();
     session++;
     renewed(timers.now());
     reportIn(0);
   }
 
   /** Answers a question; there is no answer to one that is lost. */
-  void status(Consumer<Reply> then) {
+  void status(Consumer<Response> then) {
     if (hung) {
       waiting.add(() -> status(then));
     } else if (stopped) {
-      then.accept(Reply.UNCLEAR);
+      then.accept(Response.NO_RESPONSE);
     } else if (!deaf && common.faults().order(random) == MessageFaults.Fate.ON_TIME) {
       expireIfDue();
-      then.accept(new Reply(200, worker.report(), 0));
+      then.accept(new Response(200, worker.report(), 0));
     }
   }
 
   /** Takes a direct command; there is no answer to one that is lost. */
-  void orders(byte[] body, Consumer<Reply> then) {
+  void orders(byte[] body, Consumer<Response> then) {
     MessageFaults.Fate fate = common.faults().order(random);
     if (stopped) {
-      then.accept(Reply.UNCLEAR);
+      then.accept(Response.NO_RESPONSE);
       return;
     }
     if (deaf || fate == MessageFaults.Fate.LOST) {
@@ -193,7 +193,7 @@
     }
   }
 
-  private void orderArrives(byte[] body, Consumer<Reply> then) {
+  private void orderArrives(byte[] body, Consumer<Response> then) {
     if (hung) {
       waiting.add(() -> orderArrives(body, then));
     } else if (!stopped) {
@@ -202,9 +202,9 @@
     }
   }
 
-  private Reply carryOut(byte[] body) {
+  private Response carryOut(byte[] body) {
     try {
-      Reply reply = worker.orders(body);
+      Response reply = worker.handleCommands(body);
       note(() -> "command: " + reply.status() + " " + text(body));
       use.orders++;
       use.bytesIn += body.length;
@@ -213,8 +213,8 @@
         follow();
       }
       return reply;
-    } catch (BadMessage e) {
-      return new Reply(400, new byte[0], 0);
+    } catch (MalformedMessageException e) {
+      return new Response(400, new byte[0], 0);
     }
   }
 
@@ -244,7 +244,7 @@
     note(() -> "report of session " + inSession + " to " + node + ", " + fate);
     boolean lost = mute || fate == MessageFaults.Fate.LOST;
     if (lost || !common.reach().reaches(zone(), node)) {
-      timers.after(ANSWER_S, () -> heard(Reply.UNCLEAR, sent, inSession));
+      timers.after(ANSWER_S, () -> heard(Response.NO_RESPONSE, sent, inSession));
       return;
     }
     if (fate == MessageFaults.Fate.LATE) {
@@ -258,14 +258,14 @@
           if (deaf || hung || unanswered) {
             // The answer is lost; the worker gives the report up when its time is over.
             double leftS = Math.max(0, sent + ANSWER_S - timers.now());
-            timers.after(leftS, () -> heard(Reply.UNCLEAR, sent, inSession));
+            timers.after(leftS, () -> heard(Response.NO_RESPONSE, sent, inSession));
           } else {
             heard(reply, sent, inSession);
           }
         });
   }
 
-  private void hello(int controller, byte[] body, Consumer<Reply> then) {
+  private void hello(int controller, byte[] body, Consumer<Response> then) {
     caller.call(common.controllers().get(controller), "POST", "/hello", body, ANSWER_S, then);
   }
 
@@ -275,7 +275,7 @@
     timers.after(common.faults().lateS(random), () -> hello(controller, body, reply -> {}));
   }
 
-  private void heard(Reply reply, double sent, int inSession) {
+  private void heard(Response reply, double sent, int inSession) {
     calling = false;
     use.bytesIn += reply.body().length;
     if (!stopped) {
@@ -285,10 +285,10 @@
     }
   }
 
-  private void answered(Reply reply, double sent, int inSession) {
+  private void answered(Response reply, double sent, int inSession) {
     try {
       if (reply.ok()) {
-        if (inSession == session && worker.answered(reply.body())) {
+        if (inSession == session && worker.handleReportResponse(reply.body())) {
           renewed(sent);
           follow();
         }
@@ -300,12 +300,12 @@
       }
       Integer named = null;
       if (reply.status() == 421 && reply.body().length > 0) {
-        named = common.controllerByName().get(Doc.decode(reply.body()).textOr("overseer", ""));
+        named = common.controllerByName().get(Document.decode(reply.body()).textOr("overseer", ""));
       }
       boolean elsewhere = named != null && named != node;
       node = elsewhere ? named : (node + 1) % common.controllers().size();
       reportIn(elsewhere ? random.nextDouble() / 2 : NEXT_NODE_S);
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       throw new IllegalStateException(e);
     }
   }
@@ -387,8 +387,8 @@
 
   private static String text(byte[] body) {
     try {
-      return Doc.decode(body).toString();
-    } catch (BadMessage e) {
+      return Document.decode(body).toString();
+    } catch (MalformedMessageException e) {
       throw new IllegalStateException(e);
     }
   }
--- a/src/test/java/dev/dunefront/load/JobSource.java
+++ b/src/test/java/dev/dunefront/load/JobSource.java
@@ -1,10 +1,10 @@
 package dev.dunefront.load;
 
-import dev.dunefront.net.Caller;
-import dev.dunefront.net.Caller.Reply;
+import dev.dunefront.net.HttpCaller;
+import dev.dunefront.net.HttpCaller.Response;
 import dev.dunefront.net.Timers;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import java.util.List;
 import java.util.Locale;
 import java.util.Random;
@@ -22,7 +22,7 @@
 
   private final LoadOptions options;
   private final List<String> controllers;
-  private final Caller caller;
+  private final HttpCaller caller;
   private final Timers timers;
   private final RuleChecker rules;
   private final StartLog log;
@@ -36,7 +36,7 @@
   JobSource(
       LoadOptions options,
       List<String> controllers,
-      Caller caller,
+      HttpCaller caller,
       Timers timers,
       RuleChecker rules,
       StartLog log) {
@@ -90,7 +90,7 @@
         new RuleChecker.Job(id, team, options.tasksPerJob(), urgent, timers.now());
     rules.submitted(job);
     byte[] body =
-        Doc.of()
+        Document.create()
             .put("id", id)
             .put("batchclass", urgent ? LoadSettings.URGENT_CLASS : "bulk")
             .put("owner", team)
@@ -179,7 +179,7 @@
         });
   }
 
-  private void told(String id, Reply reply, boolean askedAfterEnd) {
+  private void told(String id, Response reply, boolean askedAfterEnd) {
     boolean before = rules.over(id);
     rules.told(id, status(reply), askedAfterEnd);
     if (rules.over(id) && !before) {
@@ -187,10 +187,10 @@
     }
   }
 
-  private static String status(Reply reply) {
+  private static String status(Response reply) {
     try {
-      return Doc.decode(reply.body()).text("status");
-    } catch (BadMessage e) {
+      return Document.decode(reply.body()).text("status");
+    } catch (MalformedMessageException e) {
       throw new IllegalStateException(e);
     }
   }
--- a/src/test/java/dev/dunefront/load/LoadRun.java
+++ b/src/test/java/dev/dunefront/load/LoadRun.java
@@ -1,7 +1,7 @@
 package dev.dunefront.load;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import dev.dunefront.net.NoManagement;
+import dev.dunefront.net.DisabledMBeanServerBuilder;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -51,7 +51,7 @@
 
   /** Plays one run in a directory of its own under {@code target}. */
   static Measurement play(LoadOptions options) throws IOException, InterruptedException {
-    NoManagement.install();
+    DisabledMBeanServerBuilder.install();
     Path directory = Files.createDirectories(Path.of("target", "load"));
     LoadRun run = new LoadRun(options, Files.createTempDirectory(directory, "run"));
     try {
--- a/src/test/java/dev/dunefront/load/Outside.java
+++ b/src/test/java/dev/dunefront/load/Outside.java
@@ -1,12 +1,12 @@
 package dev.dunefront.load;
 
-import dev.dunefront.net.Caller.Reply;
+import dev.dunefront.net.HttpCaller.Response;
 import dev.dunefront.net.HttpServer;
 import dev.dunefront.net.XnioTimers;
-import dev.dunefront.standin.CloudStandIn;
-import dev.dunefront.standin.StateStandIn;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.standin.FakeCloud;
+import dev.dunefront.standin.FakeStateService;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import io.undertow.server.DefaultByteBufferPool;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -48,8 +48,8 @@
   private final Random random;
   private MachineEnd machineEnd = (hosts, then) -> then.run();
   private final List<StateFaults> stateFaults = new ArrayList<>();
-  private final StateStandIn state;
-  private final CloudStandIn cloud;
+  private final FakeStateService state;
+  private final FakeCloud cloud;
   private long requests;
   private long conflicts;
   private long bytesIn;
@@ -78,8 +78,8 @@
     thread = worker.getIoThread();
     timers = new XnioTimers(thread);
     random = new Random(seed);
-    state = new StateStandIn(timers);
-    cloud = new CloudStandIn(zones, BOOT_S);
+    state = new FakeStateService(timers);
+    cloud = new FakeCloud(zones, BOOT_S);
     DefaultByteBufferPool buffers = new DefaultByteBufferPool(false, 8192, 256, 4);
     for (InetSocketAddress at : statesAt) {
       StateFaults faults = new StateFaults();
@@ -89,7 +89,7 @@
     HttpServer.start(worker, buffers, cloudAt, this::cloud);
   }
 
-  private void state(StateFaults faults, HttpServer.Request request, HttpServer.Answer answer) {
+  private void state(StateFaults faults, HttpServer.Request request, HttpServer.Responder answer) {
     if (faults.slowS > 0) {
       timers.after(random.nextDouble() * faults.slowS, () -> serve(faults, request, answer));
     } else {
@@ -97,7 +97,7 @@
     }
   }
 
-  private void serve(StateFaults faults, HttpServer.Request request, HttpServer.Answer answer) {
+  private void serve(StateFaults faults, HttpServer.Request request, HttpServer.Responder answer) {
     requests++;
     bytesIn += request.body().length;
     if (faults.refused) {
@@ -120,7 +120,8 @@
   }
 
   /** A watch that was open when its controller began to be refused waits until that is over. */
-  private void answerUnlessRefused(StateFaults faults, Reply reply, HttpServer.Answer answer) {
+  private void answerUnlessRefused(
+      StateFaults faults, Response reply, HttpServer.Responder answer) {
     if (faults.refused) {
       timers.after(REFUSED_LOOK_S, () -> answerUnlessRefused(faults, reply, answer));
     } else {
@@ -128,7 +129,7 @@
     }
   }
 
-  private void handle(HttpServer.Request request, Consumer<Reply> then) {
+  private void handle(HttpServer.Request request, Consumer<Response> then) {
     state.handle(
         request.method(),
         pathAndQuery(request),
@@ -174,8 +175,8 @@
     thread.execute(() -> machineEnd = end);
   }
 
-  private void cloud(HttpServer.Request request, HttpServer.Answer answer) {
-    Reply reply = cloud.handle(request.method(), pathAndQuery(request), request.body());
+  private void cloud(HttpServer.Request request, HttpServer.Responder answer) {
+    Response reply = cloud.handle(request.method(), pathAndQuery(request), request.body());
     Runnable send = () -> answer.send(reply.status(), reply.body());
     if (request.path().equals("/machines/delete") && reply.ok()) {
       machineEnd.end(hostsOf(request.body()), send);
@@ -186,8 +187,8 @@
 
   private static List<String> hostsOf(byte[] body) {
     try {
-      return Doc.decode(body).texts("hosts");
-    } catch (BadMessage e) {
+      return Document.decode(body).texts("hosts");
+    } catch (MalformedMessageException e) {
       throw new IllegalStateException(e);
     }
   }
@@ -198,12 +199,12 @@
 
   /** Lists a machine that is up. */
   void add(String host, String zone) {
-    thread.execute(() -> cloud.add(host, "small", zone));
+    thread.execute(() -> cloud.addRunning(host, "small", zone));
   }
 
   /** The cloud notices that a machine has stopped. */
   void fail(String host) {
-    thread.execute(() -> cloud.fail(host));
+    thread.execute(() -> cloud.markFailed(host));
   }
 
   StateUse use() throws InterruptedException {
@@ -211,7 +212,7 @@
         thread,
         () ->
             new StateUse(
-                requests, state.written("") + state.wasted(), conflicts, bytesIn, bytesOut));
+                requests, state.writes("") + state.failedTxnOps(), conflicts, bytesIn, bytesOut));
   }
 
   /** Mean encoded bytes of the stored values, and how many there are, by the key's first part. */
--- a/src/test/java/dev/dunefront/load/SoakRun.java
+++ b/src/test/java/dev/dunefront/load/SoakRun.java
@@ -1,6 +1,6 @@
 package dev.dunefront.load;
 
-import dev.dunefront.net.NoManagement;
+import dev.dunefront.net.DisabledMBeanServerBuilder;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -82,7 +82,7 @@
         default -> throw new IllegalArgumentException("not an option: " + argument);
       }
     }
-    NoManagement.install();
+    DisabledMBeanServerBuilder.install();
     boolean kept = true;
     for (long s = seed; s < seed + seeds; s++) {
       kept &= play(options(controllers, workers, seconds, s));
--- a/src/test/java/dev/dunefront/metrics/SafetyMonitorTest.java
+++ b/src/test/java/dev/dunefront/metrics/SafetyMonitorTest.java
@@ -12,16 +12,16 @@
 /** What operators read of the decisions on which it rests that no task runs twice. */
 class SafetyMonitorTest {
   @Test
-  void countsAreShownByKind() {
+  void countsAreExportedByKind() {
     Meters meters = new Meters();
     SafetyMonitor safety = new SafetyMonitor();
     safety.register(meters);
-    safety.ended(EndProof.machineDeleted());
-    safety.refused(StartRefusal.OTHER_SESSION);
+    safety.attemptEnded(EndProof.machineDeleted());
+    safety.startRefused(StartRefusal.OTHER_SESSION);
     safety.straySeen();
     safety.straySeen();
-    safety.straysGone(1);
-    safety.violated(Invariant.TWO_PLACEMENTS, "a story");
+    safety.straysResolved(1);
+    safety.invariantViolated(Invariant.TWO_PLACEMENTS, "a story");
 
     String text = meters.scrape();
     assertTrue(text.contains("dunefront_attempts_ended{proof=\"machine_deleted\"} 1.0"), text);
--- a/src/test/java/dev/dunefront/net/DecisionLockTest.java
+++ b/src/test/java/dev/dunefront/net/DecisionLockTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 class DecisionLockTest {
-  private final List<String> said = new ArrayList<>();
+  private final List<String> events = new ArrayList<>();
 
   private void fail(String why) {
     throw new IllegalStateException(why);
@@ -16,17 +16,17 @@
 
   /** An exception once ended the loop of whoever rents, while its process lived on and answered. */
   @Test
-  void whatFailsEndsItselfAndNothingElse() {
-    DecisionLock decisionLock = new DecisionLock(e -> said.add("failed: " + e.getMessage()));
+  void exceptionDoesNotStopOtherDecisionsOrActions() {
+    DecisionLock decisionLock = new DecisionLock(e -> events.add("failed: " + e.getMessage()));
     decisionLock.run(
         () -> {
-          decisionLock.then(() -> fail("an effect"));
-          decisionLock.then(() -> said.add("the next effect"));
+          decisionLock.defer(() -> fail("an effect"));
+          decisionLock.defer(() -> events.add("the next effect"));
           decisionLock.run(() -> fail("a part"));
-          decisionLock.run(() -> said.add("the next part"));
+          decisionLock.run(() -> events.add("the next part"));
           fail("the rest");
         });
-    decisionLock.run(() -> said.add("the next decision"));
+    decisionLock.run(() -> events.add("the next decision"));
     assertEquals(
         List.of(
             "failed: a part",
@@ -35,20 +35,20 @@
             "failed: an effect",
             "the next effect",
             "the next decision"),
-        said);
+        events);
   }
 
   @Test
-  void aLoopThatNoLongerTurnsIsNamed() {
-    Loops loops = new Loops();
-    loops.turned("tick", 100, 15);
-    loops.turned("watch", 100, 30);
-    assertNull(loops.stalled(115));
-    assertEquals("tick", loops.stalled(116));
-    loops.turned("tick", 116, 15);
-    assertNull(loops.stalled(130));
-    loops.stoodStill(160);
-    assertNull(loops.stalled(175), "a whole process that stood still is no stalled loop");
-    assertEquals("tick", loops.stalled(176));
+  void stalledLoopIsReported() {
+    LoopWatchdog loops = new LoopWatchdog();
+    loops.recordIteration("tick", 100, 15);
+    loops.recordIteration("watch", 100, 30);
+    assertNull(loops.stalledLoop(115));
+    assertEquals("tick", loops.stalledLoop(116));
+    loops.recordIteration("tick", 116, 15);
+    assertNull(loops.stalledLoop(130));
+    loops.resetAfterPause(160);
+    assertNull(loops.stalledLoop(175), "a whole process that stood still is no stalled loop");
+    assertEquals("tick", loops.stalledLoop(176));
   }
 }
--- a/src/test/java/dev/dunefront/net/FakeClock.java
+++ b/src/test/java/dev/dunefront/net/FakeClock.java
@@ -4,9 +4,9 @@
 
 /** A clock that stands until it is told to go on, and the timers that are set by it. */
 public final class FakeClock implements Timers {
-  private record Due(double at, long order, Runnable action) {}
+  private record ScheduledAction(double at, long order, Runnable action) {}
 
-  private final PriorityQueue<Due> due =
+  private final PriorityQueue<ScheduledAction> scheduledActions =
       new PriorityQueue<>(
           (a, b) -> a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.order, b.order));
   private double now = 100;
@@ -18,20 +18,20 @@
   }
 
   @Override
-  public long timeOfDayMs() {
+  public long wallClockMs() {
     return Math.round(now * 1000) + 1_700_000_000_000L;
   }
 
   @Override
   public void after(double seconds, Runnable action) {
-    due.add(new Due(now + Math.max(0, seconds), order++, action));
+    scheduledActions.add(new ScheduledAction(now + Math.max(0, seconds), order++, action));
   }
 
   /** Lets the time pass. */
-  public void pass(double seconds) {
+  public void advance(double seconds) {
     double until = now + seconds;
-    while (!due.isEmpty() && due.peek().at <= until) {
-      Due d = due.poll();
+    while (!scheduledActions.isEmpty() && scheduledActions.peek().at <= until) {
+      ScheduledAction d = scheduledActions.poll();
       now = d.at;
       d.action.run();
     }
--- a/src/test/java/dev/dunefront/store/HttpStoreTest.java
+++ b/src/test/java/dev/dunefront/store/HttpStateStoreTest.java
@@ -3,23 +3,23 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dev.dunefront.config.BadSetting;
+import dev.dunefront.config.InvalidSettingException;
 import dev.dunefront.config.Settings;
-import dev.dunefront.net.Caller;
 import dev.dunefront.net.DecisionLock;
 import dev.dunefront.net.FakeClock;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.net.HttpCaller;
+import dev.dunefront.wire.Document;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** What goes to the state service first when there is little to spend. */
-class HttpStoreTest {
+class HttpStateStoreTest {
   private final FakeClock timers = new FakeClock();
-  private final List<String> sent = new ArrayList<>();
+  private final List<String> sentPaths = new ArrayList<>();
 
-  private HttpStore store() throws BadSetting {
+  private HttpStateStore newStore() throws InvalidSettingException {
     Settings settings =
         Settings.parse(
             """
@@ -49,13 +49,13 @@
             memory_mb = 256.0
             fd_limit = 500
             """);
-    Caller caller =
+    HttpCaller caller =
         (address, method, path, body, deadlineS, then) -> {
-          sent.add(path);
-          byte[] answer = Doc.of().put("tenancy", 7).put("ledger_rev", 9).encode();
-          timers.after(0.01, () -> then.accept(new Caller.Reply(200, answer, 0)));
+          sentPaths.add(path);
+          byte[] answer = Document.create().put("tenancy", 7).put("ledger_rev", 9).encode();
+          timers.after(0.01, () -> then.accept(new HttpCaller.Response(200, answer, 0)));
         };
-    return new HttpStore(
+    return new HttpStateStore(
         settings,
         caller,
         timers,
@@ -72,19 +72,21 @@
    * still, and without a lease it took no larger part: it was gone for the rest of the day.
    */
   @Test
-  void aLeaseWaitsBehindNothing() throws BadSetting {
-    HttpStore store = store();
-    store.share(new Store.Use(0, 0), Collections.nCopies(4, new Store.Use(1e6, 1e6)));
+  void leaseRequestsPassQueuedWrites() throws InvalidSettingException {
+    HttpStateStore store = newStore();
+    store.updateShares(
+        new StateStore.Usage(0, 0), Collections.nCopies(4, new StateStore.Usage(1e6, 1e6)));
     for (int i = 0; i < 60; i++) {
-      String mark = store.newMark();
-      Doc value = Doc.of().put(Store.MARK, mark);
-      store.commit(new Txn().when("w/x/" + i, 0).put("w/x/" + i, value), mark, done -> {});
+      String mark = store.newWriteId();
+      Document value = Document.create().put(StateStore.WRITE_ID_FIELD, mark);
+      store.commit(
+          new Txn().requireRevision("w/x/" + i, 0).put("w/x/" + i, value), mark, done -> {});
     }
-    timers.pass(10);
-    ask(store);
-    timers.pass(4);
-    assertEquals(1, granted, "though there is no more than one request a second");
-    assertTrue(sent.contains("/leases"));
+    timers.advance(10);
+    grantLease(store);
+    timers.advance(4);
+    assertEquals(1, leasesGranted, "though there is no more than one request a second");
+    assertTrue(sentPaths.contains("/leases"));
   }
 
   /**
@@ -92,40 +94,40 @@
    * paid. It is sent when there is enough for it, and leaves a change for users.
    */
   @Test
-  void aSubmissionWaitsBehindNoDebt() throws BadSetting {
-    HttpStore store = store();
-    store.share(new Store.Use(10, 100), List.of());
-    timers.pass(2);
+  void submissionsAreNotDelayedByLargeTransactions() throws InvalidSettingException {
+    HttpStateStore store = newStore();
+    store.updateShares(new StateStore.Usage(10, 100), List.of());
+    timers.advance(2);
     List<Double> waits = new ArrayList<>();
     for (int round = 0; round < 30; round++) {
       // More than there is for: it is always short.
       Txn six = new Txn();
       for (int i = 0; i < 6; i++) {
-        six.put("t/x/" + round + "/" + i, Doc.of().put(Store.MARK, "m"));
+        six.put("t/x/" + round + "/" + i, Document.create().put(StateStore.WRITE_ID_FIELD, "m"));
       }
-      store.tryTxn(six, Store.Urgency.CORE, d -> {});
-      timers.pass(0.23 + round % 4 * 0.08);
+      store.tryTxn(six, StateStore.RequestPriority.CORE, d -> {});
+      timers.advance(0.23 + round % 4 * 0.08);
       double asked = timers.now();
-      Txn user = new Txn().put("w/j/x", Doc.of().put(Store.MARK, "u"));
-      store.tryTxn(user, Store.Urgency.USER, d -> waits.add(timers.now() - asked));
-      timers.pass(0.2);
+      Txn user = new Txn().put("w/j/x", Document.create().put(StateStore.WRITE_ID_FIELD, "u"));
+      store.tryTxn(user, StateStore.RequestPriority.USER, d -> waits.add(timers.now() - asked));
+      timers.advance(0.2);
     }
-    timers.pass(3);
+    timers.advance(3);
     assertEquals(30, waits.size());
     double mean = waits.stream().mapToDouble(d -> d).average().orElseThrow();
     assertTrue(mean < 0.1, "on average after " + mean + " s");
   }
 
-  private int granted;
+  private int leasesGranted;
 
-  private void ask(HttpStore store) {
+  private void grantLease(HttpStateStore store) {
     store.grantLease(
         4,
         done -> {
           if (done.ok()) {
-            granted++;
+            leasesGranted++;
           } else {
-            timers.after(0.3, () -> ask(store));
+            timers.after(0.3, () -> grantLease(store));
           }
         });
   }
--- a/src/test/java/dev/dunefront/store/BudgetTest.java
+++ b/src/test/java/dev/dunefront/store/RateLimiterTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dev.dunefront.config.BadSetting;
+import dev.dunefront.config.InvalidSettingException;
 import dev.dunefront.config.Settings;
-import dev.dunefront.store.Store.Urgency;
+import dev.dunefront.store.StateStore.RequestPriority;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The parts of the state service's rate, and what controllers lend each other of them. */
-class BudgetTest {
+class RateLimiterTest {
   private static final double RATE = 90;
   private static final int CONTROLLERS = 14;
 
@@ -54,34 +54,34 @@
     }
     try {
       return Settings.parse(text.toString());
-    } catch (BadSetting e) {
+    } catch (InvalidSettingException e) {
       throw new AssertionError(e);
     }
   }
 
   @Test
-  void whatIsLentIsTakenFirst() {
-    Budget lender = new Budget(settings(), 0);
-    Budget borrower = new Budget(settings(), 0);
-    borrower.spend(5);
-    int missing = borrower.missing(Urgency.CORE, 4);
+  void lendingTakesTokensFromTheLenderFirst() {
+    RateLimiter lender = new RateLimiter(settings(), 0);
+    RateLimiter borrower = new RateLimiter(settings(), 0);
+    borrower.consume(5);
+    int missing = borrower.missingWrites(RequestPriority.CORE, 4);
     assertEquals(5, missing);
     int given = lender.lend(missing);
     assertEquals(4, given, "a change is kept for a user");
     assertEquals(0, lender.lend(1));
     borrower.borrow(given, 0);
-    assertEquals(1, borrower.missing(Urgency.CORE, 4));
+    assertEquals(1, borrower.missingWrites(RequestPriority.CORE, 4));
   }
 
   @Test
-  void whatIsBorrowedAndNotUsedIsDropped() {
-    Budget borrower = new Budget(settings(), 0);
+  void unusedBorrowedTokensExpire() {
+    RateLimiter borrower = new RateLimiter(settings(), 0);
     borrower.borrow(20, 0);
-    assertEquals(0, borrower.missing(Urgency.CORE, 4));
-    borrower.refill(Budget.BORROWED_S / 2);
+    assertEquals(0, borrower.missingWrites(RequestPriority.CORE, 4));
+    borrower.refill(RateLimiter.BORROWED_TTL_S / 2);
     assertEquals(24, borrower.lend(100), "it is there for a moment");
-    borrower.borrow(24, Budget.BORROWED_S / 2);
-    borrower.refill(2 * Budget.BORROWED_S);
+    borrower.borrow(24, RateLimiter.BORROWED_TTL_S / 2);
+    borrower.refill(2 * RateLimiter.BORROWED_TTL_S);
     assertEquals(4, borrower.lend(100), "and then there is the own part alone");
   }
 
@@ -91,12 +91,12 @@
    * worth.
    */
   @Property(tries = 60, seed = "1100")
-  void togetherTheyNeverSendMoreThanTheServiceAllows(
+  void controllersTogetherStayWithinTheServiceRate(
       @ForAll long seed, @ForAll @IntRange(min = 1, max = 14) int busy) {
     Random random = new Random(seed);
-    List<Budget> all = new ArrayList<>();
+    List<RateLimiter> all = new ArrayList<>();
     for (int i = 0; i < CONTROLLERS; i++) {
-      all.add(new Budget(settings(), 0));
+      all.add(new RateLimiter(settings(), 0));
     }
     double allowance = RATE;
     double step = 0.01;
@@ -112,13 +112,13 @@
       }
       for (int i = 0; i < busy; i++) {
         int changes = 1 + random.nextInt(4);
-        if (random.nextInt(4) == 0 && all.get(i).allowsChanges(Urgency.CORE, changes)) {
-          all.get(i).spend(changes);
+        if (random.nextInt(4) == 0 && all.get(i).allowsWrites(RequestPriority.CORE, changes)) {
+          all.get(i).consume(changes);
           allowance -= changes;
           sent += changes;
         } else if (random.nextInt(10) == 0) {
           int given = all.get(random.nextInt(CONTROLLERS)).lend(1 + random.nextInt(5));
-          loans.add(new double[] {now + random.nextDouble() * Lending.ANSWER_S, i, given});
+          loans.add(new double[] {now + random.nextDouble() * WriteLoans.LOAN_TIMEOUT_S, i, given});
         }
       }
       assertTrue(allowance >= 0, "429 at " + now);
--- a/src/test/java/dev/dunefront/story/AloneTest.java
+++ b/src/test/java/dev/dunefront/story/AloneTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dev.dunefront.standin.WorkerStandIn;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.standin.FakeWorker;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -106,7 +106,7 @@
   void aMachineThatWentBackToItsOldHolderKeepsWhatItRuns() {
     World w = new World(List.of("a", "a", "a"), World.ONE_TEAM);
     w.start().pass(2);
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.pass(6);
     String old = w.holder("host-1");
     String other = old.equals("node-1") ? "node-2" : "node-1";
@@ -145,10 +145,10 @@
 
   private static String heldByRecord(World w) {
     try {
-      Doc hold = w.state.value("w/h/host-1");
+      Document hold = w.state.value("w/h/host-1");
       String holder = hold == null ? "#" : hold.text("holder");
       return holder.substring(0, holder.indexOf('#'));
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
   }
--- a/src/test/java/dev/dunefront/story/ChangingHandsTest.java
+++ b/src/test/java/dev/dunefront/story/ChangingHandsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dev.dunefront.standin.WorkerStandIn;
+import dev.dunefront.standin.FakeWorker;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BooleanSupplier;
@@ -79,7 +79,7 @@
   void aJobCancelledWhileAnEndOfItIsUnclearEnds() {
     World w = World.limited(3, 3);
     w.start().pass(3);
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.pass(4);
     assertEquals(201, w.submit("node-0", World.job("wk-1", 1, 3)).status());
     w.pass(3);
--- a/src/test/java/dev/dunefront/story/CleanupTest.java
+++ b/src/test/java/dev/dunefront/story/CleanupTest.java
@@ -7,8 +7,8 @@
 
 import dev.dunefront.config.Tunables;
 import dev.dunefront.peer.Message;
-import dev.dunefront.standin.WorkerStandIn;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.standin.FakeWorker;
+import dev.dunefront.wire.Document;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -20,7 +20,7 @@
 
   private static World world() {
     World w = new World(3);
-    w.tunables = Tunables.of(Map.of("idle_boots", 1000.0, "burial_s", KEEP_S));
+    w.tunables = Tunables.withOverrides(Map.of("idle_boots", 1000.0, "burial_s", KEEP_S));
     return w;
   }
 
@@ -88,7 +88,7 @@
   @Test
   void aReportThatComesAfterAllIsForgottenCostsTimeAndBreaksNoRule() {
     World w = world();
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(3);
     assertEquals(201, w.submit("node-1", World.job("wk-1", 2, 1)).status());
     w.pass(1);
@@ -97,7 +97,7 @@
     w.silent.add("host-1");
     w.pass(90);
     assertTrue(w.cloud.deleted("host-1"));
-    WorkerStandIn other = w.machine("host-2", "small", "a", "node-0");
+    FakeWorker other = w.machine("host-2", "small", "a", "node-0");
     w.pass(KEEP_S + 10);
     assertNull(w.state.value("w/h/host-1"));
     assertEquals(2, other.running().size(), "begun anew elsewhere");
@@ -118,9 +118,9 @@
   @Test
   void whoHoldsAMachineWhoseRecordGoesLetsGoOfIt() {
     World w = world();
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(3);
-    w.writeState("w/h/host-1", Doc.of().put("holder", "node-9#1").put("baton", 7));
+    w.writeState("w/h/host-1", Document.create().put("holder", "node-9#1").put("baton", 7));
     w.pass(20);
     assertNotEquals(null, w.state.value("w/h/host-1"));
     w.removeState("w/h/host-1");
@@ -137,13 +137,13 @@
     World w = world();
     for (int i = 0; i < 12; i++) {
       w.machine("host-" + i, "small", "a", "node-0");
-      w.writeState("w/h/host-" + i, Doc.of().put("holder", "node-9#1").put("baton", 7));
+      w.writeState("w/h/host-" + i, Document.create().put("holder", "node-9#1").put("baton", 7));
     }
     w.start().pass(20);
     assertEquals(12, w.state.keys("w/h/").size());
     for (int i = 0; i < 10; i++) {
       w.silent.add("host-" + i);
-      w.cloud.take("host-" + i);
+      w.cloud.reclaim("host-" + i);
     }
     w.pass(90 + KEEP_S);
     assertEquals(List.of("w/h/host-10", "w/h/host-11"), w.state.keys("w/h/"));
@@ -153,19 +153,19 @@
   @Test
   void aMachineThatHasBeenSilentForLongIsNoLongerHeld() {
     World w = world();
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     int[] held = {0};
     w.late =
         message -> {
-          if (message instanceof Message.Health h) {
-            held[0] = Math.max(held[0], h.held());
+          if (message instanceof Message.ControllerStatus h) {
+            held[0] = Math.max(held[0], h.heldMachines());
           }
           return false;
         };
     w.start().pass(5);
     assertEquals(1, held[0]);
     w.silent.add("host-1");
-    w.cloud.take("host-1");
+    w.cloud.reclaim("host-1");
     w.pass(12 * World.LEASE_S);
     held[0] = 0;
     w.pass(2);
@@ -185,7 +185,7 @@
   void whatIsKeptDoesNotGrowWithTheMachinesThatCameAndWent() {
     World w = new World(3).renting(4, 2);
     w.tunables =
-        Tunables.of(
+        Tunables.withOverrides(
             Map.of("idle_boots", 0.2, "idle_warm_s", 0.0, "spare", 0.0, "burial_s", KEEP_S));
     w.cloud.capacity(Integer.MAX_VALUE);
     w.start().pass(3);
--- a/src/test/java/dev/dunefront/story/ClearsTest.java
+++ b/src/test/java/dev/dunefront/story/ClearsTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dev.dunefront.standin.WorkerStandIn;
+import dev.dunefront.standin.FakeWorker;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -33,7 +33,7 @@
     w.pass(2);
     assertEquals(TASKS, w.running());
     // One after the other, so that each has an end of its own to be told of.
-    for (WorkerStandIn m : List.copyOf(w.workers.values())) {
+    for (FakeWorker m : List.copyOf(w.workers.values())) {
       for (String task : m.running()) {
         m.exit(task, "done");
         w.pass(0.5);
@@ -45,7 +45,7 @@
   }
 
   private static int known(World w) {
-    return w.workers.values().stream().mapToInt(WorkerStandIn::known).sum();
+    return w.workers.values().stream().mapToInt(FakeWorker::taskCount).sum();
   }
 
   @Test
@@ -85,7 +85,7 @@
   void aClearNeverEndsALaterAttempt() {
     World w = new World(1);
     w.start().pass(2);
-    WorkerStandIn only = w.machine("host-0", "small", "a", "node-0");
+    FakeWorker only = w.machine("host-0", "small", "a", "node-0");
     w.pass(6);
     assertEquals(201, w.submit("node-0", World.job("wk-1", 1, 1)).status());
     w.pass(2);
--- a/src/test/java/dev/dunefront/story/CloseLooksTest.java
+++ b/src/test/java/dev/dunefront/story/CloseLooksTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import dev.dunefront.peer.Message;
-import dev.dunefront.standin.WorkerStandIn;
+import dev.dunefront.standin.FakeWorker;
 import java.util.List;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.GenerationMode;
@@ -63,7 +63,7 @@
                   path.equals("/txn") && n[0]++ % 4 == 1
                       ? World.Fate.UNANSWERED
                       : World.Fate.ON_TIME;
-      case NOBODY_TELLS_OF_ENDS -> w.late = message -> message instanceof Message.Ended;
+      case NOBODY_TELLS_OF_ENDS -> w.late = message -> message instanceof Message.JobEnded;
     }
   }
 
@@ -137,7 +137,7 @@
   }
 
   private static void end(World w, String task) {
-    for (WorkerStandIn m : w.workers.values()) {
+    for (FakeWorker m : w.workers.values()) {
       m.exit(task, "done");
     }
   }
--- a/src/test/java/dev/dunefront/story/Crowd.java
+++ b/src/test/java/dev/dunefront/story/Crowd.java
@@ -1,7 +1,7 @@
 package dev.dunefront.story;
 
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 
 /**
  * Users who repeat all that they send at another controller and ask at all of them, one after the
@@ -20,13 +20,13 @@
   }
 
   /** Submits through the controller of this number, and again through the next. */
-  void submit(Doc job, int node) {
+  void submit(Document job, int node) {
     try {
       String id = job.text("id");
       world.user("POST", "/v1/jobs", job, id, node, TRIES);
       world.timers.after(0.4, () -> world.user("POST", "/v1/jobs", job, id, node + 1, TRIES));
       look(id, LOOK_S);
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
   }
--- a/src/test/java/dev/dunefront/story/DayEndTest.java
+++ b/src/test/java/dev/dunefront/story/DayEndTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dev.dunefront.standin.WorkerStandIn;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.standin.FakeWorker;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import java.util.List;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
@@ -77,7 +77,7 @@
     assertEquals(201, w.submit("node-0", World.job("wk-1", 20, 1)).status());
     for (int second = 0; second < 90; second++) {
       w.pass(1);
-      for (WorkerStandIn m : w.workers.values()) {
+      for (FakeWorker m : w.workers.values()) {
         for (String task : m.running()) {
           if (task.startsWith("wk-9")) {
             m.exit(task, "error");
@@ -109,12 +109,12 @@
     assertEquals(201, w.submit("node-0", World.job("wk-1", 40, 1)).status());
     w.pass(2);
     for (int i = 0; i < 2; i++) {
-      WorkerStandIn m = w.workers.get("host-" + i + ":9");
+      FakeWorker m = w.workers.get("host-" + i + ":9");
       m.running().forEach(t -> m.exit(t, "error"));
     }
     w.pass(2);
     for (int i = 2; i < 5; i++) {
-      WorkerStandIn m = w.workers.get("host-" + i + ":9");
+      FakeWorker m = w.workers.get("host-" + i + ":9");
       m.running().forEach(t -> m.exit(t, "done"));
     }
     w.pass(5);
@@ -129,7 +129,7 @@
       assertEquals(201, w.submit("node-" + i % 3, World.job("wk-" + i, 5, 1)).status());
     }
     w.pass(1);
-    int holds = w.state.written("w/h/");
+    int holds = w.state.writes("w/h/");
     for (int round = 0; round < 5; round++) {
       w.nodes.get("node-1").crash();
       w.pass(0.2);
@@ -138,7 +138,7 @@
     }
     w.pass(World.LEASE_S);
     assertEquals(30, w.running(), "nothing is lost");
-    assertTrue(w.state.written("w/h/") - holds <= 3, "machines are held on");
+    assertTrue(w.state.writes("w/h/") - holds <= 3, "machines are held on");
     assertEquals(List.of(), w.dayEnds());
   }
 
@@ -214,7 +214,7 @@
           n.standStill(2 + more);
         }
       }
-      case 5 -> w.workers.get(host + ":9").beginAnew();
+      case 5 -> w.workers.get(host + ":9").restart();
       case 6 -> w.refusedByState.add(node);
       case 7 -> w.silent.add(host);
       default -> w.deaf.remove(host);
@@ -255,7 +255,7 @@
   void noOlderAnswerFollowsWhateverBecomesOfTheWatch(
       @ForAll @Size(max = 6) List<@IntRange(max = 4) Integer> fates,
       @ForAll @IntRange(max = 20) int pause)
-      throws BadMessage {
+      throws MalformedMessageException {
     World w = World.of(3);
     int[] n = new int[1];
     w.fates =
@@ -280,7 +280,7 @@
       assertFalse(said.status() == 404);
     }
     assertTrue(done);
-    Doc spec = World.job("wk-1", 2, 1);
+    Document spec = World.job("wk-1", 2, 1);
     assertEquals(200, w.submit("node-1", spec).status());
   }
 
@@ -288,18 +288,18 @@
   @Example
   void theLargestJobThereCanBeIsLikeAnyOther() {
     World w = World.of(9);
-    int before = w.state.written("");
+    int before = w.state.writes("");
     assertEquals(201, w.submit("node-0", World.job("wk-1", 100_000, 0.25)).status());
-    assertEquals(1, w.state.written("") - before, "accepted with one change");
+    assertEquals(1, w.state.writes("") - before, "accepted with one change");
     assertEquals("queued", w.poll("node-1", "wk-1").state());
     assertEquals(201, w.submit("node-1", World.job("wk-2", 4, 1).put("urgency", "high")).status());
-    before = w.state.written("");
+    before = w.state.writes("");
     for (int second = 0; second < 30; second++) {
       w.pass(1);
       w.finishAll();
     }
     int starts = w.workers.values().stream().mapToInt(m -> m.starts().size()).sum();
-    double each = (double) (w.state.written("") - before) / starts;
+    double each = (double) (w.state.writes("") - before) / starts;
     assertTrue(each < 0.3, each + " changes for each of " + starts + " starts");
     assertEquals("done", w.poll("node-2", "wk-2").state());
     // Whoever takes it over reads what was begun, and not a record for each task.
--- a/src/test/java/dev/dunefront/story/DutyScheduleTest.java
+++ b/src/test/java/dev/dunefront/story/DutyScheduleTest.java
@@ -113,7 +113,7 @@
   void whateverStrikesWhomEverythingEndsAndNothingThatIsUsedIsDeleted(
       @ForAll @Size(max = 5) List<@IntRange(min = 0, max = 4_999) Integer> strikes) {
     World w = new World(3).renting(5, 4);
-    w.tunables = Tunables.of(Map.of("idle_boots", 2.0, "idle_warm_s", 0.0));
+    w.tunables = Tunables.withOverrides(Map.of("idle_boots", 2.0, "idle_warm_s", 0.0));
     w.cloud.capacity(60);
     w.start().pass(3);
     for (int s : strikes) {
--- a/src/test/java/dev/dunefront/story/DutyTest.java
+++ b/src/test/java/dev/dunefront/story/DutyTest.java
@@ -8,7 +8,7 @@
 
 import dev.dunefront.config.Tunables;
 import dev.dunefront.peer.Message;
-import dev.dunefront.standin.WorkerStandIn;
+import dev.dunefront.standin.FakeWorker;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -143,7 +143,7 @@
       for (Failure failure : Failure.values()) {
         String story = failure + " when " + step;
         World w = new World(3);
-        w.tunables = Tunables.of(Map.of("idle_boots", 1.0, "idle_warm_s", 0.0));
+        w.tunables = Tunables.withOverrides(Map.of("idle_boots", 1.0, "idle_warm_s", 0.0));
         for (int i = 0; i < 5; i++) {
           w.machine("host-" + i, "small", "a", "node-" + i % 3);
         }
@@ -165,7 +165,7 @@
         }
         assertEquals(List.of(), w.misused, story);
         assertEquals(List.of(), w.overlaps, story);
-        for (WorkerStandIn m : w.workers.values()) {
+        for (FakeWorker m : w.workers.values()) {
           assertEquals(List.of(), m.running(), story);
         }
       }
@@ -260,10 +260,10 @@
   void aDutyThatNobodyCanDoStaysWhereItIsForAWhile() {
     World w = new World(3);
     w.start().pass(5);
-    int before = w.state.written(RENT);
+    int before = w.state.writes(RENT);
     w.lost = (from, to) -> to.equals(CLOUD);
     w.pass(60);
-    assertTrue(w.state.written(RENT) - before <= 4, "handed over once in 20 s at most");
+    assertTrue(w.state.writes(RENT) - before <= 4, "handed over once in 20 s at most");
   }
 
   /**
@@ -273,18 +273,18 @@
   @Test
   void aWordOfALowerTermIsRefusedAndItsSenderIsTold() {
     World w = new World(3);
-    w.tunables = Tunables.of(Map.of("idle_boots", 1.0, "idle_warm_s", 0.0));
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-0");
-    List<Message.Retire> words = new ArrayList<>();
+    w.tunables = Tunables.withOverrides(Map.of("idle_boots", 1.0, "idle_warm_s", 0.0));
+    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
+    List<Message.RetireMachine> words = new ArrayList<>();
     List<Message> told = new ArrayList<>();
     w.late =
         message -> {
-          if (message instanceof Message.Retire r) {
+          if (message instanceof Message.RetireMachine r) {
             words.add(r);
           } else if (message instanceof Message.DutyTerm) {
             told.add(message);
           }
-          return message instanceof Message.Retire;
+          return message instanceof Message.RetireMachine;
         };
     w.start().pass(11);
     assertFalse(words.isEmpty(), "the machine is to be returned");
--- a/src/test/java/dev/dunefront/story/FairnessTest.java
+++ b/src/test/java/dev/dunefront/story/FairnessTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dev.dunefront.config.Tunables;
-import dev.dunefront.standin.WorkerStandIn;
+import dev.dunefront.standin.FakeWorker;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -21,7 +21,7 @@
 
   private static World world(int machines) {
     World w = new World(2);
-    w.tunables = Tunables.of(Map.of("idle_boots", 1000.0, "begin_s", BEGIN_S));
+    w.tunables = Tunables.withOverrides(Map.of("idle_boots", 1000.0, "begin_s", BEGIN_S));
     w.start().pass(2);
     for (int i = 0; i < machines; i++) {
       w.machine("host-" + i, "small", "a", "node-" + i % 2);
@@ -32,7 +32,7 @@
 
   /** Tasks end after some seconds, never all at once. */
   private static void someEnd(World w, int second) {
-    for (WorkerStandIn m : w.workers.values()) {
+    for (FakeWorker m : w.workers.values()) {
       List<String> running = m.running();
       if (!running.isEmpty()) {
         m.exit(running.get(second % running.size()), "done");
@@ -159,7 +159,7 @@
       if (second % 3 == 0 && second > 30) {
         waited += begun(w, id) ? 0 : 1;
       }
-      for (WorkerStandIn m : w.workers.values()) {
+      for (FakeWorker m : w.workers.values()) {
         // Hosts' tasks run for five seconds or so, guests' for long.
         for (String task : m.running()) {
           if (!task.startsWith("wk-900/") && second % 5 == 4) {
--- a/src/test/java/dev/dunefront/story/FleetTest.java
+++ b/src/test/java/dev/dunefront/story/FleetTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dev.dunefront.standin.WorkerStandIn;
+import dev.dunefront.standin.FakeWorker;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -126,7 +126,7 @@
     w.nodes.values().forEach(World.Node::start);
     w.pass(World.LEASE_S);
     assertEquals(600, w.running(), "no lease ran out");
-    for (WorkerStandIn m : w.workers.values()) {
+    for (FakeWorker m : w.workers.values()) {
       assertEquals(m.running().size(), m.starts().size(), "nothing was started again");
     }
     untilDone(w, 6, 20);
@@ -150,7 +150,7 @@
     }
     w.pass(5);
     assertEquals(1200, w.running());
-    int holds = w.state.written("w/h/");
+    int holds = w.state.writes("w/h/");
     int deaf = 0;
     for (int i = 0; i < MACHINES; i += 5) {
       w.deaf.add("host-" + i);
@@ -164,7 +164,7 @@
       w.pass(4);
     }
     w.pass(World.LEASE_S);
-    int written = w.state.written("w/h/") - holds;
+    int written = w.state.writes("w/h/") - holds;
     assertTrue(written <= 2 * deaf, written + " holds written for " + deaf + " deaf machines");
     w.deaf.clear();
     w.pass(2 * World.LEASE_S);
--- a/src/test/java/dev/dunefront/story/GapTest.java
+++ b/src/test/java/dev/dunefront/story/GapTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import dev.dunefront.peer.Message;
-import dev.dunefront.standin.WorkerStandIn;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.standin.FakeWorker;
+import dev.dunefront.wire.Document;
 import java.util.ArrayList;
 import java.util.List;
 import net.jqwik.api.ForAll;
@@ -34,7 +34,7 @@
     List<String> ids = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       String id = "wk-" + round + i;
-      Doc job = World.job(id, 6, 1).put("shape", i == 1 ? "daemon" : "sweep");
+      Document job = World.job(id, 6, 1).put("shape", i == 1 ? "daemon" : "sweep");
       assertEquals(201, w.submit(i == 2 ? "node-1" : "node-0", job).status());
       ids.add(id);
     }
@@ -101,7 +101,7 @@
       w.pass(4);
     }
     w.refusedByState.add("node-4");
-    w.late = message -> message instanceof Message.Ended;
+    w.late = message -> message instanceof Message.JobEnded;
     assertEquals(201, w.submit("node-0", World.job("wk-1", 6, 1)).status());
     w.pass(2);
     w.cancel("node-1", "wk-1");
@@ -146,7 +146,7 @@
   void whateverHindersTheOldLeaderItsTasksAreGone(@ForAll Hindrance what) {
     World w = new World(5);
     w.start().pass(2);
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.pass(5);
     String leader = w.holder("host-1");
     List<String> others = new ArrayList<>(w.nodes.keySet());
@@ -158,7 +158,7 @@
               body.contains("verb=run") ? World.Fate.UNANSWERED : World.Fate.ON_TIME;
     }
     if (what == Hindrance.A_START_COMES_LATE) {
-      w.late = message -> message instanceof Message.Start;
+      w.late = message -> message instanceof Message.StartTask;
     }
     assertEquals(201, w.submit(others.get(0), World.job("wk-1", 3, 1)).status());
     w.pass(0.7);
@@ -167,7 +167,8 @@
       w.timers.after(4, () -> w.lost = (from, to) -> false);
     }
     if (what == Hindrance.THE_WORD_IS_LOST) {
-      w.late = message -> message instanceof Message.Cancelled || message instanceof Message.Stop;
+      w.late =
+          message -> message instanceof Message.JobCancelled || message instanceof Message.StopTask;
     }
     assertEquals(503, w.cancel(others.get(1), "wk-1").status());
     w.state.outage(true);
--- a/src/test/java/dev/dunefront/story/HearingTest.java
+++ b/src/test/java/dev/dunefront/story/HearingTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dev.dunefront.standin.WorkerStandIn;
+import dev.dunefront.standin.FakeWorker;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -24,7 +24,7 @@
     }
     w.pass(3);
     assertEquals(90, w.running());
-    int holds = w.state.written("w/h/");
+    int holds = w.state.writes("w/h/");
     for (int i = 0; i < 10; i++) {
       w.deaf.add("host-" + i);
     }
@@ -37,7 +37,7 @@
     }
     w.pass(World.LEASE_S);
     assertEquals(80, w.running(), "all room of the others is in use");
-    int written = w.state.written("w/h/") - holds;
+    int written = w.state.writes("w/h/") - holds;
     assertTrue(written <= 10, written + " holds written for ten machines that go round");
     w.deaf.clear();
     w.pass(3 * World.LEASE_S);
@@ -58,7 +58,7 @@
   @Test
   void aSessionLearnedOfByAnAnswerLives() {
     World w = World.of(1);
-    WorkerStandIn m = w.workers.get("host-0:9");
+    FakeWorker m = w.workers.get("host-0:9");
     assertEquals(201, w.submit("node-0", World.job("wk-1", 4, 1)).status());
     w.pass(2);
     assertEquals(4, m.running().size());
@@ -108,8 +108,8 @@
     assertEquals(201, w.submit("node-0", World.job("wk-1", 8, 1)).status());
     w.pass(4 * World.LEASE_S);
     assertEquals(8, w.running());
-    int holds = w.state.written("w/h/");
-    WorkerStandIn dead =
+    int holds = w.state.writes("w/h/");
+    FakeWorker dead =
         w.workers.values().stream().filter(m -> !m.running().isEmpty()).findFirst().orElseThrow();
     Set<String> lost = new HashSet<>(dead.running());
     w.silent.add(dead.host());
@@ -126,7 +126,7 @@
     }
     double took = w.timers.now() - since;
     w.pass(2 * World.LEASE_S);
-    assertEquals(holds, w.state.written("w/h/"), "no hold is taken or raised for a copy");
+    assertEquals(holds, w.state.writes("w/h/"), "no hold is taken or raised for a copy");
     // It hung, and the lease that it takes for its own is over.
     w.silent.clear();
     assertEquals(List.of(), w.dayEnds());
@@ -165,12 +165,12 @@
     assertEquals(201, w.submit("node-0", World.job("wk-1", 12, 1)).status());
     w.pass(30);
     assertEquals(12, w.running());
-    WorkerStandIn m = w.workers.get("host-1:9");
-    m.beginAnew();
+    FakeWorker m = w.workers.get("host-1:9");
+    m.restart();
     assertEquals(8, w.running());
     w.pass(2 * World.LEASE_S);
     assertEquals(12, w.running());
-    m.beginAnew();
+    m.restart();
     w.copiesAfterS = List.of(2.0);
     w.pass(2 * World.LEASE_S);
     assertEquals(12, w.running());
--- a/src/test/java/dev/dunefront/story/InterestTest.java
+++ b/src/test/java/dev/dunefront/story/InterestTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dev.dunefront.config.Tunables;
-import dev.dunefront.peer.Detail;
 import dev.dunefront.peer.Message;
-import dev.dunefront.standin.WorkerStandIn;
+import dev.dunefront.peer.ViewDetail;
+import dev.dunefront.standin.FakeWorker;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -78,7 +78,7 @@
 
   /** Frees a machine of the other controller on which the job has no want parked. */
   private static void free(World w, List<String> wanted) {
-    for (WorkerStandIn m : w.workers.values()) {
+    for (FakeWorker m : w.workers.values()) {
       if (w.holder(m.host()).equals("node-1") && !wanted.contains(m.host())) {
         m.running().forEach(t -> m.exit(t, "done"));
         return;
@@ -102,7 +102,7 @@
   @Test
   void aDeclarationThatIsLostIsRepeated() {
     World w = waiting();
-    w.late = m -> m instanceof Message.Interest i && i.detail() != Detail.STANDING;
+    w.late = m -> m instanceof Message.ViewSubscription i && i.detail() != ViewDetail.STATUS;
     List<String> wanted = wants(w);
     assertEquals(201, w.submit("node-0", World.job("wk-2", 1, 4)).status());
     w.pass(1);
@@ -120,7 +120,7 @@
     List<String> wanted = wants(w);
     assertEquals(201, w.submit("node-0", World.job("wk-2", 1, 4)).status());
     w.pass(0.5);
-    w.say("node-0", "node-1", new Message.Interest(Detail.STANDING));
+    w.say("node-0", "node-1", new Message.ViewSubscription(ViewDetail.STATUS));
     w.pass(0.1);
     free(w, wanted);
     w.pass(REPAIRED_S);
@@ -130,17 +130,17 @@
   @Test
   void aDoubledDeclarationTellsNothingTwice() {
     World w = waiting();
-    w.say("node-0", "node-1", new Message.Interest(Detail.STANDING));
+    w.say("node-0", "node-1", new Message.ViewSubscription(ViewDetail.STATUS));
     w.pass(0.01);
-    w.say("node-0", "node-1", new Message.Interest(Detail.LOAD));
+    w.say("node-0", "node-1", new Message.ViewSubscription(ViewDetail.FULL));
     w.pass(0.01);
     int[] views = {0};
     w.late =
         m -> {
-          views[0] += m instanceof Message.View ? 1 : 0;
+          views[0] += m instanceof Message.MachineView ? 1 : 0;
           return false;
         };
-    w.say("node-0", "node-1", new Message.Interest(Detail.LOAD));
+    w.say("node-0", "node-1", new Message.ViewSubscription(ViewDetail.FULL));
     assertEquals(0, views[0]);
   }
 
@@ -150,7 +150,7 @@
     w.finishAll();
     w.pass(3);
     w.nodes.get("node-0").crash();
-    w.say("node-0", "node-1", new Message.Interest(Detail.STANDING));
+    w.say("node-0", "node-1", new Message.ViewSubscription(ViewDetail.STATUS));
     w.pass(1);
     w.nodes.get("node-0").start();
     w.pass(4);
@@ -165,7 +165,7 @@
   private static void allAreToldEverythingOnce(World w) {
     for (String from : w.nodes.keySet()) {
       for (String to : w.nodes.keySet()) {
-        w.say(from, to, new Message.Interest(Detail.LOAD));
+        w.say(from, to, new Message.ViewSubscription(ViewDetail.FULL));
       }
     }
     w.pass(REPEATED_S);
@@ -175,7 +175,7 @@
   @Test
   void whoRentsNextKnowsWhatIdles() {
     World w = new World(3);
-    w.tunables = Tunables.of(Map.of("idle_boots", 1.0, "spare", 0.0));
+    w.tunables = Tunables.withOverrides(Map.of("idle_boots", 1.0, "spare", 0.0));
     w.start().pass(2);
     for (int i = 0; i < 6; i++) {
       w.machine("host-" + i, "small", "a", "node-" + i % 3);
@@ -200,7 +200,7 @@
   void urgentWorkFindsWhatMayGiveWayOnMachinesThatStayFull() {
     World w = new World(2);
     w.start().pass(2);
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.pass(4);
     String renter = w.named("w/u/rent");
     String other = renter.equals("node-0") ? "node-1" : "node-0";
--- a/src/test/java/dev/dunefront/story/JoiningTest.java
+++ b/src/test/java/dev/dunefront/story/JoiningTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dev.dunefront.standin.WorkerStandIn;
-import dev.dunefront.wire.BadMessage;
+import dev.dunefront.standin.FakeWorker;
+import dev.dunefront.wire.MalformedMessageException;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -38,7 +38,7 @@
     return held;
   }
 
-  private static List<String> roster(World w) throws BadMessage {
+  private static List<String> roster(World w) throws MalformedMessageException {
     return w.state.value("w/roster").texts("nodes").stream().sorted().toList();
   }
 
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void fromThreeToSevenAndBackWhileWorkRuns() throws BadMessage {
+  void fromThreeToSevenAndBackWhileWorkRuns() throws MalformedMessageException {
     World w = new World(List.of("a", "b", "a"), World.ONE_TEAM);
     w.start().pass(3);
     for (int i = 0; i < MACHINES; i++) {
@@ -101,7 +101,7 @@
    * and it has claimed what runs there: its proof must not count.
    */
   @Test
-  void whoHasNotHeardOfTheNewRosterProvesNothingByTheOldOne() throws BadMessage {
+  void whoHasNotHeardOfTheNewRosterProvesNothingByTheOldOne() throws MalformedMessageException {
     World w = new World(3);
     w.start().pass(3);
     for (int i = 0; i < 120; i++) {
@@ -113,7 +113,7 @@
     assertEquals(480, w.running());
     List<String> its =
         w.workers.values().stream()
-            .map(WorkerStandIn::host)
+            .map(FakeWorker::host)
             .filter(host -> w.holder(host).equals("node-0"))
             .toList();
     w.add("a");
@@ -150,7 +150,7 @@
 
   /** The roster changes while its news reaches some of the controllers long after the others. */
   @Test
-  void noMachineIsHeldTwiceWhileOldAndNewDisagree() throws BadMessage {
+  void noMachineIsHeldTwiceWhileOldAndNewDisagree() throws MalformedMessageException {
     for (String late : List.of("node-0", "node-1", "node-2", "node-3")) {
       World w = new World(3);
       w.start().pass(3);
@@ -176,7 +176,7 @@
       work(w, 20);
       assertEquals(4, roster(w).size(), late + " hears late");
       assertEquals(List.of(), w.overlaps, late + " hears late");
-      for (WorkerStandIn m : w.workers.values()) {
+      for (FakeWorker m : w.workers.values()) {
         assertTrue(w.nodes.get(w.holder(m.host())).up());
       }
       endAll(w);
--- a/src/test/java/dev/dunefront/story/LateWordsTest.java
+++ b/src/test/java/dev/dunefront/story/LateWordsTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dev.dunefront.book.Holds;
+import dev.dunefront.book.HoldTable;
 import dev.dunefront.peer.Message;
-import dev.dunefront.standin.WorkerStandIn;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.standin.FakeWorker;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import org.junit.jupiter.api.Test;
@@ -24,7 +24,7 @@
   @Test
   void whatWasCalledGoneStaysRefusedWhenTheMachineComesBack() {
     World w = new World(List.of("a", "a", "b"), World.ONE_TEAM);
-    WorkerStandIn a = w.machine("host-1", "small", "b", "node-0");
+    FakeWorker a = w.machine("host-1", "small", "b", "node-0");
     w.nodes.get("node-0").start();
     w.nodes.get("node-1").start();
     w.pass(8);
@@ -32,12 +32,12 @@
     // From its start on all that concerns the room of that machine is held back.
     w.late =
         m ->
-            m instanceof Message.Start s && s.host().equals("host-1")
+            m instanceof Message.StartTask s && s.host().equals("host-1")
                 || m instanceof Message.Offer o && o.host().equals("host-1") && w.heldCount() > 0;
     assertEquals(201, w.submit("node-1", World.job("wk-1", 1, 1)).status());
     w.pass(3);
     assertTrue(w.heldCount() > 0, "its start is held back, and it is called gone meanwhile");
-    WorkerStandIn b = w.machine("host-2", "small", "a", "node-0");
+    FakeWorker b = w.machine("host-2", "small", "a", "node-0");
     for (int i = 0; i < 60 && b.running().isEmpty(); i++) {
       w.pass(1);
     }
@@ -66,9 +66,9 @@
    * an end before it is recorded, and its start would run a task twice.
    */
   @Test
-  void wordsOfAFormerClaimantChangeNothing() throws BadMessage {
+  void wordsOfAFormerClaimantChangeNothing() throws MalformedMessageException {
     World w = new World(3);
-    WorkerStandIn a = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker a = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(3);
     assertEquals(201, w.submit("node-1", World.job("wk-1", 2, 1)).status());
     w.pass(2);
@@ -77,12 +77,12 @@
     w.nodes.get("node-1").crash();
     w.pass(World.LEASE_S + 4);
     assertEquals(term + 1, w.state.value("w/j/wk-1").count("term"), "another has claimed it");
-    WorkerStandIn b = w.machine("host-2", "small", "a", "node-0");
+    FakeWorker b = w.machine("host-2", "small", "a", "node-0");
     w.pass(4);
     assertEquals("node-0", w.holder("host-2"));
 
-    w.say("node-1", "node-0", new Message.Stop("host-1", term, "wk-1", 0, 1, 0));
-    w.say("node-1", "node-0", new Message.Start(0, "host-2", b.token(), 1, term, "wk-1", 0, 1));
+    w.say("node-1", "node-0", new Message.StopTask("host-1", term, "wk-1", 0, 1, 0));
+    w.say("node-1", "node-0", new Message.StartTask(0, "host-2", b.token(), 1, term, "wk-1", 0, 1));
     w.pass(3);
     assertEquals(2, a.running().size());
     assertEquals(List.of(), b.starts());
@@ -90,7 +90,7 @@
     w.refusedByState.addAll(List.of("node-0", "node-2"));
     a.exit("wk-1/0", "done");
     w.pass(World.REPORT_S + 0.1);
-    w.say("node-1", "node-0", new Message.Clear("host-1", term, "wk-1", 0, 1));
+    w.say("node-1", "node-0", new Message.ClearTask("host-1", term, "wk-1", 0, 1));
     w.pass(2);
     w.refusedByState.clear();
     w.pass(3);
@@ -105,14 +105,14 @@
    * write of an earlier try has come late. To all others it would be dead for ever.
    */
   @Test
-  void aNodeKeyThatShowsAnotherNameIsWrittenAgain() throws BadMessage {
+  void aNodeKeyThatShowsAnotherNameIsWrittenAgain() throws MalformedMessageException {
     World w = new World(2);
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(3);
     assertEquals(201, w.submit("node-0", World.job("wk-1", 2, 1)).status());
     w.pass(1);
     String name = w.state.value("w/n/node-0").text("inc");
-    w.writeState("w/n/node-0", Doc.of().put("inc", "node-0#1"));
+    w.writeState("w/n/node-0", Document.create().put("inc", "node-0#1"));
     w.pass(1);
     assertEquals(name, w.state.value("w/n/node-0").text("inc"));
     w.finishAll();
@@ -127,14 +127,14 @@
    * its jobs, and lose sight of the controller when that life's lease ends.
    */
   @Test
-  void aKeyWrittenLateByAnEarlierLifeChangesNothing() throws BadMessage {
+  void aKeyWrittenLateByAnEarlierLifeChangesNothing() throws MalformedMessageException {
     World w = new World(3);
     w.machine("host-1", "small", "a", "node-0");
     w.start().pass(3);
     assertEquals(201, w.submit("node-0", World.job("wk-1", 2, 1)).status());
     w.pass(1);
     w.nodes.get("node-0").crash();
-    int before = w.state.written("w/n/node-0");
+    int before = w.state.writes("w/n/node-0");
     int[] puts = new int[1];
     w.lateS = 2.2;
     w.fates =
@@ -148,7 +148,7 @@
     w.pass(1);
     assertEquals(2, puts[0], "the first had no answer, the second had");
     assertEquals(name, w.state.value("w/n/node-0").text("inc"));
-    assertEquals(1, w.state.written("w/n/node-0") - before, "the late one was refused");
+    assertEquals(1, w.state.writes("w/n/node-0") - before, "the late one was refused");
     assertEquals(List.of(), w.dayEnds());
   }
 
@@ -161,7 +161,7 @@
   void aCopyMovesNoMachineThatItsHolderStillHears() {
     World w = new World(List.of("a", "a", "b"), World.ONE_TEAM);
     w.start().pass(2);
-    WorkerStandIn m = w.machine("host-1", "small", "b", "node-2");
+    FakeWorker m = w.machine("host-1", "small", "b", "node-2");
     w.pass(6);
     assertEquals("node-2", w.holder("host-1"));
     byte[] report = m.report();
@@ -191,7 +191,7 @@
   private static List<String> overlapsByAFormerHolder(boolean unconditional) {
     World w = new World(4);
     w.start().pass(2);
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.pass(6);
     String former = w.holder("host-1");
     int f = Integer.parseInt(former.substring("node-".length()));
@@ -226,7 +226,7 @@
   void anEndThatIsConfirmedWhileAnotherProofOfItIsRecordedCounts() {
     World w = World.limited(3, 2);
     w.start().pass(2);
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.pass(5);
     assertEquals(201, w.submit("node-1", World.job("wk-1", 1, 2)).status());
     w.pass(2);
@@ -236,12 +236,12 @@
             "t/wk-1/0",
             World.Fate.LOST,
             from -> {
-              Doc dead = Holds.writeDead(w.timers.timeOfDayMs(), "x");
+              Document dead = HoldTable.writeDeleted(w.timers.wallClockMs(), "x");
               w.timers.after(0.05, () -> w.writeState("w/h/host-1", dead));
             });
     w.silent.add("host-1");
-    w.timers.after(5, () -> w.cloud.take("host-1"));
-    WorkerStandIn next = w.machine("host-2", "small", "a", "node-0");
+    w.timers.after(5, () -> w.cloud.reclaim("host-1"));
+    FakeWorker next = w.machine("host-2", "small", "a", "node-0");
     w.pass(2 * World.LEASE_S);
     assertTrue(struck.getAsBoolean(), "the lease is over, and that was about to be recorded");
     w.pass(10);
--- a/src/test/java/dev/dunefront/story/LostAnswerTest.java
+++ b/src/test/java/dev/dunefront/story/LostAnswerTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dev.dunefront.standin.WorkerStandIn;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.standin.FakeWorker;
+import dev.dunefront.wire.Document;
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import net.jqwik.api.ForAll;
@@ -108,7 +108,7 @@
       throws Exception {
     World w = new World(3);
     w.start().pass(2);
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.pass(5);
     String holder = w.holder("host-1");
     List<String> others = w.nodes.keySet().stream().filter(n -> !n.equals(holder)).toList();
@@ -181,7 +181,7 @@
   void aMachineTakenWhileAWriteOfItsHoldIsUnclearChangesHands(@ForAll HoldWrite write) {
     World w = new World(3);
     w.start().pass(2);
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.pass(6);
     String former = w.holder("host-1");
     BooleanSupplier struck =
@@ -191,7 +191,8 @@
             from -> {
               String next =
                   w.nodes.keySet().stream().filter(n -> !n.equals(from)).findFirst().get();
-              Doc hold = Doc.of().put("holder", w.incarnation("w/n/" + next)).put("baton", 50);
+              Document hold =
+                  Document.create().put("holder", w.incarnation("w/n/" + next)).put("baton", 50);
               w.timers.after(0.2, () -> w.writeState("w/h/host-1", hold));
             });
     World.Fates holdWrites = w.fates;
--- a/src/test/java/dev/dunefront/story/MeetingsTest.java
+++ b/src/test/java/dev/dunefront/story/MeetingsTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dev.dunefront.standin.WorkerStandIn;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.standin.FakeWorker;
+import dev.dunefront.wire.Document;
 import java.util.List;
 import java.util.Random;
 import java.util.function.BiPredicate;
@@ -199,14 +199,14 @@
       return;
     }
     for (int i = 0; i < 3; i++) {
-      WorkerStandIn m = w.workers.get("host-" + dice.nextInt(10) + ":9");
+      FakeWorker m = w.workers.get("host-" + dice.nextInt(10) + ":9");
       if (m != null && trouble == Trouble.BEGUN_ANEW) {
-        m.beginAnew();
+        m.restart();
       } else if (m != null && !STAY.contains(m.host())) {
         // It stops with all that is on it, and nobody says so.
         m.newSession();
         w.silent.add(m.host());
-        w.timers.after(FAILED_AFTER_S, () -> w.cloud.fail(m.host()));
+        w.timers.after(FAILED_AFTER_S, () -> w.cloud.markFailed(m.host()));
       }
     }
     w.silent.remove(host);
@@ -253,7 +253,7 @@
 
   /** Tasks end one by one, far apart, the lowest first on each machine. */
   private static void finishSome(World w, Random dice) {
-    for (WorkerStandIn m : w.workers.values()) {
+    for (FakeWorker m : w.workers.values()) {
       if (dice.nextInt(4) == 0) {
         m.running().stream().limit(1).forEach(t -> m.exit(t, "done"));
       }
@@ -262,7 +262,7 @@
 
   private static void submit(World w, int n, int node, Random dice) {
     int cpus = 1 + dice.nextInt(2);
-    Doc job = World.job("wk-" + n, 1 + dice.nextInt(6), cpus);
+    Document job = World.job("wk-" + n, 1 + dice.nextInt(6), cpus);
     if (dice.nextInt(5) == 0) {
       job.put("shape", "daemon");
     }
--- a/src/test/java/dev/dunefront/story/NewLeaderTest.java
+++ b/src/test/java/dev/dunefront/story/NewLeaderTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dev.dunefront.standin.WorkerStandIn;
+import dev.dunefront.standin.FakeWorker;
 import java.util.ArrayList;
 import java.util.List;
 import net.jqwik.api.Example;
@@ -53,7 +53,7 @@
       throws Exception {
     World w = world();
     Crowd users = new Crowd(w);
-    List<WorkerStandIn> machines = List.copyOf(w.workers.values());
+    List<FakeWorker> machines = List.copyOf(w.workers.values());
     List<byte[]> reports = new ArrayList<>();
     if (old == Old.BEFORE_ANYTHING_RAN) {
       machines.forEach(m -> reports.add(m.report()));
@@ -66,10 +66,10 @@
       machines.forEach(m -> reports.add(m.report()));
     }
     if (old == Old.OF_AN_EARLIER_SESSION) {
-      machines.forEach(WorkerStandIn::newSession);
+      machines.forEach(FakeWorker::newSession);
       w.pass(5);
     } else if (old == Old.OF_AN_EARLIER_LIFE) {
-      machines.forEach(WorkerStandIn::beginAnew);
+      machines.forEach(FakeWorker::restart);
       w.pass(5);
     }
     users.cancel("wk-0", 1);
@@ -82,7 +82,7 @@
     switch (since) {
       case THEY_RUN_ON -> {}
       case THEIR_TASKS_ENDED -> w.finishAll();
-      case THEIR_SESSION_ENDED -> machines.forEach(WorkerStandIn::newSession);
+      case THEIR_SESSION_ENDED -> machines.forEach(FakeWorker::newSession);
       case THEY_ARE_SILENT -> {
         machines.forEach(m -> w.silent.add(m.host()));
         w.timers.after(12, w.silent::clear);
@@ -115,7 +115,7 @@
   @Property(generation = GenerationMode.EXHAUSTIVE)
   void aMachineOfWhichOnlyAnOldReportComesIsGivenUp(@ForAll boolean cancelled) {
     World w = world();
-    WorkerStandIn m = w.workers.get("host-1:9");
+    FakeWorker m = w.workers.get("host-1:9");
     byte[] old = m.report();
     w.fates =
         (from, path, body) ->
--- a/src/test/java/dev/dunefront/story/OddRequestsTest.java
+++ b/src/test/java/dev/dunefront/story/OddRequestsTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dev.dunefront.wire.Doc;
+import dev.dunefront.wire.Document;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -38,11 +38,11 @@
     return fields;
   }
 
-  private static Doc whole(String id) {
+  private static Document whole(String id) {
     return World.job(id, 1, 1).put("flavors", List.of("small")).put("site", "a").put("due_s", 90.0);
   }
 
-  private static int status(World w, Doc job) {
+  private static int status(World w, Document job) {
     return w.ask("node-1", "POST", "/v1/jobs", job.encode()).status();
   }
 
@@ -52,10 +52,10 @@
     assertEquals(201, w.submit("node-0", whole("wk-1")).status());
     for (var field : impossible().entrySet()) {
       String name = field.getKey();
-      Doc wrong = whole("wk-2").put(name, field.getValue());
+      Document wrong = whole("wk-2").put(name, field.getValue());
       assertEquals(400, status(w, wrong), name + " is wrong");
       if (!MAY_BE_ABSENT.contains(name)) {
-        Doc lacking = whole("wk-3").put(name, null);
+        Document lacking = whole("wk-3").put(name, null);
         assertEquals(400, status(w, lacking), name + " is missing");
       }
     }
@@ -102,7 +102,7 @@
       assertEquals(404, w.ask(node, "POST", "/v1/jobs/wk-77/abort", new byte[0]).status());
       assertEquals(422, w.submit(node, World.job("wk-5", 1, 99)).status());
       assertEquals(422, w.submit(node, World.job("wk-5", 1, 1).put("owner", "x")).status());
-      Doc nowhere = World.job("wk-5", 1, 1).put("flavors", List.of("huge"));
+      Document nowhere = World.job("wk-5", 1, 1).put("flavors", List.of("huge"));
       assertEquals(422, w.submit(node, nowhere).status());
       assertEquals(422, w.submit(node, World.job("wk-5", 1, 1).put("site", "z")).status());
     }
