--- a/src/test/java/dev/dunefront/story/OperationHistory.java
+++ b/src/test/java/dev/dunefront/story/OperationHistory.java
@@ -1,8 +1,8 @@
 package dev.dunefront.story;
 
-import dev.dunefront.standin.WorkerStandIn;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.standin.FakeWorker;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -19,13 +19,13 @@
 final class OperationHistory {
   private record Last(String state, double at) {}
 
-  private final Collection<WorkerStandIn> workers;
-  private final Collection<WorkerStandIn> everyWorker;
+  private final Collection<FakeWorker> workers;
+  private final Collection<FakeWorker> everyWorker;
   private final Map<String, Integer> accepted;
   private final Set<String> asked;
   private final Map<String, Last> ended = new HashMap<>();
   private final Map<String, Double> known = new HashMap<>();
-  private final Map<String, Doc> specs;
+  private final Map<String, Document> specs;
   private double limit = Double.POSITIVE_INFINITY;
 
   /** What was found, without repeats. */
@@ -36,11 +36,11 @@
    * wanted them cancelled; specs are what users have submitted, by job.
    */
   OperationHistory(
-      Collection<WorkerStandIn> workers,
-      Collection<WorkerStandIn> everyWorker,
+      Collection<FakeWorker> workers,
+      Collection<FakeWorker> everyWorker,
       Map<String, Integer> accepted,
       Set<String> asked,
-      Map<String, Doc> specs) {
+      Map<String, Document> specs) {
     this.workers = workers;
     this.everyWorker = everyWorker;
     this.accepted = accepted;
@@ -89,7 +89,7 @@
   /** Users are told only on proof, so nothing may run from the word on, not even for a moment. */
   void look() {
     double used = 0;
-    for (WorkerStandIn w : workers) {
+    for (FakeWorker w : workers) {
       for (String task : w.running()) {
         String job = task.substring(0, task.indexOf('/'));
         used += cpusEach(job);
@@ -103,7 +103,7 @@
   private double cpusEach(String job) {
     try {
       return specs.containsKey(job) ? specs.get(job).amount("vcpus") : 0;
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
   }
--- a/src/test/java/dev/dunefront/story/PlacementCheck.java
+++ b/src/test/java/dev/dunefront/story/PlacementCheck.java
@@ -1,8 +1,8 @@
 package dev.dunefront.story;
 
-import dev.dunefront.standin.WorkerStandIn;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.standin.FakeWorker;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -14,23 +14,23 @@
  * workers run, those that nobody can reach included.
  */
 final class PlacementCheck {
-  private final Map<String, Doc> specs;
+  private final Map<String, Document> specs;
 
   /** What was found, without repeats. */
   final List<String> wrong = new ArrayList<>();
 
   /** The specs are what users have submitted, by job, as they are at any time. */
-  PlacementCheck(Map<String, Doc> specs) {
+  PlacementCheck(Map<String, Document> specs) {
     this.specs = specs;
   }
 
-  void look(Iterable<WorkerStandIn> workers) {
+  void look(Iterable<FakeWorker> workers) {
     Map<String, Map<String, Integer>> zones = new HashMap<>();
     try {
-      for (WorkerStandIn w : workers) {
+      for (FakeWorker w : workers) {
         for (String task : w.running()) {
           String job = task.substring(0, task.indexOf('/'));
-          Doc spec = specs.get(job);
+          Document spec = specs.get(job);
           if (spec == null) {
             continue;
           }
@@ -42,14 +42,14 @@
         }
       }
       for (var e : zones.entrySet()) {
-        Doc spec = specs.get(e.getKey());
+        Document spec = specs.get(e.getKey());
         long half = (spec.count("pieces") + 1) / 2;
         note(spec.flag("same_place") && e.getValue().size() > 1, e.getKey() + " is in two zones");
         note(
             spec.flag("apart") && e.getValue().values().stream().anyMatch(n -> n > half),
             e.getKey() + " has more than half in one zone");
       }
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
   }
--- a/src/test/java/dev/dunefront/story/StandstillTest.java
+++ b/src/test/java/dev/dunefront/story/ProcessPauseTest.java
@@ -4,13 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dev.dunefront.standin.WorkerStandIn;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.standin.FakeWorker;
+import dev.dunefront.wire.Document;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Controllers that stand still while their clocks run on, and what they believe when they wake. */
-class StandstillTest {
+class ProcessPauseTest {
 
   /**
    * A placement is recorded with the worker's session. Its claimant hears of the record late, and
@@ -20,7 +20,7 @@
   @Test
   void aStartRecordedForOneSessionIsNotCarriedOutInTheNext() {
     World w = new World(2);
-    WorkerStandIn a = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker a = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(3);
     assertEquals("node-0", w.holder("host-1"));
     assertEquals(201, w.submit("node-1", World.job("wk-1", 1, 1)).status());
@@ -31,7 +31,7 @@
     w.pass(World.LEASE_S + 2);
     w.silent.clear();
     w.pass(3);
-    WorkerStandIn b = w.machine("host-2", "small", "a", "node-0");
+    FakeWorker b = w.machine("host-2", "small", "a", "node-0");
     w.pass(2);
     assertEquals(List.of(), a.starts(), "the story is about a start that is still to come");
     w.unanswered = (from, to) -> false;
@@ -45,7 +45,7 @@
   @Test
   void aControllerWithoutALeaseWritesNoHold() {
     World w = new World(1);
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(3);
     w.submit("node-0", World.job("wk-1", 1, 1));
     w.unanswered = (from, to) -> to.endsWith(":9");
@@ -68,11 +68,11 @@
   @Test
   void aHoldThatNamesNobodyConcernsOneMachineAndIsRepaired() {
     World w = new World(2);
-    WorkerStandIn a = w.machine("host-1", "small", "a", "node-0");
-    WorkerStandIn b = w.machine("host-2", "small", "a", "node-1");
+    FakeWorker a = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker b = w.machine("host-2", "small", "a", "node-1");
     w.start().pass(3);
-    w.writeState("w/h/host-1", Doc.of().put("baton", 7));
-    w.writeState("w/h/host-2", Doc.of().put("holder", 3).put("baton", "no number"));
+    w.writeState("w/h/host-1", Document.create().put("baton", 7));
+    w.writeState("w/h/host-2", Document.create().put("holder", 3).put("baton", "no number"));
     w.pass(World.LEASE_S * 2);
     assertEquals(201, w.submit("node-0", World.job("wk-1", 8, 1)).status());
     w.pass(5);
@@ -121,7 +121,7 @@
   @Test
   void aWokenControllerActsOnNothingBeforeItIsCurrent() {
     World w = new World(2);
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(3);
     assertEquals("node-0", w.holder("host-1"));
     assertEquals(201, w.submit("node-0", World.job("wk-1", 8, 1)).status());
--- a/src/test/java/dev/dunefront/story/ReclaimTest.java
+++ b/src/test/java/dev/dunefront/story/ReclaimTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -28,7 +28,7 @@
     w.pass(6);
     for (int i = 0; i < JOBS; i++) {
       String urgency = i % 5 == 0 ? "high" : "normal";
-      Doc job = World.job("wk-" + i, TASKS, 1).put("urgency", urgency);
+      Document job = World.job("wk-" + i, TASKS, 1).put("urgency", urgency);
       assertEquals(201, w.submit("node-" + i % 5, job).status());
     }
     w.pass(12);
@@ -43,12 +43,12 @@
 
   private static boolean orphan(World w, String key, String urgency) {
     try {
-      Doc d = w.state.value(key);
+      Document d = w.state.value(key);
       String claim = d.textOr("claim", "");
       String node = claim.substring(0, Math.max(0, claim.lastIndexOf('#')));
-      return d.doc("spec").text("urgency").equals(urgency)
+      return d.document("spec").text("urgency").equals(urgency)
           && (!w.nodes.containsKey(node) || !w.nodes.get(node).up());
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
   }
@@ -74,16 +74,18 @@
   @Test
   void twoOfFiveDieAndTheirJobsAreTakenInTheOrderOfNeedWithoutAWriteInVain() {
     World w = fleet();
-    int wasted = w.state.wasted();
-    int written = w.state.written("w/j/");
+    int wasted = w.state.failedTxnOps();
+    int written = w.state.writes("w/j/");
     w.nodes.get("node-0").crash();
     w.nodes.get("node-1").crash();
     double took = untilClaimed(w, 30);
     assertTrue(took < BOUND_S, "claimed after " + took + " s");
     w.pass(3);
-    int claims = w.state.written("w/j/") - written;
+    int claims = w.state.writes("w/j/") - written;
     assertEquals(JOBS * 2 / 5, claims, "each was written once");
-    assertTrue(w.state.wasted() - wasted <= 12, w.state.wasted() - wasted + " changes in vain");
+    assertTrue(
+        w.state.failedTxnOps() - wasted <= 12,
+        w.state.failedTxnOps() - wasted + " changes in vain");
     w.pass(2 * World.LEASE_S);
     assertEquals(JOBS * TASKS, w.running(), "nothing that ran was lost");
     assertEquals(List.of(), w.overlaps);
--- a/src/test/java/dev/dunefront/story/ReturnTest.java
+++ b/src/test/java/dev/dunefront/story/ReturnTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dev.dunefront.config.Tunables;
-import dev.dunefront.standin.WorkerStandIn;
+import dev.dunefront.standin.FakeWorker;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -15,7 +15,7 @@
   private static World world() {
     World w = new World(2);
     // Machines of the stand-in's cloud boot in 5 s.
-    w.tunables = Tunables.of(Map.of("idle_boots", 2.0));
+    w.tunables = Tunables.withOverrides(Map.of("idle_boots", 2.0));
     return w;
   }
 
@@ -31,11 +31,11 @@
   @Test
   void anIdleMachineIsReturnedAndOneAtWorkIsNot() {
     World w = world();
-    WorkerStandIn a = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker a = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
     w.submit("node-0", World.job("wk-1", 1, 1));
     w.pass(1);
-    WorkerStandIn b = w.machine("host-2", "small", "a", "node-1");
+    FakeWorker b = w.machine("host-2", "small", "a", "node-1");
     w.pass(8);
     assertFalse(w.cloud.deleted("host-2"), "another may come at any moment");
     w.pass(10);
@@ -52,7 +52,7 @@
   @Test
   void workThatComesWhileAMachineIsReturnedIsNotPlacedThere() {
     World w = world();
-    WorkerStandIn a = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker a = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
     holdDeletion(w);
     w.submit("node-0", World.job("wk-1", 1, 1));
@@ -75,7 +75,7 @@
   @Test
   void aReturnMeetsTheEndOfAllControllersAndAPlacement() {
     World w = world();
-    WorkerStandIn a = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker a = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
     holdDeletion(w);
     w.nodes.values().forEach(World.Node::crash);
@@ -88,7 +88,7 @@
     w.heldPath = null;
     w.deliverHeld();
     assertEquals(List.of(), w.misused);
-    WorkerStandIn b = w.machine("host-2", "small", "a", "node-1");
+    FakeWorker b = w.machine("host-2", "small", "a", "node-1");
     w.pass(8);
     assertEquals(List.of("wk-1/0"), b.running());
     assertEquals(List.of(), w.overlaps);
@@ -97,7 +97,7 @@
   @Test
   void aMachineThatIsNotReturnedAfterAllOpensAgain() {
     World w = world();
-    WorkerStandIn a = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker a = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
     w.lost = (from, to) -> to.equals("10.2.0.2:1");
     w.pass(14);
--- a/src/test/java/dev/dunefront/story/ScaleTest.java
+++ b/src/test/java/dev/dunefront/story/ScaleTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dev.dunefront.standin.StateStandIn;
-import dev.dunefront.standin.WorkerStandIn;
+import dev.dunefront.standin.FakeStateService;
+import dev.dunefront.standin.FakeWorker;
 import java.io.IOException;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -35,7 +35,7 @@
     int idle = w.messages - messages;
     assertTrue(idle < (w.reports - reports) / 2, idle + " messages while nothing changes");
     messages = w.messages;
-    int writes = w.state.written("");
+    int writes = w.state.writes("");
     int jobs = 12;
     int tasks = 60;
     for (int i = 0; i < jobs; i++) {
@@ -45,7 +45,7 @@
     for (int round = 0; round < 20; round++) {
       w.pass(1);
       started = 0;
-      for (WorkerStandIn m : w.workers.values()) {
+      for (FakeWorker m : w.workers.values()) {
         started += m.starts().size();
         m.running().forEach(t -> m.exit(t, "done"));
       }
@@ -56,7 +56,7 @@
       assertEquals("done", w.poll("node-" + (i + 1) % 5, "wk-" + i).state());
     }
     assertEquals(List.of(), w.overlaps);
-    double perTask = (double) (w.state.written("") - writes) / started;
+    double perTask = (double) (w.state.writes("") - writes) / started;
     assertTrue(perTask < 0.4, perTask + " changes for a task");
     double sent = (double) (w.messages - messages - idle) / started;
     assertTrue(sent < 16, sent + " messages for a task");
@@ -69,14 +69,14 @@
     w.pass(2);
     int running = w.running();
     assertEquals(300, running);
-    int holds = w.state.written("w/h/");
+    int holds = w.state.writes("w/h/");
     assertTrue(holds < MACHINES / 20, "held by nature; a few were moved to even out the load");
     w.nodes.values().forEach(World.Node::crash);
     w.pass(3);
     w.nodes.values().forEach(World.Node::start);
     w.pass(World.LEASE_S);
     assertEquals(300, w.running(), "no lease ran out");
-    int again = w.state.written("w/h/") - holds;
+    int again = w.state.writes("w/h/") - holds;
     assertTrue(again < MACHINES / 20, again + " holds written again");
     w.finishAll();
     w.pass(5);
@@ -115,7 +115,7 @@
   void aZoneThatIsLostAtOnceIsWrittenInParts() {
     World w = new World(2);
     w.start().pass(2);
-    int machines = 4 * StateStandIn.TXN_OPS + 40;
+    int machines = 4 * FakeStateService.MAX_TXN_OPS + 40;
     for (int i = 0; i < machines; i++) {
       w.machine("host-" + i, "small", "a", "node-" + i % 2);
     }
--- a/src/test/java/dev/dunefront/story/StaleProofTest.java
+++ b/src/test/java/dev/dunefront/story/StaleProofTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import dev.dunefront.peer.Message;
-import dev.dunefront.standin.WorkerStandIn;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.standin.FakeWorker;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -32,14 +32,16 @@
   @Test
   void aLeaseThatWasOverProvesNothingForTheNextSession() {
     World w = World.of(1);
-    WorkerStandIn hangs = w.workers.get("host-0:9");
+    FakeWorker hangs = w.workers.get("host-0:9");
     String holder = fill(w, hangs);
 
     boolean[] leaseOver = {false};
     w.late =
         m -> {
-          leaseOver[0] |= m instanceof Message.View v && v.lost();
-          return m instanceof Message.View v && v.host().equals("host-0") && v.session() == 2;
+          leaseOver[0] |= m instanceof Message.MachineView v && v.leaseExpired();
+          return m instanceof Message.MachineView v
+              && v.host().equals("host-0")
+              && v.session() == 2;
         };
     w.hung.add("host-0");
     while (!leaseOver[0]) {
@@ -49,7 +51,7 @@
     w.hung.remove("host-0");
     w.pass(0.5);
     assertEquals(List.of("wk-2/0"), hangs.running(), "placed in the machine's next session");
-    WorkerStandIn other = w.machine("host-1", "small", "a", holder);
+    FakeWorker other = w.machine("host-1", "small", "a", holder);
     w.pass(4);
     w.late = m -> false;
     w.deliverHeld();
@@ -68,13 +70,14 @@
   @Test
   void theLaterSessionOfAFormerLifeProvesNothing() {
     World w = World.of(1);
-    WorkerStandIn machine = w.workers.get("host-0:9");
+    FakeWorker machine = w.workers.get("host-0:9");
     w.hang("host-0", World.LEASE_S + 2);
     w.pass(World.LEASE_S + 5);
     String holder = fill(w, machine);
 
-    w.late = m -> m instanceof Message.View v && v.host().equals("host-0") && v.session() < 2;
-    machine.beginAnew();
+    w.late =
+        m -> m instanceof Message.MachineView v && v.host().equals("host-0") && v.session() < 2;
+    machine.restart();
     w.pass(4);
     assertEquals(List.of("wk-2/0"), machine.running(), "placed in the first session");
     w.machine("host-1", "small", "a", holder);
@@ -129,7 +132,7 @@
     w.workers.values().forEach(m -> m.starts().clear());
     w.pass(8);
     List<String> wrong = new ArrayList<>(w.overlaps);
-    for (WorkerStandIn m : w.workers.values()) {
+    for (FakeWorker m : w.workers.values()) {
       List<String> running = m.running();
       for (String start : m.starts()) {
         if (!running.contains(start.substring(0, start.indexOf('#')))) {
@@ -145,13 +148,14 @@
    * and nothing else ever changes on that machine. It has to be stopped all the same.
    */
   @Test
-  void anAttemptThatNoRecordNamesIsStoppedAlthoughItWasShownDuringAWrite() throws BadMessage {
+  void anAttemptThatNoRecordNamesIsStoppedAlthoughItWasShownDuringAWrite()
+      throws MalformedMessageException {
     World w = World.of(1);
-    WorkerStandIn runs = w.workers.get("host-0:9");
+    FakeWorker runs = w.workers.get("host-0:9");
     assertEquals(201, w.submit("node-0", World.job("wk-1", 3, 1)).status());
     w.pass(2);
     assertEquals(3, runs.running().size());
-    WorkerStandIn shows = w.machine("host-1", "small", "a", "node-1");
+    FakeWorker shows = w.machine("host-1", "small", "a", "node-1");
     w.pass(4);
 
     boolean[] writing = {false};
@@ -176,16 +180,17 @@
    * has read what is recorded.
    */
   @Test
-  void anAttemptThatNoRecordNamesIsStoppedAlthoughItWasShownDuringATakeover() throws BadMessage {
+  void anAttemptThatNoRecordNamesIsStoppedAlthoughItWasShownDuringATakeover()
+      throws MalformedMessageException {
     World w = World.of(1);
-    WorkerStandIn runs = w.workers.get("host-0:9");
+    FakeWorker runs = w.workers.get("host-0:9");
     String holder = w.holder("host-0");
     String claimant = anotherThan(holder);
     assertEquals(201, w.submit(claimant, World.job("wk-1", 3, 1)).status());
     w.pass(2);
     runs.exit("wk-1/1", "done");
     w.pass(4);
-    WorkerStandIn shows = w.machine("host-1", "small", "a", holder);
+    FakeWorker shows = w.machine("host-1", "small", "a", holder);
     w.pass(4);
     assertEquals(2, w.running());
 
@@ -212,15 +217,19 @@
   }
 
   /** A command that nobody has recorded reaches a worker. */
-  private static void startUnrecorded(WorkerStandIn worker, String task) throws BadMessage {
-    Doc start = Doc.of().put("verb", "run").put("piece", task).put("try_no", 9);
-    Doc command =
-        Doc.of().put("baton", worker.token()).put("tenure", 1).put("orders", List.of(start));
-    assertEquals(200, worker.orders(command.encode()).status());
+  private static void startUnrecorded(FakeWorker worker, String task)
+      throws MalformedMessageException {
+    Document start = Document.create().put("verb", "run").put("piece", task).put("try_no", 9);
+    Document command =
+        Document.create()
+            .put("baton", worker.token())
+            .put("tenure", 1)
+            .put("orders", List.of(start));
+    assertEquals(200, worker.handleCommands(command.encode()).status());
   }
 
   /** A job of its holder's fills the only machine, and one of another controller waits for it. */
-  private static String fill(World w, WorkerStandIn machine) {
+  private static String fill(World w, FakeWorker machine) {
     String holder = w.holder(machine.host());
     String claimant = anotherThan(holder);
     assertEquals(201, w.submit(holder, World.job("wk-1", 1, CPUS_OF_A_MACHINE)).status());
--- a/src/test/java/dev/dunefront/story/StarvationCheck.java
+++ b/src/test/java/dev/dunefront/story/StarvationCheck.java
@@ -1,9 +1,9 @@
 package dev.dunefront.story;
 
-import dev.dunefront.standin.CloudStandIn;
-import dev.dunefront.standin.WorkerStandIn;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.standin.FakeCloud;
+import dev.dunefront.standin.FakeWorker;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -20,16 +20,16 @@
 final class StarvationCheck {
   static final double LONGEST_S = 90;
 
-  private final Map<String, Doc> specs;
+  private final Map<String, Document> specs;
   private final Map<String, Double> since = new HashMap<>();
-  private final Predicate<WorkerStandIn> reachable;
+  private final Predicate<FakeWorker> reachable;
   private double limit = Double.POSITIVE_INFINITY;
 
   /** What was found, without repeats. */
   final List<String> wrong = new ArrayList<>();
 
   /** The specs are what users have submitted, by job, as they are at any time. */
-  StarvationCheck(Map<String, Doc> specs, Predicate<WorkerStandIn> reachable) {
+  StarvationCheck(Map<String, Document> specs, Predicate<FakeWorker> reachable) {
     this.specs = specs;
     this.reachable = reachable;
   }
@@ -44,15 +44,15 @@
    *
    * @param ids accepted jobs that nobody has cancelled
    */
-  void look(Set<String> ids, Iterable<WorkerStandIn> workers, Set<String> done, double now) {
+  void look(Set<String> ids, Iterable<FakeWorker> workers, Set<String> done, double now) {
     try {
       Set<String> placed = new HashSet<>(done);
-      Map<WorkerStandIn, Double> free = new HashMap<>();
+      Map<FakeWorker, Double> free = new HashMap<>();
       double used = 0;
-      for (WorkerStandIn w : workers) {
-        double cpus = w.type().equals("small") ? CloudStandIn.SMALL_CPUS : CloudStandIn.LARGE_CPUS;
+      for (FakeWorker w : workers) {
+        double cpus = w.type().equals("small") ? FakeCloud.SMALL_CPUS : FakeCloud.LARGE_CPUS;
         for (String task : w.running()) {
-          Doc spec = specs.get(task.substring(0, task.indexOf('/')));
+          Document spec = specs.get(task.substring(0, task.indexOf('/')));
           double each = spec == null ? 0 : spec.amount("vcpus");
           placed.add(task);
           cpus -= each;
@@ -64,7 +64,7 @@
       }
       Set<String> starving = new HashSet<>();
       for (String id : ids) {
-        Doc spec = specs.get(id);
+        Document spec = specs.get(id);
         if (spec != null && waits(id, spec, placed) && fits(spec, free, used)) {
           starving.add(id);
         }
@@ -76,12 +76,13 @@
           wrong.add(found);
         }
       }
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
   }
 
-  private static boolean waits(String id, Doc spec, Set<String> placed) throws BadMessage {
+  private static boolean waits(String id, Document spec, Set<String> placed)
+      throws MalformedMessageException {
     for (int i = 0; i < spec.count("pieces"); i++) {
       if (!placed.contains(id + "/" + i)) {
         return true;
@@ -90,7 +91,8 @@
     return false;
   }
 
-  private boolean fits(Doc spec, Map<WorkerStandIn, Double> free, double used) throws BadMessage {
+  private boolean fits(Document spec, Map<FakeWorker, Double> free, double used)
+      throws MalformedMessageException {
     double each = spec.amount("vcpus");
     if (spec.flag("same_place") || spec.flag("apart") || used + each > limit + 1e-9) {
       return false;
--- a/src/test/java/dev/dunefront/story/StoryTest.java
+++ b/src/test/java/dev/dunefront/story/StoryTest.java
@@ -5,10 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dev.dunefront.job.JobRecord;
-import dev.dunefront.standin.WorkerStandIn;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.standin.FakeWorker;
+import dev.dunefront.wire.Document;
 import dev.dunefront.wire.JobSpec;
+import dev.dunefront.wire.MalformedMessageException;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -20,7 +20,7 @@
   @Test
   void aJobRunsAndEveryControllerSaysDoneForGood() {
     World w = new World(3);
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-1");
+    FakeWorker m = w.machine("host-1", "small", "a", "node-1");
     w.start().pass(2);
     assertEquals(201, w.submit("node-0", World.job("wk-1", 2, 2)).status());
     w.pass(1);
@@ -35,14 +35,14 @@
       assertEquals("done", w.poll(node, "wk-1").state());
       assertEquals(200, w.submit(node, World.job("wk-1", 2, 2)).status());
     }
-    assertEquals(0, m.known(), "ended tasks are cleared from the machine");
+    assertEquals(0, m.taskCount(), "ended tasks are cleared from the machine");
     assertEquals(List.of(), w.state.keys("t/"), "nothing of a finished job but its end is kept");
   }
 
   @Test
   void aSubmissionSeenByTwoControllersIsOneJob() {
     World w = new World(2);
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
     assertEquals(201, w.submit("node-0", World.job("wk-1", 1, 1)).status());
     assertEquals(200, w.submit("node-1", World.job("wk-1", 1, 1)).status());
@@ -57,7 +57,7 @@
   @Test
   void aJobWhoseAcceptanceWasUnclearIsTakenUp() {
     World w = new World(2);
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
     w.unanswered = (from, to) -> from.equals("node-0") && to.equals("10.2.0.1:1");
     assertEquals(503, w.submit("node-0", World.job("wk-1", 1, 1)).status());
@@ -71,7 +71,7 @@
   @Test
   void bigTasksWaitBehindNobodyOfLowerPriority() {
     World w = new World(2);
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
     w.submit("node-0", World.job("wk-1", 1, 4));
     w.pass(1);
@@ -103,7 +103,7 @@
   @Test
   void youngTasksGiveWayToUrgentOnesAndOldOnesDoNot() {
     World w = new World(2);
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
     w.submit("node-0", World.job("wk-1", 4, 1));
     w.pass(2);
@@ -126,7 +126,7 @@
   @Test
   void whatHasGivenWayOnceGoesOn() {
     World w = new World(2);
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
     w.submit("node-0", World.job("wk-1", 4, 1));
     w.pass(2);
@@ -151,8 +151,8 @@
   @Test
   void aStartWhoseAnswerIsLostIsNotStartedElsewhere() {
     World w = new World(2);
-    WorkerStandIn a = w.machine("host-1", "small", "a", "node-0");
-    WorkerStandIn b = w.machine("host-2", "small", "a", "node-1");
+    FakeWorker a = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker b = w.machine("host-2", "small", "a", "node-1");
     w.start().pass(2);
     w.unanswered = (from, to) -> to.endsWith(":9");
     w.submit("node-0", World.job("wk-1", 1, 1));
@@ -167,8 +167,8 @@
   @Test
   void aStartThatArrivesMinutesLateIsRefused() {
     World w = new World(2);
-    WorkerStandIn a = w.machine("host-1", "small", "a", "node-0");
-    WorkerStandIn b = w.machine("host-2", "small", "a", "node-1");
+    FakeWorker a = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker b = w.machine("host-2", "small", "a", "node-1");
     w.start().pass(2);
     w.heldBack = (from, to) -> to.endsWith(":9");
     w.submit("node-0", World.job("wk-1", 1, 1));
@@ -186,7 +186,7 @@
   @Test
   void tasksSurviveTheCrashOfTheirClaimantAndAreNotStartedTwice() {
     World w = new World(3);
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-1");
+    FakeWorker m = w.machine("host-1", "small", "a", "node-1");
     w.start().pass(2);
     w.submit("node-0", World.job("wk-1", 3, 1));
     w.pass(1);
@@ -203,7 +203,7 @@
   @Test
   void tasksSurviveTheCrashOfAllControllers() {
     World w = new World(3);
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-1");
+    FakeWorker m = w.machine("host-1", "small", "a", "node-1");
     w.start().pass(2);
     w.submit("node-0", World.job("wk-1", 3, 2));
     w.pass(1);
@@ -223,7 +223,7 @@
   @Test
   void aHolderThatDiesWithAPlacementUnsentStrandsNothing() {
     World w = new World(3);
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-1");
+    FakeWorker m = w.machine("host-1", "small", "a", "node-1");
     w.start().pass(2);
     // The claimant records the placement, but its word never reaches the holder.
     w.lost = (from, to) -> from.equals("node-1") && to.endsWith(":9");
@@ -239,12 +239,12 @@
   @Test
   void aSilentMachinesTasksRunElsewhereOnlyAfterItsLease() {
     World w = new World(2);
-    WorkerStandIn a = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker a = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
     w.submit("node-0", World.job("wk-1", 1, 1));
     w.pass(1);
     assertEquals(1, a.running().size());
-    WorkerStandIn b = w.machine("host-2", "small", "a", "node-1");
+    FakeWorker b = w.machine("host-2", "small", "a", "node-1");
     w.pass(1);
     w.silent.add("host-1");
     w.pass(World.LEASE_S - 3);
@@ -257,7 +257,7 @@
   @Test
   void aMachineWhoseHolderCannotHearItChangesHands() {
     World w = new World(3);
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-1");
+    FakeWorker m = w.machine("host-1", "small", "a", "node-1");
     w.start().pass(2);
     w.submit("node-0", World.job("wk-1", 1, 1));
     w.pass(1);
@@ -268,11 +268,12 @@
   }
 
   @Test
-  void aReportUnderAHigherTokenIsSentAway() throws BadMessage {
+  void aReportUnderAHigherTokenIsSentAway() throws MalformedMessageException {
     World w = new World(1);
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
-    m.answered(Doc.of().put("baton", m.token() + 5).put("orders", List.of()).encode());
+    m.handleReportResponse(
+        Document.create().put("baton", m.token() + 5).put("orders", List.of()).encode());
     int status = w.ask("node-0", "POST", "/hello", m.report()).status();
     assertEquals(421, status, "a 200 with too low a token would pin the worker");
     w.pass(6);
@@ -284,7 +285,7 @@
   @Test
   void cancellingStopsEveryTaskAndNoOlderAnswerFollows() {
     World w = new World(3);
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-1");
+    FakeWorker m = w.machine("host-1", "small", "a", "node-1");
     w.start().pass(2);
     w.submit("node-0", World.job("wk-1", 4, 1));
     w.pass(1);
@@ -304,7 +305,7 @@
   @Test
   void cancellationMeetsATakeover() {
     World w = new World(3);
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-1");
+    FakeWorker m = w.machine("host-1", "small", "a", "node-1");
     w.start().pass(2);
     w.submit("node-0", World.job("wk-1", 4, 1));
     w.pass(1);
@@ -325,7 +326,7 @@
   @Test
   void aJobIsNotCalledCancelledWhileATaskRunsOnBehindACut() {
     World w = new World(3);
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-1");
+    FakeWorker m = w.machine("host-1", "small", "a", "node-1");
     w.start().pass(2);
     String holder = w.holder("host-1");
     List<String> others = w.nodes.keySet().stream().filter(n -> !n.equals(holder)).toList();
@@ -354,12 +355,12 @@
 
   /** A job in more chunks than one transaction removes is recorded as done before it is emptied. */
   @Test
-  void aHugeJobThatIsDoneButNotYetEmptiedCannotBeCancelled() throws BadMessage {
+  void aHugeJobThatIsDoneButNotYetEmptiedCannotBeCancelled() throws MalformedMessageException {
     World w = new World(2);
     w.start().pass(2);
-    JobSpec spec = JobSpec.read(World.job("wk-1", 20_000, 1));
+    JobSpec spec = JobSpec.fromDocument(World.job("wk-1", 20_000, 1));
     JobRecord done = new JobRecord(spec, 1, "node-9#1", 1, JobRecord.Status.DONE, 0);
-    w.writeState(JobRecord.key("wk-1"), done.write("m"));
+    w.writeState(JobRecord.key("wk-1"), done.toDocument("m"));
     assertEquals("done", w.cancel("node-0", "wk-1").state());
     w.pass(10);
     assertEquals("done", w.poll("node-1", "wk-1").state());
@@ -369,8 +370,8 @@
   @Test
   void aLimitHoldsAcrossControllersThatComeAndGo() {
     World w = new World(3, "[[facts.teams]]\nname = \"t\"\ncpus = 1.0\ncpus_max = 3.0\n");
-    WorkerStandIn a = w.machine("host-1", "large", "a", "node-0");
-    WorkerStandIn b = w.machine("host-2", "large", "a", "node-1");
+    FakeWorker a = w.machine("host-1", "large", "a", "node-0");
+    FakeWorker b = w.machine("host-2", "large", "a", "node-1");
     w.start().pass(2);
     w.submit("node-0", World.job("wk-1", 6, 1));
     w.submit("node-1", World.job("wk-2", 6, 1));
@@ -382,7 +383,7 @@
     for (int i = 0; i < 60 && done < 18; i++) {
       w.pass(2);
       assertTrue(a.running().size() + b.running().size() <= 3);
-      for (WorkerStandIn m : List.of(a, b)) {
+      for (FakeWorker m : List.of(a, b)) {
         for (String id : m.running()) {
           m.exit(id, "done");
           done++;
@@ -399,7 +400,7 @@
   @Test
   void anOutageOfTheStateIsAnsweredAtOnceWhileTasksRunOn() {
     World w = new World(2);
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
     w.submit("node-0", World.job("wk-1", 1, 1));
     w.submit("node-0", World.job("wk-2", 1, 1));
@@ -426,7 +427,7 @@
   @Test
   void aControllerThatTheStateRefusesAloneSendsItsUsersElsewhere() {
     World w = new World(3);
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
     w.submit("node-0", World.job("wk-1", 2, 1));
     w.pass(1);
@@ -455,7 +456,7 @@
   @Test
   void aTransactionThatArrivesLateChangesNothingTwice() {
     World w = new World(2);
-    WorkerStandIn m = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
     w.heldBack = (from, to) -> to.equals("10.2.0.1:1") && from.equals("node-0");
     World.Said said = w.submit("node-0", World.job("wk-1", 1, 1));
@@ -487,7 +488,7 @@
   @Test
   void aMachineThatFailsEveryTaskIsReplacedAndAJobThatFailsEverywhereHarmsNone() {
     World w = new World(2);
-    WorkerStandIn bad = w.machine("host-1", "large", "a", "node-0");
+    FakeWorker bad = w.machine("host-1", "large", "a", "node-0");
     w.start().pass(2);
     // Two jobs fail on the one machine, and again when they are tried once more.
     for (String id : List.of("wk-1", "wk-2")) {
@@ -501,8 +502,8 @@
 
     // Where there is another, on which they run, that is known at once.
     World u = new World(2);
-    WorkerStandIn faulty = u.machine("host-1", "large", "a", "node-0");
-    WorkerStandIn good = u.machine("host-2", "small", "a", "node-1");
+    FakeWorker faulty = u.machine("host-1", "large", "a", "node-0");
+    FakeWorker good = u.machine("host-2", "small", "a", "node-1");
     u.start().pass(2);
     for (int i = 0; i < 20; i++) {
       if (i % 3 == 0) {
@@ -516,13 +517,13 @@
     assertFalse(u.cloud.deleted("host-2"));
 
     World v = new World(2);
-    WorkerStandIn a = v.machine("host-1", "large", "a", "node-0");
-    WorkerStandIn b = v.machine("host-2", "large", "a", "node-1");
+    FakeWorker a = v.machine("host-1", "large", "a", "node-0");
+    FakeWorker b = v.machine("host-2", "large", "a", "node-1");
     v.start().pass(2);
     v.submit("node-0", World.job("wk-1", 8, 1));
     for (int i = 0; i < 60; i++) {
       v.pass(1);
-      for (WorkerStandIn m : List.of(a, b)) {
+      for (FakeWorker m : List.of(a, b)) {
         m.running().forEach(t -> m.exit(t, "error"));
       }
     }
@@ -547,14 +548,14 @@
     w.pass(9);
     mute[0] = false;
     w.pass(9);
-    assertEquals(1, w.cloud.hires().size());
-    assertEquals(1, w.cloud.hires().values().iterator().next().size());
+    assertEquals(1, w.cloud.hostsByRequest().size());
+    assertEquals(1, w.cloud.hostsByRequest().values().iterator().next().size());
   }
 
   @Test
   void aSilentMachineIsDeletedAndThatProvesItsTasksGone() {
     World w = new World(2);
-    WorkerStandIn a = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker a = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
     w.submit("node-1", World.job("wk-1", 1, 1));
     w.pass(1);
@@ -564,7 +565,7 @@
     w.nodes.get("node-0").crash();
     w.pass(60);
     assertTrue(w.cloud.deleted("host-1"));
-    WorkerStandIn b = w.machine("host-2", "small", "a", "node-1");
+    FakeWorker b = w.machine("host-2", "small", "a", "node-1");
     w.pass(5);
     assertEquals(List.of("wk-1/0"), b.running());
   }
@@ -576,19 +577,19 @@
   @Test
   void tasksThatCannotEndBeforeTheirMachineIsTakenAreMovedAtTheNotice() {
     World w = new World(2);
-    WorkerStandIn a = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker a = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
     w.submit("node-0", World.job("wk-1", 1, 1).put("expect_s", 60.0));
     w.submit("node-0", World.job("wk-2", 1, 1).put("expect_s", 9.0));
     w.pass(5);
     assertEquals(2, a.running().size());
-    WorkerStandIn b = w.machine("host-2", "small", "a", "node-1");
+    FakeWorker b = w.machine("host-2", "small", "a", "node-1");
     w.pass(1);
-    a.notice(6);
+    a.setReclaimNotice(6);
     w.pass(2);
     assertEquals(List.of("wk-1/0"), b.running());
     assertEquals(List.of("wk-2/0"), a.running(), "about to end");
-    a.notice(1);
+    a.setReclaimNotice(1);
     w.pass(2);
     assertEquals(List.of(), a.running(), "not left to vanish");
     assertEquals(Set.of("wk-1/0", "wk-2/0"), new HashSet<>(b.running()));
@@ -607,8 +608,8 @@
       w.pass(0.05);
     }
     w.silent.add("host-1");
-    w.cloud.take("host-1");
-    WorkerStandIn b = w.machine("host-2", "small", "a", "node-0");
+    w.cloud.reclaim("host-1");
+    FakeWorker b = w.machine("host-2", "small", "a", "node-0");
     w.pass(World.LEASE_S + 4);
     assertEquals(List.of("wk-1/0"), b.running());
   }
@@ -616,7 +617,7 @@
   @Test
   void aMachineTakenWhileNobodyHeldItStrandsNothing() {
     World w = new World(2);
-    WorkerStandIn a = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker a = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
     w.submit("node-1", World.job("wk-1", 1, 1));
     w.pass(1);
@@ -625,10 +626,10 @@
     // and no holder can tell when its lease was over.
     w.nodes.values().forEach(World.Node::crash);
     w.silent.add("host-1");
-    w.cloud.take("host-1");
+    w.cloud.reclaim("host-1");
     w.pass(2);
     w.nodes.values().forEach(World.Node::start);
-    WorkerStandIn b = w.machine("host-2", "small", "a", "node-1");
+    FakeWorker b = w.machine("host-2", "small", "a", "node-1");
     w.pass(World.LEASE_S + 3);
     assertEquals(List.of(), b.running(), "not proven yet");
     w.pass(40);
@@ -638,8 +639,8 @@
   @Test
   void serviceTasksOfAJobStayInOneZoneOrApart() {
     World w = new World(2);
-    WorkerStandIn a = w.machine("host-1", "large", "a", "node-0");
-    WorkerStandIn b = w.machine("host-2", "large", "b", "node-1");
+    FakeWorker a = w.machine("host-1", "large", "a", "node-0");
+    FakeWorker b = w.machine("host-2", "large", "b", "node-1");
     w.start().pass(2);
     w.submit("node-0", World.job("wk-1", 5, 1).put("shape", "daemon").put("apart", true));
     w.pass(6);
@@ -654,20 +655,20 @@
   @Test
   void tasksThatMustBeApartWaitForAnotherZoneAndKeepNobodyElseWaiting() {
     World w = new World(2);
-    WorkerStandIn a = w.machine("host-1", "large", "a", "node-0");
+    FakeWorker a = w.machine("host-1", "large", "a", "node-0");
     w.machine("host-2", "large", "b", "node-1");
     w.start().pass(2);
     w.submit("node-0", World.job("wk-1", 4, 1).put("shape", "daemon").put("apart", true));
     w.pass(3);
     assertEquals(2, a.running().size());
     w.silent.add("host-2");
-    w.cloud.take("host-2");
+    w.cloud.reclaim("host-2");
     w.pass(World.LEASE_S + 4);
     w.submit("node-1", World.job("wk-2", 2, 1));
     w.pass(4);
     assertEquals(2, a.running().stream().filter(t -> t.startsWith("wk-1")).count());
     assertEquals(2, a.running().stream().filter(t -> t.startsWith("wk-2")).count());
-    WorkerStandIn c = w.machine("host-3", "large", "b", "node-0");
+    FakeWorker c = w.machine("host-3", "large", "b", "node-0");
     w.pass(6);
     assertEquals(2, c.running().stream().filter(t -> t.startsWith("wk-1")).count());
     assertEquals(List.of(), w.overlaps);
--- a/src/test/java/dev/dunefront/story/SwarmTest.java
+++ b/src/test/java/dev/dunefront/story/SwarmTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dev.dunefront.standin.WorkerStandIn;
+import dev.dunefront.standin.FakeWorker;
 import java.util.ArrayList;
 import java.util.List;
 import net.jqwik.api.Example;
@@ -24,7 +24,7 @@
       w.machine("host-" + i, "small", "a", "node-" + i % 3);
     }
     w.pass(5);
-    int before = w.state.written("");
+    int before = w.state.writes("");
     List<Integer> waiting = new ArrayList<>();
     int n = 0;
     for (int second = 0; second < SECONDS; second++) {
@@ -47,12 +47,12 @@
         w.timers.after(
             4, () -> assertTrue(begun(w, urgent + "/"), urgent + " has not begun at " + at));
       }
-      for (WorkerStandIn m : w.workers.values()) {
+      for (FakeWorker m : w.workers.values()) {
         m.running().forEach(t -> endLater(w, m, t));
       }
       waiting.add(waiting(w));
     }
-    double each = (double) (w.state.written("") - before) / n;
+    double each = (double) (w.state.writes("") - before) / n;
     assertTrue(each < 6, each + " changes for each job");
     int early = waiting.subList(20, 40).stream().mapToInt(i -> i).sum();
     int late = waiting.subList(SECONDS - 20, SECONDS).stream().mapToInt(i -> i).sum();
@@ -63,7 +63,7 @@
     assertEquals(List.of(), w.dayEnds());
   }
 
-  private static void endLater(World w, WorkerStandIn m, String task) {
+  private static void endLater(World w, FakeWorker m, String task) {
     w.timers.after(RUN_S, () -> m.exit(task, "done"));
   }
 
@@ -75,7 +75,7 @@
   /** Accepted jobs that nobody cancelled and that have not begun. */
   private static int waiting(World w) {
     List<String> begun = new ArrayList<>();
-    for (WorkerStandIn m : w.workers.values()) {
+    for (FakeWorker m : w.workers.values()) {
       m.starts().forEach(s -> begun.add(s.substring(0, s.indexOf('/'))));
     }
     return (int)
--- a/src/test/java/dev/dunefront/story/TeamLimitTest.java
+++ b/src/test/java/dev/dunefront/story/TeamLimitTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dev.dunefront.standin.WorkerStandIn;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.standin.FakeWorker;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import java.util.List;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
@@ -103,7 +103,7 @@
       }
       case GONE_FOR_GOOD -> {
         w.silent.add(host);
-        w.timers.after(10, () -> w.cloud.take(host));
+        w.timers.after(10, () -> w.cloud.reclaim(host));
       }
     }
   }
@@ -117,7 +117,7 @@
   @Property(generation = GenerationMode.EXHAUSTIVE)
   void cancelledAtTheLimitWhileMachinesAndLeadersAreLost(
       @ForAll Machines machines, @ForAll Leaders leaders, @ForAll @IntRange(max = 2) int when)
-      throws BadMessage {
+      throws MalformedMessageException {
     World w = world(24, 12);
     Crowd users = new Crowd(w);
     for (int i = 0; i < 6; i++) {
@@ -128,7 +128,7 @@
     List<String> running =
         w.accepted.keySet().stream().filter(id -> w.running(id) == 3).sorted().toList();
     for (String id : running.subList(0, 2)) {
-      List<WorkerStandIn> on =
+      List<FakeWorker> on =
           w.workers.values().stream().filter(m -> World.running(m, id) > 0).toList();
       assertTrue(on.size() > 1, id + " is on one machine alone");
       strike(w, machines, on.get(0).host());
@@ -160,8 +160,8 @@
   }
 
   /** What the team's record says of CPUs in use. */
-  private static long used(World w) throws BadMessage {
-    Doc record = w.state.value("w/q/t");
+  private static long used(World w) throws MalformedMessageException {
+    Document record = w.state.value("w/q/t");
     return record.count("cpu") / 1_000_000;
   }
 
--- a/src/test/java/dev/dunefront/story/World.java
+++ b/src/test/java/dev/dunefront/story/World.java
@@ -1,24 +1,24 @@
 package dev.dunefront.story;
 
-import dev.dunefront.cli.Daemon;
-import dev.dunefront.config.BadSetting;
+import dev.dunefront.cli.Controller;
+import dev.dunefront.config.InvalidSettingException;
 import dev.dunefront.config.Settings;
 import dev.dunefront.config.Tunables;
-import dev.dunefront.net.Caller;
 import dev.dunefront.net.DecisionLock;
 import dev.dunefront.net.FakeClock;
+import dev.dunefront.net.HttpCaller;
 import dev.dunefront.net.HttpServer;
-import dev.dunefront.net.Loops;
+import dev.dunefront.net.LoopWatchdog;
 import dev.dunefront.net.Timers;
 import dev.dunefront.peer.Message;
+import dev.dunefront.peer.MessageCodec;
 import dev.dunefront.peer.Peers;
-import dev.dunefront.peer.Records;
-import dev.dunefront.standin.CloudStandIn;
-import dev.dunefront.standin.StateStandIn;
-import dev.dunefront.standin.WorkerStandIn;
-import dev.dunefront.store.HttpStore;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
+import dev.dunefront.standin.FakeCloud;
+import dev.dunefront.standin.FakeStateService;
+import dev.dunefront.standin.FakeWorker;
+import dev.dunefront.store.HttpStateStore;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -43,11 +43,11 @@
   private static final double HOP_S = 0.002;
 
   /** One answer to a user. */
-  record Said(int status, Doc body, int retryAfterS) {
+  record Said(int status, Document body, int retryAfterS) {
     String state() {
       try {
         return body.text("status");
-      } catch (BadMessage e) {
+      } catch (MalformedMessageException e) {
         throw new AssertionError(e);
       }
     }
@@ -59,13 +59,13 @@
   int reports;
 
   final FakeClock timers = new FakeClock();
-  final StateStandIn state = new StateStandIn(timers);
-  final CloudStandIn cloud = new CloudStandIn();
+  final FakeStateService state = new FakeStateService(timers);
+  final FakeCloud cloud = new FakeCloud();
   final Map<String, Node> nodes = new LinkedHashMap<>();
-  final Map<String, WorkerStandIn> workers = new LinkedHashMap<>();
+  final Map<String, FakeWorker> workers = new LinkedHashMap<>();
 
   /** Those that are gone as well. */
-  private final List<WorkerStandIn> everyWorker = new ArrayList<>();
+  private final List<FakeWorker> everyWorker = new ArrayList<>();
 
   private final Map<String, String> machineZones = new HashMap<>();
   private final Map<String, String> reportsTo = new HashMap<>();
@@ -141,7 +141,7 @@
   final Set<String> cancelled = new HashSet<>();
 
   /** What users have asked for, by job: the first submission of each counts. */
-  private final Map<String, Doc> specs = new HashMap<>();
+  private final Map<String, Document> specs = new HashMap<>();
 
   /** What users were told, held against what the workers did. */
   final OperationHistory history =
@@ -212,7 +212,7 @@
   double writeRps = 300;
 
   /** Idle machines stay, unless a story is about their return. */
-  Tunables tunables = Tunables.of(Map.of("idle_boots", 1000.0));
+  Tunables tunables = Tunables.withOverrides(Map.of("idle_boots", 1000.0));
 
   World(int controllers, String teams) {
     this(Collections.nCopies(controllers, "a"), teams);
@@ -283,8 +283,8 @@
     }
 
     @Override
-    public long timeOfDayMs() {
-      return clock.timeOfDayMs();
+    public long wallClockMs() {
+      return clock.wallClockMs();
     }
 
     @Override
@@ -295,7 +295,7 @@
 
   /** Lets the time pass. */
   void pass(double seconds) {
-    timers.pass(seconds);
+    timers.advance(seconds);
     nodes.values().forEach(Node::checkInvariants);
   }
 
@@ -303,7 +303,7 @@
     history.look();
     placement.look(workers.values());
     Set<String> seen = new HashSet<>();
-    for (WorkerStandIn w : workers.values()) {
+    for (FakeWorker w : workers.values()) {
       for (String task : w.running()) {
         if (!seen.add(task)) {
           overlaps.add(task + " at " + timers.now());
@@ -317,7 +317,7 @@
   final class Node {
     final String name;
     private final String zone;
-    private Daemon daemon;
+    private Controller daemon;
     private int life;
     private boolean up;
 
@@ -342,7 +342,7 @@
               e -> {
                 throw new AssertionError("a decision of " + name + " failed", e);
               });
-      Caller caller =
+      HttpCaller caller =
           (address, method, path, body, deadlineS, then) ->
               call(
                   name,
@@ -355,16 +355,17 @@
       Settings settings = settings(name);
       knows = new HashSet<>(Set.of(name));
       settings.peers().forEach(p -> knows.add(p.node()));
-      HttpStore store = new HttpStore(settings, caller, own, decisionLock, name + "-" + mine);
+      HttpStateStore store =
+          new HttpStateStore(settings, caller, own, decisionLock, name + "-" + mine);
       daemon =
-          new Daemon(
+          new Controller(
               settings,
               tunables,
               store,
               caller,
               own,
               decisionLock,
-              new Loops(),
+              new LoopWatchdog(),
               (w, l) -> new Links(this, w));
       daemon.start();
       timers.after(0.5, World.this::deliverKept);
@@ -390,14 +391,14 @@
       cut.removeIf(link -> link.endsWith(">" + name));
       for (Node other : nodes.values()) {
         if (other != this && other.up) {
-          other.decisionLock().run(() -> other.daemon.gone(name));
+          other.decisionLock().run(() -> other.daemon.disconnected(name));
         }
       }
     }
 
     /** The process is told to end and does so half a second later. */
     void end() {
-      decisionLock().run(() -> daemon.leave(() -> {}));
+      decisionLock().run(() -> daemon.handOverDuties(() -> {}));
       int mine = life;
       timers.after(
           0.5,
@@ -415,12 +416,12 @@
     /** Its lease ends and it does not know so. */
     void loseLease() {
       try {
-        Doc d = state.value("w/n/" + name);
+        Document d = state.value("w/n/" + name);
         if (d != null) {
           String inc = d.text("inc");
           state.endLease(Long.parseLong(inc.substring(inc.lastIndexOf('#') + 1)));
         }
-      } catch (BadMessage e) {
+      } catch (MalformedMessageException e) {
         throw new AssertionError(e);
       }
     }
@@ -442,7 +443,7 @@
     }
 
     /** Something is told to the controller, inside its lock. */
-    private void hear(Consumer<Daemon> what) {
+    private void hear(Consumer<Controller> what) {
       meet(life, () -> decisionLock().run(() -> what.accept(daemon)));
     }
 
@@ -457,12 +458,12 @@
     String metrics() {
       String[] text = {""};
       handle(
-          new HttpServer.Request("GET", HttpServer.TEXT_PATH, "", new byte[0]),
+          new HttpServer.Request("GET", HttpServer.METRICS_PATH, "", new byte[0]),
           (status, reply, again) -> text[0] = new String(reply, StandardCharsets.UTF_8));
       return text[0];
     }
 
-    private void handle(HttpServer.Request request, HttpServer.Answer answer) {
+    private void handle(HttpServer.Request request, HttpServer.Responder answer) {
       meet(life, () -> daemon.handle(request, answer));
     }
 
@@ -483,7 +484,7 @@
               for (Node other : nodes.values()) {
                 if (other != this && other.up) {
                   cut.add(other.name + ">" + name);
-                  other.hear(d -> d.gone(name));
+                  other.hear(d -> d.disconnected(name));
                 }
               }
             }
@@ -499,7 +500,7 @@
             all.forEach(Runnable::run);
             for (Node other : nodes.values()) {
               if (other != this && cut.remove(other.name + ">" + name)) {
-                decisionLock().run(() -> daemon.gone(other.name));
+                decisionLock().run(() -> daemon.disconnected(other.name));
                 link(this, other);
                 link(other, this);
               }
@@ -522,8 +523,8 @@
         HOP_S,
         () -> {
           if (from.up && to.up) {
-            to.hear(d -> d.gone(from.name));
-            from.hear(d -> d.reached(to.name));
+            to.hear(d -> d.disconnected(from.name));
+            from.hear(d -> d.connected(to.name));
           }
         });
   }
@@ -542,7 +543,7 @@
       messages++;
       Node to = nodes.get(node);
       int life = to == null ? 0 : to.life;
-      byte[] record = Records.encode(message);
+      byte[] record = MessageCodec.encode(message);
       if (late.test(message)) {
         held.add(() -> say(self.name, node, message));
         return;
@@ -558,7 +559,7 @@
               return;
             }
             try {
-              Message m = Records.decode(record);
+              Message m = MessageCodec.decode(record);
               to.meet(life, () -> to.decisionLock().run(() -> to.daemon.received(self.name, m)));
             } catch (IOException e) {
               throw new AssertionError(e);
@@ -595,12 +596,12 @@
     toml.append("[facts.state]\nrps = ").append(rps);
     toml.append("\nwrite_rps = ").append(writeRps).append("\nvalue_kb = ");
     toml.append(valueKb).append("\ntxn_ops = ");
-    toml.append(StateStandIn.TXN_OPS).append("\n");
+    toml.append(FakeStateService.MAX_TXN_OPS).append("\n");
     toml.append("[facts.cloud]\nrps = 5.0\nlist_lag_s = 2.0\n");
     toml.append("[facts.limits]\ncores = 1.0\nmemory_mb = 256.0\nfd_limit = 500\n");
     try {
       return Settings.parse(toml.toString());
-    } catch (BadSetting e) {
+    } catch (InvalidSettingException e) {
       throw new AssertionError(e);
     }
   }
@@ -614,18 +615,18 @@
       String path,
       byte[] body,
       double deadlineS,
-      Consumer<Caller.Reply> then) {
+      Consumer<HttpCaller.Response> then) {
     boolean[] over = {false};
-    Consumer<Caller.Reply> once =
+    Consumer<HttpCaller.Response> once =
         r -> {
           if (!over[0]) {
             over[0] = true;
             then.accept(r);
           }
         };
-    timers.after(deadlineS, () -> once.accept(Caller.Reply.UNCLEAR));
+    timers.after(deadlineS, () -> once.accept(HttpCaller.Response.NO_RESPONSE));
     if (address.equals("10.2.0.1:1") && refusedByState.contains(from)) {
-      timers.after(HOP_S, () -> once.accept(new Caller.Reply(503, new byte[0], 0)));
+      timers.after(HOP_S, () -> once.accept(new HttpCaller.Response(503, new byte[0], 0)));
       return;
     }
     tap.called(from, path, text(body));
@@ -641,7 +642,7 @@
                     timers.after(HOP_S, () -> unlessRefused(from, path, () -> once.accept(r)));
                   }
                 });
-    WorkerStandIn called = workers.get(address);
+    FakeWorker called = workers.get(address);
     if (lost.test(from, address) || called != null && deaf.contains(called.host())) {
       return;
     }
@@ -653,7 +654,7 @@
       return;
     }
     if (fate == Fate.ANSWERED_LATE) {
-      Consumer<Caller.Reply> late = r -> timers.after(deadlineS - 0.1, () -> once.accept(r));
+      Consumer<HttpCaller.Response> late = r -> timers.after(deadlineS - 0.1, () -> once.accept(r));
       timers.after(HOP_S, () -> serve(address, method, path, body, late));
       return;
     }
@@ -661,7 +662,7 @@
       timers.after(HOP_S, () -> serve(address, method, path, body, r -> {}));
       return;
     }
-    WorkerStandIn worker = workers.get(address);
+    FakeWorker worker = workers.get(address);
     if (worker != null && hung.contains(worker.host())) {
       whenGoesOn(worker.host(), deliver);
       return;
@@ -733,8 +734,8 @@
     Node node = nodes.get(name);
     for (Node other : nodes.values()) {
       if (other != node && other.up && node.up && lost.test(name, other.name)) {
-        other.hear(d -> d.gone(name));
-        node.hear(d -> d.gone(other.name));
+        other.hear(d -> d.disconnected(name));
+        node.hear(d -> d.disconnected(other.name));
       }
     }
   }
@@ -764,7 +765,7 @@
     for (Node a : nodes.values()) {
       for (Node b : nodes.values()) {
         if (crosses(a.zone, b.zone) && b.up) {
-          b.hear(d -> d.gone(a.name));
+          b.hear(d -> d.disconnected(a.name));
         }
       }
     }
@@ -772,8 +773,8 @@
 
   private static String text(byte[] body) {
     try {
-      return body == null ? "" : Doc.decode(body).toString();
-    } catch (BadMessage e) {
+      return body == null ? "" : Document.decode(body).toString();
+    } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
   }
@@ -797,7 +798,7 @@
   final Set<String> refusedByState = new HashSet<>();
 
   private void serve(
-      String address, String method, String path, byte[] body, Consumer<Caller.Reply> then) {
+      String address, String method, String path, byte[] body, Consumer<HttpCaller.Response> then) {
     if (address.equals("10.2.0.1:1")) {
       state.handle(method, path, path.equals("/txn") ? forgetful(body) : body, then);
     } else if (address.equals("10.2.0.2:1")) {
@@ -809,14 +810,16 @@
       workers.values().removeIf(m -> cloud.deleted(m.host()));
       bootHired();
     } else {
-      WorkerStandIn w = workers.get(address);
+      FakeWorker w = workers.get(address);
       if (w != null && !silent.contains(w.host())) {
         try {
-          Caller.Reply reply =
-              path.equals("/status") ? new Caller.Reply(200, w.report(), 0) : w.orders(body);
+          HttpCaller.Response reply =
+              path.equals("/status")
+                  ? new HttpCaller.Response(200, w.report(), 0)
+                  : w.handleCommands(body);
           watchOverlaps();
           then.accept(reply);
-        } catch (BadMessage e) {
+        } catch (MalformedMessageException e) {
           throw new AssertionError(e);
         }
       }
@@ -825,15 +828,15 @@
 
   private byte[] forgetful(byte[] body) {
     try {
-      Doc txn = Doc.decode(body);
-      List<Doc> kept = new ArrayList<>();
-      for (Doc when : txn.docs("when")) {
+      Document txn = Document.decode(body);
+      List<Document> kept = new ArrayList<>();
+      for (Document when : txn.documents("when")) {
         if (!unconditional.test(when.text("k"))) {
           kept.add(when);
         }
       }
       return txn.put("when", kept).encode();
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
   }
@@ -842,7 +845,7 @@
   World renting(double boot, double lag) {
     bootS = boot;
     listLagS = lag;
-    cloud.lag();
+    cloud.hideNewMachines();
     return this;
   }
 
@@ -850,10 +853,10 @@
     if (Double.isNaN(bootS)) {
       return;
     }
-    for (List<String> hosts : cloud.hires().values()) {
+    for (List<String> hosts : cloud.hostsByRequest().values()) {
       for (String host : hosts) {
         if (coming.add(host)) {
-          timers.after(listLagS, () -> cloud.show(host));
+          timers.after(listLagS, () -> cloud.listHidden(host));
           timers.after(bootS, () -> up(host));
         }
       }
@@ -864,30 +867,30 @@
     try {
       String zone = cloud.zone(host);
       if (zone != null) {
-        cloud.up(host);
+        cloud.markRunning(host);
         worker(host, cloud.type(host), zone, "node-" + (coming.size() % nodes.size()));
       }
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
   }
 
   private void noteMisuse(byte[] body) {
     try {
-      for (String host : Doc.decode(body).texts("hosts")) {
-        WorkerStandIn w = workers.get(host + ":9");
+      for (String host : Document.decode(body).texts("hosts")) {
+        FakeWorker w = workers.get(host + ":9");
         if (w != null && !silent.contains(host) && !w.running().isEmpty()) {
           misused.add(host + " at " + timers.now());
         }
       }
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
   }
 
   /** How many machines were ever rented. */
   int hired() {
-    return cloud.hires().values().stream().mapToInt(List::size).sum();
+    return cloud.hostsByRequest().values().stream().mapToInt(List::size).sum();
   }
 
   /** The controller that a key of the state service names as its incarnation, or null. */
@@ -899,28 +902,28 @@
   /** The incarnation that a key names, or null. */
   String incarnation(String key) {
     try {
-      Doc d = state.value(key);
+      Document d = state.value(key);
       return d == null ? null : d.text("inc");
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
   }
 
   /** Somebody else writes into the state service, whatever it is. */
-  void writeState(String key, Doc value) {
-    changeState(Doc.of().put("put", key).put("data", value));
+  void writeState(String key, Document value) {
+    changeState(Document.create().put("put", key).put("data", value));
   }
 
   /** Somebody else removes a key. */
   void removeState(String key) {
-    changeState(Doc.of().put("remove", key));
+    changeState(Document.create().put("remove", key));
   }
 
-  private void changeState(Doc change) {
+  private void changeState(Document change) {
     state.handle(
         "POST",
         "/txn",
-        Doc.of().put("when", List.of()).put("then", List.of(change)).encode(),
+        Document.create().put("when", List.of()).put("then", List.of(change)).encode(),
         reply -> {
           if (!reply.ok()) {
             throw new AssertionError("not written: " + reply.status());
@@ -930,13 +933,13 @@
 
   // ---- workers ----
 
-  WorkerStandIn machine(String host, String type, String zone, String firstNode) {
-    cloud.add(host, type, zone);
+  FakeWorker machine(String host, String type, String zone, String firstNode) {
+    cloud.addRunning(host, type, zone);
     return worker(host, type, zone, firstNode);
   }
 
-  private WorkerStandIn worker(String host, String type, String zone, String firstNode) {
-    WorkerStandIn w = new WorkerStandIn(host, host + ":9", type, zone);
+  private FakeWorker worker(String host, String type, String zone, String firstNode) {
+    FakeWorker w = new FakeWorker(host, host + ":9", type, zone);
     workers.put(w.endpoint(), w);
     everyWorker.add(w);
     machineZones.put(host, zone);
@@ -953,7 +956,7 @@
   }
 
   /** How many tasks of a job run on a machine. */
-  static int running(WorkerStandIn m, String job) {
+  static int running(FakeWorker m, String job) {
     return (int) m.running().stream().filter(t -> t.startsWith(job + "/")).count();
   }
 
@@ -967,7 +970,7 @@
     workers.values().forEach(m -> m.running().forEach(t -> m.exit(t, "done")));
   }
 
-  String zoneOf(WorkerStandIn w) {
+  String zoneOf(FakeWorker w) {
     return machineZones.get(w.host());
   }
 
@@ -977,7 +980,7 @@
   }
 
   /** The worker counts its lease by itself, whatever becomes of its reports. */
-  private void watchLease(WorkerStandIn w) {
+  private void watchLease(FakeWorker w) {
     double over = answeredAt.get(w.host()) + LEASE_S;
     if (timers.now() > over) {
       w.newSession();
@@ -989,7 +992,7 @@
     }
   }
 
-  private void report(WorkerStandIn w) {
+  private void report(FakeWorker w) {
     if (cloud.deleted(w.host())) {
       workers.remove(w.endpoint());
       return;
@@ -1025,7 +1028,7 @@
             tryNext(w, n);
           }
         });
-    HttpServer.Answer answer =
+    HttpServer.Responder answer =
         (status, reply, again) ->
             timers.after(
                 HOP_S,
@@ -1036,17 +1039,17 @@
                   over[0] = true;
                   try {
                     if (status == 200) {
-                      if (w.answered(reply)) {
+                      if (w.handleReportResponse(reply)) {
                         answeredAt.put(w.host(), sent);
                       }
                       timers.after(REPORT_S, () -> report(w));
                     } else if (status == 421 && reply != null) {
-                      reportsTo.put(w.host(), Doc.decode(reply).text("overseer"));
+                      reportsTo.put(w.host(), Document.decode(reply).text("overseer"));
                       timers.after(0.1, () -> report(w));
                     } else {
                       tryNext(w, n);
                     }
-                  } catch (BadMessage e) {
+                  } catch (MalformedMessageException e) {
                     throw new AssertionError(e);
                   }
                 });
@@ -1102,7 +1105,7 @@
   /** How long a worker waits for an answer. */
   private static final double ANSWER_S = 4;
 
-  private void tryNext(WorkerStandIn w, Node n) {
+  private void tryNext(FakeWorker w, Node n) {
     List<String> names = List.copyOf(nodes.keySet());
     if (!silent.contains(w.host())) {
       reportsTo.put(w.host(), names.get((names.indexOf(n.name) + 1) % names.size()));
@@ -1114,15 +1117,15 @@
 
   Said ask(String node, String method, String path, byte[] body) {
     Said[] said = {null};
-    HttpServer.Answer answer =
+    HttpServer.Responder answer =
         (status, reply, again) -> {
           try {
             said[0] =
                 new Said(
                     status,
-                    reply == null || reply.length == 0 ? Doc.of() : Doc.decode(reply),
+                    reply == null || reply.length == 0 ? Document.create() : Document.decode(reply),
                     again);
-          } catch (BadMessage e) {
+          } catch (MalformedMessageException e) {
             throw new AssertionError(e);
           }
         };
@@ -1133,7 +1136,7 @@
     return said[0];
   }
 
-  Said submit(String node, Doc job) {
+  Said submit(String node, Document job) {
     double sentAt = timers.now();
     try {
       specs.putIfAbsent(job.text("id"), job);
@@ -1142,7 +1145,7 @@
         accepted.put(job.text("id"), (int) job.count("pieces"));
       }
       return noted(job.text("id"), sentAt, said);
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
   }
@@ -1167,7 +1170,7 @@
    * A user who submits, polls or cancels through whichever controller is up, without waiting: what
    * comes is noted, and while it is not an answer the request is repeated, as the protocol says.
    */
-  void user(String method, String path, Doc body, String id, int node, int tries) {
+  void user(String method, String path, Document body, String id, int node, int tries) {
     List<Node> up = nodes.values().stream().filter(Node::up).toList();
     if (tries == 0) {
       return;
@@ -1203,12 +1206,13 @@
               }
               over[0] = true;
               try {
-                Doc said = reply == null || reply.length == 0 ? Doc.of() : Doc.decode(reply);
+                Document said =
+                    reply == null || reply.length == 0 ? Document.create() : Document.decode(reply);
                 if (body != null && (status == 200 || status == 201)) {
                   accepted.putIfAbsent(id, (int) body.count("pieces"));
                 }
                 noted(id, sentAt, new Said(status, said, pause));
-              } catch (BadMessage e) {
+              } catch (MalformedMessageException e) {
                 throw new AssertionError(e);
               }
               if (status == 503) {
@@ -1289,7 +1293,7 @@
   /** How many tasks of each job have ever been started, by what the workers carried out. */
   private Map<String, Integer> startedTasks() {
     Map<String, Set<String>> tasks = new HashMap<>();
-    for (WorkerStandIn w : everyWorker) {
+    for (FakeWorker w : everyWorker) {
       for (String start : w.starts()) {
         String task = start.substring(0, start.indexOf('#'));
         tasks.computeIfAbsent(task.substring(0, task.indexOf('/')), j -> new HashSet<>()).add(task);
@@ -1300,8 +1304,8 @@
     return counts;
   }
 
-  static Doc job(String id, int tasks, double cpus) {
-    return Doc.of()
+  static Document job(String id, int tasks, double cpus) {
+    return Document.create()
         .put("id", id)
         .put("batchclass", "c")
         .put("owner", "t")
--- a/src/test/java/dev/dunefront/story/LendingTest.java
+++ b/src/test/java/dev/dunefront/story/WriteLoansTest.java
@@ -10,7 +10,7 @@
 /**
  * With many controllers each has a small part of the state service's rate; idle ones lend theirs.
  */
-class LendingTest {
+class WriteLoansTest {
   private static final int CONTROLLERS = 10;
   private static final int TASKS = 120;
 
@@ -41,7 +41,7 @@
 
   @Test
   void aBusyControllerStartsSoonerWithWhatOthersLeaveUnused() {
-    double alone = startedAfter(world(m -> m instanceof Message.LoanAsk));
+    double alone = startedAfter(world(m -> m instanceof Message.LoanRequest));
     double lent = startedAfter(world(m -> false));
     assertTrue(lent < 0.7 * alone, lent + " s with loans, " + alone + " s without");
   }
--- a/src/test/java/dev/dunefront/story/ZonesAndLinksTest.java
+++ b/src/test/java/dev/dunefront/story/ZonesAndLinksTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dev.dunefront.standin.WorkerStandIn;
-import dev.dunefront.wire.BadMessage;
-import dev.dunefront.wire.Doc;
-import dev.dunefront.wire.Order;
+import dev.dunefront.standin.FakeWorker;
+import dev.dunefront.wire.Document;
+import dev.dunefront.wire.MalformedMessageException;
 import dev.dunefront.wire.TaskId;
+import dev.dunefront.wire.WorkerCommand;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -98,7 +98,7 @@
   @Property(generation = GenerationMode.EXHAUSTIVE)
   void boundJobsLoseMachines(@ForAll Bound bound, @ForAll Loss loss, @ForAll boolean leaderEnds) {
     World w = world();
-    Doc job = World.job("wk-1", 6, 1);
+    Document job = World.job("wk-1", 6, 1);
     switch (bound) {
       case TO_A_ZONE -> job.put("site", "b");
       case ARRAY_IN_ONE_PLACE -> job.put("same_place", true);
@@ -108,16 +108,16 @@
     assertEquals(201, w.submit("node-0", job).status());
     w.pass(3);
     assertEquals(6, w.running("wk-1"));
-    List<WorkerStandIn> used =
+    List<FakeWorker> used =
         w.workers.values().stream().filter(m -> !m.running().isEmpty()).limit(1).toList();
-    for (WorkerStandIn m : used) {
+    for (FakeWorker m : used) {
       switch (loss) {
         case SILENT_FOR_GOOD -> w.silent.add(m.host());
         case CUT_FOR_A_WHILE -> {
           w.silent.add(m.host());
           w.timers.after(World.LEASE_S + 3, () -> w.silent.remove(m.host()));
         }
-        case BEGUN_ANEW -> m.beginAnew();
+        case BEGUN_ANEW -> m.restart();
         case HANG -> w.hang(m.host(), World.LEASE_S + 3);
       }
     }
@@ -193,7 +193,7 @@
     w.pass(20);
     assertEquals(32, w.running(), "all room is used");
     for (int i = 10; i < 14; i++) {
-      Doc job = World.job("wk-" + i, 4, 1).put("urgency", i % 2 == 0 ? "high" : "critical");
+      Document job = World.job("wk-" + i, 4, 1).put("urgency", i % 2 == 0 ? "high" : "critical");
       w.user("POST", "/v1/jobs", job, "wk-" + i, i, 40);
     }
     w.pass(3);
@@ -216,15 +216,15 @@
 
   /** A check that finds nothing must be one that could. */
   @Example
-  void theCheckNoticesWhatIsInAWrongPlace() throws BadMessage {
-    Map<String, Doc> specs = new HashMap<>();
+  void theCheckNoticesWhatIsInAWrongPlace() throws MalformedMessageException {
+    Map<String, Document> specs = new HashMap<>();
     PlacementCheck check = new PlacementCheck(specs);
     specs.put("wk-1", World.job("wk-1", 4, 1).put("site", "b"));
     specs.put("wk-2", World.job("wk-2", 4, 1).put("same_place", true));
     specs.put("wk-3", World.job("wk-3", 4, 1).put("apart", true));
     specs.put("wk-4", World.job("wk-4", 4, 1).put("flavors", List.of("large")));
-    WorkerStandIn a = new WorkerStandIn("host-1", "host-1:9", "small", "a");
-    WorkerStandIn b = new WorkerStandIn("host-2", "host-2:9", "small", "b");
+    FakeWorker a = new FakeWorker("host-1", "host-1:9", "small", "a");
+    FakeWorker b = new FakeWorker("host-2", "host-2:9", "small", "b");
     run(a, "wk-2", 0);
     run(a, "wk-3", 0, 1);
     run(b, "wk-3", 2, 3);
@@ -239,11 +239,12 @@
     assertEquals(4, check.wrong.size(), check.wrong.toString());
   }
 
-  private static void run(WorkerStandIn m, String job, int... numbers) throws BadMessage {
-    List<Order> orders = new ArrayList<>();
+  private static void run(FakeWorker m, String job, int... numbers)
+      throws MalformedMessageException {
+    List<WorkerCommand> orders = new ArrayList<>();
     for (int n : numbers) {
-      orders.add(new Order.Run(new TaskId(job, n), 1));
+      orders.add(new WorkerCommand.Run(new TaskId(job, n), 1));
     }
-    assertEquals(200, m.orders(Order.direct(1, 1, orders)).status());
+    assertEquals(200, m.handleCommands(WorkerCommand.directRequest(1, 1, orders)).status());
   }
 }
