--- a/src/main/java/dev/dunefront/duty/Duties.java
+++ b/src/main/java/dev/dunefront/duty/Duties.java
@@ -36,7 +36,7 @@
   private final Peers peers;
   private final Timers timers;
   private final DecisionLock decisionLock;
-  private final PauseDetector standstill;
+  private final PauseDetector pauseDetector;
   private final Map<Duty, DutyState> states = new EnumMap<>(Duty.class);
 
   /** Timer lag in seconds that each reachable controller reports, by node. */
@@ -48,7 +48,7 @@
   private static final class DutyState {
     DutyRecord record = DutyRecord.VACANT;
 
-    /** The highest known term; exceeds that of {@code post} while the replica lags. */
+    /** The highest known term; exceeds that of {@code record} while the replica lags. */
     long highestTerm;
 
     double vacantSince = Double.NaN;
@@ -74,7 +74,7 @@
       Peers peers,
       Timers timers,
       DecisionLock decisionLock,
-      PauseDetector standstill) {
+      PauseDetector pauseDetector) {
     this.node = node;
     this.store = store;
     this.replica = replica;
@@ -82,33 +82,33 @@
     this.peers = peers;
     this.timers = timers;
     this.decisionLock = decisionLock;
-    this.standstill = standstill;
+    this.pauseDetector = pauseDetector;
     for (Duty d : Duty.values()) {
       states.put(d, new DutyState());
       replica.addListener(
-          d.key(), (rest, value, stamp) -> recordChanged(d, DutyRecord.read(value, stamp)));
+          d.key(), (suffix, value, revision) -> recordChanged(d, DutyRecord.read(value, revision)));
     }
   }
 
   private void recordChanged(Duty duty, DutyRecord current) {
-    DutyState seat = states.get(duty);
-    boolean heldBefore = seat.record.heldBy(membership.ownIncarnation());
+    DutyState state = states.get(duty);
+    boolean heldBefore = state.record.heldBy(membership.ownIncarnation());
     double now = timers.now();
     if (current.vacant()) {
-      seat.vacantSince = now;
+      state.vacantSince = now;
     } else {
-      if (!Double.isNaN(seat.vacantSince)) {
-        seat.longestVacancyS = Math.max(seat.longestVacancyS, now - seat.vacantSince);
+      if (!Double.isNaN(state.vacantSince)) {
+        state.longestVacancyS = Math.max(state.longestVacancyS, now - state.vacantSince);
       }
-      seat.vacantSince = Double.NaN;
+      state.vacantSince = Double.NaN;
     }
-    seat.record = current;
-    seat.highestTerm = Math.max(seat.highestTerm, current.term());
+    state.record = current;
+    state.highestTerm = Math.max(state.highestTerm, current.term());
     boolean heldNow = current.heldBy(membership.ownIncarnation());
     if (heldNow) {
-      seat.heldSince = now;
-      seat.unfitSince = Double.NaN;
-      seat.acquisitions++;
+      state.heldSince = now;
+      state.unfitSince = Double.NaN;
+      state.acquisitions++;
       LOG.log(Level.INFO, "acquired duty {0} in term {1}", duty.label(), current.term());
     } else if (heldBefore) {
       LOG.log(Level.INFO, "lost duty {0}", duty.label());
@@ -125,12 +125,12 @@
 
   /** The term in which this controller may perform the duty now, or 0 if it may not. */
   public long term(Duty duty) {
-    DutyState seat = states.get(duty);
+    DutyState state = states.get(duty);
     boolean own =
-        seat.record.heldBy(membership.ownIncarnation())
-            && seat.record.term() >= seat.highestTerm
-            && standstill.current();
-    return own ? seat.record.term() : 0;
+        state.record.heldBy(membership.ownIncarnation())
+            && state.record.term() >= state.highestTerm
+            && pauseDetector.current();
+    return own ? state.record.term() : 0;
   }
 
   /** Whether this controller may still perform the duty in that term. */
@@ -150,20 +150,20 @@
    * is known, the request is rejected and the sender is informed of that term.
    */
   public boolean accepts(Duty duty, long term, String from) {
-    DutyState seat = states.get(duty);
-    if (term < seat.highestTerm) {
-      seat.refusals++;
+    DutyState state = states.get(duty);
+    if (term < state.highestTerm) {
+      state.refusals++;
       LOG.log(
           Level.INFO,
           "rejected a request from {0} for duty {1} in term {2}: term {3} is known",
           from,
           duty.label(),
           term,
-          seat.highestTerm);
-      peers.send(from, new Message.DutyTerm(duty.label(), seat.highestTerm));
+          state.highestTerm);
+      peers.send(from, new Message.DutyTerm(duty.label(), state.highestTerm));
       return false;
     }
-    seat.highestTerm = term;
+    state.highestTerm = term;
     return true;
   }
 
@@ -171,8 +171,8 @@
   public void receive(Message.DutyTerm m) {
     Duty duty = Duty.ofLabel(m.duty());
     if (duty != null) {
-      DutyState seat = states.get(duty);
-      seat.highestTerm = Math.max(seat.highestTerm, m.term());
+      DutyState state = states.get(duty);
+      state.highestTerm = Math.max(state.highestTerm, m.term());
     }
   }
 
@@ -192,55 +192,55 @@
    * Sets whether this controller can perform the duty at present. While it cannot, it does not
    * acquire the duty, and it hands it over if it holds it.
    */
-  public void setCapable(Duty duty, boolean able) {
-    states.get(duty).incapable = !able;
+  public void setCapable(Duty duty, boolean capable) {
+    states.get(duty).incapable = !capable;
   }
 
   /** Runs several times a second. */
   public void tick(double timerLagS) {
     ownTimerLagS = timerLagS;
-    if (!standstill.current() || !replica.ready() || store.unavailable()) {
+    if (!pauseDetector.current() || !replica.ready() || store.unavailable()) {
       return;
     }
     String self = membership.ownIncarnation();
     // The least urgent duty first: a controller with too many duties hands that one over.
     for (int i = Duty.values().length - 1; i >= 0; i--) {
       Duty duty = Duty.values()[i];
-      DutyState seat = states.get(duty);
-      if (seat.writePending) {
+      DutyState state = states.get(duty);
+      if (state.writePending) {
         continue;
       }
       List<ElectionPolicy.Candidate> live = candidates();
       double now = timers.now();
-      boolean vacant = vacant(seat.record);
-      if (vacant && Double.isNaN(seat.vacantSince)) {
-        seat.vacantSince = now;
+      boolean vacant = vacant(state.record);
+      if (vacant && Double.isNaN(state.vacantSince)) {
+        state.vacantSince = now;
       }
-      if (!seat.incapable && ownTimerLagS < ElectionPolicy.UNFIT_TIMER_LAG_S) {
-        seat.unfitSince = Double.NaN;
-      } else if (Double.isNaN(seat.unfitSince)) {
-        seat.unfitSince = now;
+      if (!state.incapable && ownTimerLagS < ElectionPolicy.UNFIT_TIMER_LAG_S) {
+        state.unfitSince = Double.NaN;
+      } else if (Double.isNaN(state.unfitSince)) {
+        state.unfitSince = now;
       }
-      ElectionPolicy.Decision step =
+      ElectionPolicy.Decision decision =
           ElectionPolicy.decide(
               new ElectionPolicy.Observation(
                   duty,
-                  vacant ? DutyRecord.VACANT : seat.record,
+                  vacant ? DutyRecord.VACANT : state.record,
                   self,
                   live,
-                  elapsed(seat.vacantSince, now),
-                  now - seat.heldSince,
-                  elapsed(seat.unfitSince, now)));
-      switch (step.kind()) {
+                  elapsed(state.vacantSince, now),
+                  now - state.heldSince,
+                  elapsed(state.unfitSince, now)));
+      switch (decision.kind()) {
         case TAKE -> {
-          if (!seat.incapable) {
+          if (!state.incapable) {
             writeHolder(duty, self);
           }
         }
         case HAND_OVER -> {
-          seat.handovers++;
-          LOG.log(Level.INFO, "handing over duty {0} to {1}", duty.label(), step.newHolder());
-          writeHolder(duty, step.newHolder());
+          state.handovers++;
+          LOG.log(Level.INFO, "handing over duty {0} to {1}", duty.label(), decision.newHolder());
+          writeHolder(duty, decision.newHolder());
         }
         case WAIT -> {}
       }
@@ -269,8 +269,8 @@
     for (String name : membership.liveNodes()) {
       String incarnation = membership.liveIncarnation(name);
       int duties = 0;
-      for (DutyState seat : states.values()) {
-        String holder = seat.writePending ? seat.pendingHolder : seat.record.holder();
+      for (DutyState state : states.values()) {
+        String holder = state.writePending ? state.pendingHolder : state.record.holder();
         duties += incarnation.equals(holder) ? 1 : 0;
       }
       boolean own = name.equals(node);
@@ -288,10 +288,10 @@
    * nothing is written.
    */
   private void writeHolder(Duty duty, String incarnation) {
-    DutyState seat = states.get(duty);
-    seat.writePending = true;
-    seat.pendingHolder = incarnation;
-    long term = seat.record.term();
+    DutyState state = states.get(duty);
+    state.writePending = true;
+    state.pendingHolder = incarnation;
+    long term = state.record.term();
     Document value = DutyRecord.write(incarnation, store.newWriteId());
     long lease = Membership.leaseIdOf(incarnation);
     store.tryTxn(
@@ -302,7 +302,7 @@
           if (done.ok()) {
             replica.apply(duty.key(), value, done.revision());
           }
-          timers.after(WRITE_INTERVAL_S, () -> decisionLock.run(() -> seat.writePending = false));
+          timers.after(WRITE_INTERVAL_S, () -> decisionLock.run(() -> state.writePending = false));
         });
   }
 
@@ -317,19 +317,19 @@
     List<ElectionPolicy.Candidate> live = candidates();
     Txn txn = new Txn();
     for (Duty duty : Duty.values()) {
-      DutyState seat = states.get(duty);
-      if (seat.record.heldBy(self)) {
-        seat.writePending = true;
-        seat.highestTerm++;
-        txn.requireRevision(duty.key(), seat.record.term());
+      DutyState state = states.get(duty);
+      if (state.record.heldBy(self)) {
+        state.writePending = true;
+        state.highestTerm++;
+        txn.requireRevision(duty.key(), state.record.term());
         ElectionPolicy.Candidate successor = ElectionPolicy.bestSuccessor(duty, live, self);
         if (successor == null) {
           txn.remove(duty.key());
         } else {
-          String mark = store.newWriteId();
+          String writeId = store.newWriteId();
           txn.put(
               duty.key(),
-              DutyRecord.write(successor.incarnation(), mark),
+              DutyRecord.write(successor.incarnation(), writeId),
               Membership.leaseIdOf(successor.incarnation()));
         }
       }
--- a/src/main/java/dev/dunefront/duty/ElectionPolicy.java
+++ b/src/main/java/dev/dunefront/duty/ElectionPolicy.java
@@ -6,7 +6,7 @@
 /**
  * Decides whether a controller acquires, keeps or hands over a duty, from its own observation. If
  * several controllers decide at once, the state service accepts only one write: a record is created
- * on the condition that none exists, and replaced on the condition of its stamp.
+ * on the condition that none exists, and replaced on the condition of its revision.
  */
 final class ElectionPolicy {
   /** Additional wait per rank, so that candidates seldom compete. */
@@ -77,23 +77,25 @@
     static final Decision TAKE = new Decision(Kind.TAKE, null);
   }
 
-  static Decision decide(Observation s) {
-    if (s.self == null) {
+  static Decision decide(Observation observation) {
+    if (observation.self == null) {
       return Decision.WAIT;
     }
-    if (s.dutyRecord.vacant()) {
-      int rank = rank(s);
-      return rank >= 0 && s.vacantS >= rank * RANK_DELAY_S ? Decision.TAKE : Decision.WAIT;
+    if (observation.dutyRecord.vacant()) {
+      int rank = rank(observation);
+      return rank >= 0 && observation.vacantS >= rank * RANK_DELAY_S
+          ? Decision.TAKE
+          : Decision.WAIT;
     }
-    if (!s.dutyRecord.heldBy(s.self) || s.heldS < MIN_HELD_S) {
+    if (!observation.dutyRecord.heldBy(observation.self) || observation.heldS < MIN_HELD_S) {
       return Decision.WAIT;
     }
-    Candidate own = findCandidate(s.liveControllers, s.self);
-    Candidate best = bestSuccessor(s.duty, s.liveControllers, s.self);
+    Candidate own = findCandidate(observation.liveControllers, observation.self);
+    Candidate best = bestSuccessor(observation.duty, observation.liveControllers, observation.self);
     if (own == null || best == null) {
       return Decision.WAIT;
     }
-    boolean unfit = s.unfitS > UNFIT_HANDOVER_DELAY_S;
+    boolean unfit = observation.unfitS > UNFIT_HANDOVER_DELAY_S;
     boolean overloaded = own.dutyCount >= best.dutyCount + 2;
     return unfit || overloaded
         ? new Decision(Decision.Kind.HAND_OVER, best.incarnation)
@@ -109,13 +111,14 @@
   }
 
   /** This controller's rank among the live controllers, or -1 if it is not one of them. */
-  private static int rank(Observation s) {
-    Candidate own = findCandidate(s.liveControllers, s.self);
+  private static int rank(Observation observation) {
+    Candidate own = findCandidate(observation.liveControllers, observation.self);
     if (own == null) {
       return -1;
     }
-    Comparator<Candidate> order = candidateOrder(s.duty);
-    return (int) s.liveControllers.stream().filter(c -> order.compare(c, own) < 0).count();
+    Comparator<Candidate> order = candidateOrder(observation.duty);
+    return (int)
+        observation.liveControllers.stream().filter(c -> order.compare(c, own) < 0).count();
   }
 
   private static Candidate findCandidate(List<Candidate> live, String incarnation) {
--- a/src/main/java/dev/dunefront/duty/HandoverRecord.java
+++ b/src/main/java/dev/dunefront/duty/HandoverRecord.java
@@ -12,8 +12,8 @@
  * writes, conditional on the duty's term. Its key is outside the replicated prefix, because it
  * changes with every operation and only the next holder reads it.
  *
- * <p>Every write is also conditional on the value's own stamp. A write whose response was lost is
- * repeated; if the first attempt were applied minutes later, it would otherwise replace a newer
+ * <p>Every write is also conditional on the value's own revision. A write whose response was lost
+ * is repeated; if the first attempt were applied minutes later, it would otherwise replace a newer
  * value of the same term.
  */
 public final class HandoverRecord {
@@ -82,15 +82,15 @@
     }
     writeInProgress = true;
     long inTerm = term;
-    String mark = store.newWriteId();
+    String writeId = store.newWriteId();
     store.commit(
         duties.guard(
             duty,
             inTerm,
             new Txn()
                 .requireRevision(key(duty), revision)
-                .put(key(duty), value.put(StateStore.WRITE_ID_FIELD, mark))),
-        mark,
+                .put(key(duty), value.put(StateStore.WRITE_ID_FIELD, writeId))),
+        writeId,
         done -> {
           if (term != inTerm) {
             return;
--- a/src/main/java/dev/dunefront/fleet/Autoscaler.java
+++ b/src/main/java/dev/dunefront/fleet/Autoscaler.java
@@ -48,8 +48,8 @@
   private final double listLagS;
   private final Membership membership;
   private final Duties duties;
-  private final CapacitySubscription interest;
-  private final MachineTable room;
+  private final CapacitySubscription capacitySubscription;
+  private final MachineTable machines;
   private final MachineCatalog catalog;
   private final Timers timers;
   private final Peers peers;
@@ -74,16 +74,16 @@
 
   public Autoscaler(
       ControllerContext context,
-      MachineTable room,
-      CapacitySubscription interest,
-      DeadlineRanking urgencies,
+      MachineTable machines,
+      CapacitySubscription capacitySubscription,
+      DeadlineRanking deadlineRanking,
       HttpCaller caller) {
     this.peers = context.peers();
     this.listLagS = context.settings().cloudLimits().listLagS();
     this.membership = context.membership();
     this.duties = context.duties();
-    this.room = room;
-    this.interest = interest;
+    this.machines = machines;
+    this.capacitySubscription = capacitySubscription;
     this.catalog = context.catalog();
     this.timers = context.timers();
     this.cloud =
@@ -91,15 +91,15 @@
     this.inventory = new Inventory(listLagS);
     this.health =
         new MachineHealth(
-            context.settings(), membership, context.holds(), room, catalog, inventory);
+            context.settings(), membership, context.holds(), machines, catalog, inventory);
     this.planner =
         new ScalingPlanner(
             context.tunables(),
             context.jobs(),
-            room,
+            machines,
             catalog,
             timers,
-            urgencies,
+            deadlineRanking,
             inventory,
             demands.values());
     this.operations =
@@ -107,7 +107,7 @@
             new HandoverRecord(Duty.RENT, duties, context.store(), timers),
             cloud,
             inventory,
-            room,
+            machines,
             new DeletionRecorder(
                 context.holds(),
                 context.store(),
@@ -128,10 +128,12 @@
     return duties.holder(Duty.RENT);
   }
 
+  /** Receives the latest demand of a controller. */
   public void received(String from, Message.Demand demand) {
     demands.put(from, demand);
   }
 
+  /** Forgets the demand of a controller that is not reachable any more. */
   public void peerDisconnected(String node) {
     demands.remove(node);
   }
@@ -155,7 +157,7 @@
       term = 0;
       return;
     }
-    interest.require(ViewDetail.FULL);
+    capacitySubscription.require(ViewDetail.FULL);
     double now = timers.now();
     if (heldTerm != term || operations.recordConflict()) {
       startTerm(heldTerm, now);
@@ -166,8 +168,8 @@
         .intents()
         .deletions
         .forEach(
-            (host, why) -> {
-              if (why == ReturnReason.IDLE) {
+            (host, reason) -> {
+              if (reason == ReturnReason.IDLE) {
                 // Repeated until the cloud responds; otherwise the machine would reopen and receive
                 // tasks.
                 requestRetirement(host, now);
@@ -241,25 +243,28 @@
     }
   }
 
-  /** Asks the machine's holder, at a limited rate, to close the machine for some seconds. */
+  /**
+   * Asks the machine's holder, at a limited rate, to close the machine to new tasks for some
+   * seconds.
+   */
   private void requestRetirement(String host, double now) {
-    MachineTable.Entry seen = room.get(host);
-    if (seen != null
+    MachineTable.Entry entry = machines.get(host);
+    if (entry != null
         && now - retireSentAt.getOrDefault(host, Double.NEGATIVE_INFINITY) > RETIRE_INTERVAL_S) {
       retireSentAt.put(host, now);
-      peers.send(seen.holder(), new Message.RetireMachine(host, term));
+      peers.send(entry.holder(), new Message.RetireMachine(host, term));
     }
   }
 
   /** Selects the machines to delete, each with its reason. */
   private Map<String, ReturnReason> selectReturns(ScalingPlanner.ScalingPlan plan, double now) {
-    Map<String, ReturnReason> why = new HashMap<>();
+    Map<String, ReturnReason> reasons = new HashMap<>();
     Set<String> unreported = new HashSet<>();
     demands.values().forEach(d -> unreported.addAll(d.unreportedHosts()));
-    health.check(now, now - termStartedAt, demands.keySet(), unreported, why);
+    health.addMachinesToReturn(now, now - termStartedAt, demands.keySet(), unreported, reasons);
     for (String host : planner.idleMachinesToReturn(plan)) {
-      if (room.get(host).view().retiring()) {
-        why.put(host, ReturnReason.IDLE);
+      if (machines.get(host).view().retiring()) {
+        reasons.put(host, ReturnReason.IDLE);
       } else {
         // The holder closes the machine first; only then can no task be placed on it any more.
         requestRetirement(host, now);
@@ -267,7 +272,7 @@
     }
     retireSentAt.values().removeIf(at -> now - at > 10 * RETIRE_INTERVAL_S);
     Map<String, ReturnReason> toReturn = new LinkedHashMap<>();
-    why.forEach(
+    reasons.forEach(
         (host, reason) -> {
           if (!inventory.isDeleted(host)
               && inventory.pendingDeletionCount() + toReturn.size() < MAX_PENDING_DELETIONS
--- a/src/main/java/dev/dunefront/fleet/CapacityNeed.java
+++ b/src/main/java/dev/dunefront/fleet/CapacityNeed.java
@@ -8,7 +8,7 @@
 final class CapacityNeed {
   final JobSpec spec;
 
-  /** Expected run time of a task, or 0 if unknown. */
+  /** Expected duration of a task, or 0 if unknown. */
   final double taskDurationS;
 
   /** Whether the tasks are queued; false if they are only forecast. */
@@ -20,9 +20,13 @@
   private final Map<String, Double> maxTasksByZone = new HashMap<>();
 
   private CapacityNeed(
-      JobSpec spec, double tasks, Map<String, Integer> zones, double runS, boolean queued) {
+      JobSpec spec,
+      double tasks,
+      Map<String, Integer> zones,
+      double taskDurationS,
+      boolean queued) {
     this.spec = spec;
-    this.taskDurationS = runS;
+    this.taskDurationS = taskDurationS;
     this.queued = queued;
     this.unmetTasks = tasks;
     zones.forEach((zone, n) -> this.maxTasksByZone.put(zone, (double) n));
@@ -30,8 +34,8 @@
 
   /** A need for queued tasks. */
   static CapacityNeed forQueued(
-      JobSpec spec, double tasks, Map<String, Integer> zones, double runS) {
-    return new CapacityNeed(spec, tasks, zones, runS, true);
+      JobSpec spec, double tasks, Map<String, Integer> zones, double taskDurationS) {
+    return new CapacityNeed(spec, tasks, zones, taskDurationS, true);
   }
 
   /** A need for forecast tasks. */
@@ -50,6 +54,7 @@
         : Math.min(unmetTasks, maxTasksByZone.getOrDefault(zone, 0.0));
   }
 
+  /** Subtracts tasks for which machines of the zone were allocated or planned. */
   void reduce(String zone, double tasks) {
     unmetTasks -= tasks;
     maxTasksByZone.computeIfPresent(zone, (z, n) -> n - tasks);
@@ -57,10 +62,10 @@
 
   /** Moves up to this many tasks into a separate need. */
   CapacityNeed split(double tasks) {
-    CapacityNeed part =
+    CapacityNeed separate =
         new CapacityNeed(spec, Math.min(tasks, unmetTasks), Map.of(), taskDurationS, queued);
-    part.maxTasksByZone.putAll(maxTasksByZone);
-    unmetTasks -= part.unmetTasks;
-    return part;
+    separate.maxTasksByZone.putAll(maxTasksByZone);
+    unmetTasks -= separate.unmetTasks;
+    return separate;
   }
 }
--- a/src/main/java/dev/dunefront/fleet/CloudClient.java
+++ b/src/main/java/dev/dunefront/fleet/CloudClient.java
@@ -47,7 +47,7 @@
   /** A request to rent machines. Its name is unique and makes a repeated request idempotent. */
   record RentRequest(String name, MachineKind kind, int count) {}
 
-  /** Outcome of a request; after {@code TOO_FAST} or {@code UNCLEAR} it may be repeated. */
+  /** Outcome of a request; after {@link #RATE_LIMITED} or {@link #UNKNOWN} it may be repeated. */
   enum Outcome {
     RENTED,
     REFUSED,
@@ -120,15 +120,15 @@
                 path,
                 body == null ? null : body.encode(),
                 CALL_TIMEOUT_S,
-                reply ->
+                response ->
                     decisionLock.run(
                         () -> {
                           callInProgress = false;
-                          unansweredCalls = reply.status() == 0 ? unansweredCalls + 1 : 0;
-                          if (reply.status() == 503 || reply.status() == 429) {
+                          unansweredCalls = response.status() == 0 ? unansweredCalls + 1 : 0;
+                          if (response.status() == 503 || response.status() == 429) {
                             nextCallAt = Math.max(nextCallAt, timers.now() + 1);
                           }
-                          then.accept(reply);
+                          then.accept(response);
                           onCallFinished.run();
                         })));
   }
@@ -144,12 +144,12 @@
         "GET",
         "/machines?" + (from.isEmpty() ? "" : "from=" + from + "&") + "page=" + PAGE_SIZE,
         null,
-        reply -> {
-          if (!reply.ok()) {
+        response -> {
+          if (!response.ok()) {
             return;
           }
           try {
-            Document d = Document.decode(reply.body());
+            Document d = Document.decode(response.body());
             String last = from;
             for (Document m : d.documents("hosts")) {
               last = m.text("id");
@@ -175,10 +175,10 @@
         "GET",
         "/catalog",
         null,
-        reply -> {
-          if (reply.ok()) {
+        response -> {
+          if (response.ok()) {
             try {
-              then.accept(Document.decode(reply.body()));
+              then.accept(Document.decode(response.body()));
             } catch (MalformedMessageException e) {
               LOG.log(Level.INFO, "cannot read the catalog: {0}", e.getMessage());
             }
@@ -198,45 +198,45 @@
         "POST",
         "/machines/delete",
         Document.create().put("hosts", hosts),
-        reply ->
+        response ->
             then.accept(
-                reply.ok()
+                response.ok()
                     ? DeletionResult.CONFIRMED
-                    : outcome(reply) == Outcome.UNKNOWN
+                    : outcome(response) == Outcome.UNKNOWN
                         ? DeletionResult.UNKNOWN
                         : DeletionResult.REFUSED));
   }
 
   /** Rents machines. */
-  void rent(RentRequest h, Consumer<RentResult> then) {
+  void rent(RentRequest request, Consumer<RentResult> then) {
     call(
         "POST",
         "/machines",
         Document.create()
-            .put("hire", h.name)
-            .put("flavor", h.kind.type())
-            .put("site", h.kind.zone())
-            .put("loaners", h.kind.spot())
-            .put("how_many", h.count),
-        reply -> {
+            .put("hire", request.name)
+            .put("flavor", request.kind.type())
+            .put("site", request.kind.zone())
+            .put("loaners", request.kind.spot())
+            .put("how_many", request.count),
+        response -> {
           List<String> hosts = List.of();
-          if (reply.ok()) {
+          if (response.ok()) {
             try {
-              hosts = Document.decode(reply.body()).texts("hosts");
+              hosts = Document.decode(response.body()).texts("hosts");
             } catch (MalformedMessageException e) {
               LOG.log(
                   Level.INFO, "cannot read the response to a rent request: {0}", e.getMessage());
             }
           }
-          then.accept(new RentResult(outcome(reply), hosts));
+          then.accept(new RentResult(outcome(response), hosts));
         });
   }
 
-  private static Outcome outcome(HttpCaller.Response reply) {
-    if (reply.ok()) {
+  private static Outcome outcome(HttpCaller.Response response) {
+    if (response.ok()) {
       return Outcome.RENTED;
     }
-    return switch (reply.status()) {
+    return switch (response.status()) {
       case 503, 400 -> Outcome.REFUSED;
       case 429 -> Outcome.RATE_LIMITED;
       default -> Outcome.UNKNOWN;
--- a/src/main/java/dev/dunefront/fleet/CloudOperations.java
+++ b/src/main/java/dev/dunefront/fleet/CloudOperations.java
@@ -38,9 +38,11 @@
   /** A recorded operation that has yet to be sent. */
   private sealed interface Operation {}
 
-  private record RentOperation(RentRequest hire) implements Operation {}
+  private record RentOperation(RentRequest request) implements Operation {}
 
   /**
+   * A deletion of machines.
+   *
    * @param outcomeUnknown whether the deletion may have been sent before with an unknown outcome
    */
   private record DeleteOperation(List<String> hosts, boolean outcomeUnknown) implements Operation {}
@@ -48,15 +50,15 @@
   private final HandoverRecord handoverRecord;
   private final CloudClient cloud;
   private final Inventory inventory;
-  private final MachineTable room;
-  private final DeletionRecorder confirmedDeletions;
+  private final MachineTable machines;
+  private final DeletionRecorder deletionRecorder;
   private final StateStore store;
   private final Timers timers;
   private final int maxValueBytes;
   private final double listLagS;
   private final double workerLeaseS;
   private final Map<MachineKind, Double> refusedUntil;
-  private final Runnable ready;
+  private final Runnable onReady;
   private final ArrayDeque<Operation> recordedOperations = new ArrayDeque<>();
 
   /**
@@ -79,35 +81,35 @@
    *
    * @param valueKb the state service's value size limit
    * @param listLagS how far the cloud's machine list may lag behind
-   * @param refused receives the kinds that the cloud could not provide, with the time until which
-   *     they are not requested again
+   * @param refusedUntil receives the kinds that the cloud could not provide, with the time until
+   *     which they are not requested again
    * @param onReady runs when an operation has been recorded and can be sent
    */
   CloudOperations(
-      HandoverRecord ledger,
+      HandoverRecord handoverRecord,
       CloudClient cloud,
       Inventory inventory,
-      MachineTable room,
-      DeletionRecorder confirmedDeletions,
+      MachineTable machines,
+      DeletionRecorder deletionRecorder,
       StateStore store,
       Timers timers,
       double valueKb,
       double listLagS,
       double workerLeaseS,
-      Map<MachineKind, Double> refused,
+      Map<MachineKind, Double> refusedUntil,
       Runnable onReady) {
-    this.handoverRecord = ledger;
+    this.handoverRecord = handoverRecord;
     this.cloud = cloud;
     this.inventory = inventory;
-    this.room = room;
-    this.confirmedDeletions = confirmedDeletions;
+    this.machines = machines;
+    this.deletionRecorder = deletionRecorder;
     this.store = store;
     this.timers = timers;
     this.maxValueBytes = (int) (valueKb * 1024 * VALUE_SIZE_FRACTION);
     this.listLagS = listLagS;
     this.workerLeaseS = workerLeaseS;
-    this.refusedUntil = refused;
-    this.ready = onReady;
+    this.refusedUntil = refusedUntil;
+    this.onReady = onReady;
   }
 
   /** How long a kind is not requested again after the cloud could not provide it. */
@@ -133,10 +135,13 @@
             double age = Math.max(0, (timers.wallClockMs() - c.rentedAtMs()) / 1000.0);
             inventory.addExpected(c.hosts(), c.kind(), now - age);
           }
-          intents.rentRequests.values().forEach(h -> recordedOperations.add(new RentOperation(h)));
+          intents
+              .rentRequests
+              .values()
+              .forEach(request -> recordedOperations.add(new RentOperation(request)));
           if (!intents.deletions.isEmpty()) {
             List<String> hosts = List.copyOf(intents.deletions.keySet());
-            inventory.deleting(hosts);
+            inventory.markDeleting(hosts);
             recordedOperations.add(new DeleteOperation(hosts, true));
           }
           repeatedCount += recordedOperations.size();
@@ -179,24 +184,26 @@
     return recordConflict;
   }
 
-  void rent(RentRequest h) {
-    intents.rentRequests.put(h.name(), h);
+  /** Records a rent request and sends it once the record is written. */
+  void rent(RentRequest request) {
+    intents.rentRequests.put(request.name(), request);
     double decidedAt = timers.now();
     persist(
         () -> {
           if (timers.now() - decidedAt > MAX_DECISION_AGE_S) {
-            intents.rentRequests.remove(h.name());
+            intents.rentRequests.remove(request.name());
             droppedCount++;
           } else {
-            recordedOperations.add(new RentOperation(h));
+            recordedOperations.add(new RentOperation(request));
           }
         });
   }
 
+  /** Records deletions and sends them once the record is written. */
   void delete(Map<String, ReturnReason> toReturn) {
     List<String> hosts = List.copyOf(toReturn.keySet());
     intents.deletions.putAll(toReturn);
-    inventory.deleting(hosts);
+    inventory.markDeleting(hosts);
     persist(() -> recordedOperations.add(new DeleteOperation(hosts, false)));
   }
 
@@ -231,7 +238,7 @@
         written -> {
           if (written) {
             then.run();
-            ready.run();
+            onReady.run();
           } else {
             recordConflict = true;
           }
@@ -240,11 +247,13 @@
 
   /** Sends the next recorded operation; returns whether one was sent. */
   boolean executeNext() {
-    for (Operation act = recordedOperations.poll(); act != null; act = recordedOperations.poll()) {
-      if (act instanceof RentOperation r) {
-        execute(r.hire());
+    for (Operation operation = recordedOperations.poll();
+        operation != null;
+        operation = recordedOperations.poll()) {
+      if (operation instanceof RentOperation r) {
+        execute(r.request());
         return true;
-      } else if (act instanceof DeleteOperation r && execute(r)) {
+      } else if (operation instanceof DeleteOperation r && execute(r)) {
         return true;
       }
     }
@@ -259,10 +268,10 @@
     return !due.isEmpty() && execute(new DeleteOperation(due, true));
   }
 
-  private void execute(RentRequest h) {
+  private void execute(RentRequest request) {
     long inTerm = term;
     cloud.rent(
-        h,
+        request,
         result -> {
           if (inTerm != term) {
             // The current holder found the rent request in the record and repeats it by name.
@@ -271,41 +280,45 @@
           double now = timers.now();
           if (result.outcome() == CloudClient.Outcome.UNKNOWN) {
             // Repeated under the same name, so no machine is rented twice.
-            recordedOperations.add(new RentOperation(h));
+            recordedOperations.add(new RentOperation(request));
             return;
           }
-          intents.rentRequests.remove(h.name());
+          intents.rentRequests.remove(request.name());
           dirty = true;
           if (result.outcome() == CloudClient.Outcome.RENTED) {
             LOG.log(
-                Level.INFO, "rented {0} of {1} {2}", result.hosts().size(), h.count(), h.kind());
-            inventory.addExpected(result.hosts(), h.kind(), now);
+                Level.INFO,
+                "rented {0} of {1} {2}",
+                result.hosts().size(),
+                request.count(),
+                request.kind());
+            inventory.addExpected(result.hosts(), request.kind(), now);
             if (!result.hosts().isEmpty()) {
               intents.completedRents.add(
-                  new Intents.CompletedRent(h.kind(), timers.wallClockMs(), result.hosts()));
+                  new Intents.CompletedRent(request.kind(), timers.wallClockMs(), result.hosts()));
             }
           }
           if (result.outcome() != CloudClient.Outcome.RATE_LIMITED
-              && result.hosts().size() < h.count()) {
-            refusedUntil.put(h.kind(), now + REFUSAL_TTL_S);
+              && result.hosts().size() < request.count()) {
+            refusedUntil.put(request.kind(), now + REFUSAL_TTL_S);
           }
         });
   }
 
   /** Returns false if no deletion of the operation applies any more. */
-  private boolean execute(DeleteOperation act) {
+  private boolean execute(DeleteOperation operation) {
     double now = timers.now();
     Map<String, ReturnReason> applicable = new LinkedHashMap<>();
     List<String> obsolete = new ArrayList<>();
-    for (String host : act.hosts()) {
-      ReturnReason why = intents.deletions.get(host);
+    for (String host : operation.hosts()) {
+      ReturnReason reason = intents.deletions.get(host);
       MachineView view = machineView(host);
       Double until = deferredUntil.get(host);
-      if (why.stillApplies(view)) {
-        applicable.put(host, why);
+      if (reason.stillApplies(view)) {
+        applicable.put(host, reason);
         deferredUntil.remove(host);
-      } else if (act.outcomeUnknown()
-          && why.mayApplyLater(view)
+      } else if (operation.outcomeUnknown()
+          && reason.mayApplyLater(view)
           && (until == null || now <= until)) {
         // An earlier request may still be in flight. After a restart of all controllers, holders
         // reach their machines within a lease and close them, so that no task runs on the machine
@@ -328,14 +341,14 @@
         hosts,
         result -> {
           if (result == CloudClient.DeletionResult.CONFIRMED) {
-            confirmedDeletions.record(hosts);
+            deletionRecorder.record(hosts);
           }
           if (inTerm != term) {
             return;
           }
           if (result == CloudClient.DeletionResult.CONFIRMED) {
             completeDeletions(hosts, true);
-          } else if (result == CloudClient.DeletionResult.REFUSED && !act.outcomeUnknown()) {
+          } else if (result == CloudClient.DeletionResult.REFUSED && !operation.outcomeUnknown()) {
             // No request is in flight, so the return can be decided again.
             completeDeletions(hosts, false);
           } else {
@@ -345,13 +358,14 @@
     return true;
   }
 
+  /** The holder's view of the machine, or null if no controller holds it. */
   private MachineView machineView(String host) {
-    MachineTable.Entry seen = room.get(host);
-    return seen == null ? null : seen.view();
+    MachineTable.Entry entry = machines.get(host);
+    return entry == null ? null : entry.view();
   }
 
   private void completeDeletions(List<String> hosts, boolean confirmed) {
-    inventory.deleted(hosts, confirmed, timers.now());
+    inventory.completeDeletions(hosts, confirmed, timers.now());
     intents.deletions.keySet().removeAll(hosts);
     dirty |= !hosts.isEmpty();
   }
--- a/src/main/java/dev/dunefront/fleet/DeletionRecorder.java
+++ b/src/main/java/dev/dunefront/fleet/DeletionRecorder.java
@@ -32,6 +32,7 @@
     this.maxPerTransaction = Math.max(1, changes);
   }
 
+  /** Records the deletions that are not recorded yet; retries until they are. */
   void record(List<String> hosts) {
     List<String> unrecorded = new ArrayList<>();
     for (String host : hosts) {
@@ -46,16 +47,16 @@
   }
 
   private void write(List<String> hosts) {
-    String mark = store.newWriteId();
+    String writeId = store.newWriteId();
     Txn txn = new Txn();
     for (String host : hosts) {
       HoldTable.Hold hold = holds.recordOf(host);
       txn.requireRevision(HoldTable.key(host), hold == null ? 0 : hold.revision())
-          .put(HoldTable.key(host), HoldTable.writeDeleted(timers.wallClockMs(), mark));
+          .put(HoldTable.key(host), HoldTable.writeDeleted(timers.wallClockMs(), writeId));
     }
     store.commit(
         txn,
-        mark,
+        writeId,
         done -> {
           if (!done.ok()) {
             // One of the holds has changed: write each separately, so that it delays no other.
--- a/src/main/java/dev/dunefront/fleet/DemandForecast.java
+++ b/src/main/java/dev/dunefront/fleet/DemandForecast.java
@@ -32,6 +32,7 @@
 
   private DemandForecast() {}
 
+  /** Open and recently arrived services of one job class. */
   private static final class Arrivals {
     final double[] tasksByWindow = new double[WINDOWS];
     double openTasks;
--- a/src/main/java/dev/dunefront/fleet/Intents.java
+++ b/src/main/java/dev/dunefront/fleet/Intents.java
@@ -24,7 +24,7 @@
   /** Upper bound of the encoded size of a group without its host names. */
   private static final int BYTES_PER_GROUP = 120;
 
-  /** Machines rented by one request; {@code atMs} is a time of day. */
+  /** Machines rented by one request; {@code rentedAtMs} is a time of day. */
   record CompletedRent(MachineKind kind, long rentedAtMs, List<String> hosts) {}
 
   /** Rent requests sent or about to be sent, by name. */
@@ -49,8 +49,8 @@
   Document write(int maxBytes) {
     int left = maxBytes;
     List<Document> rentDocs = new ArrayList<>();
-    for (RentRequest h : rentRequests.values()) {
-      rentDocs.add(kind(h.kind()).put("name", h.name()).put("n", h.count()));
+    for (RentRequest request : rentRequests.values()) {
+      rentDocs.add(kind(request.kind()).put("name", request.name()).put("n", request.count()));
       left -= BYTES_PER_GROUP;
     }
     Map<String, List<String>> reasons = new LinkedHashMap<>();
--- a/src/main/java/dev/dunefront/fleet/Inventory.java
+++ b/src/main/java/dev/dunefront/fleet/Inventory.java
@@ -19,11 +19,14 @@
   private final double listLagS;
   private final Map<String, ListedMachine> listed = new HashMap<>();
   private final Map<String, Expected> expected = new HashMap<>();
-  private final Map<String, Double> deleted = new HashMap<>();
-  private final Set<String> deleting = new HashSet<>();
 
-  Inventory(double lagS) {
-    this.listLagS = lagS;
+  /** Confirmed deletions, with their time on the steady clock. */
+  private final Map<String, Double> deletedAt = new HashMap<>();
+
+  private final Set<String> pendingDeletions = new HashSet<>();
+
+  Inventory(double listLagS) {
+    this.listLagS = listLagS;
   }
 
   /**
@@ -32,7 +35,7 @@
   void clear() {
     listed.clear();
     expected.clear();
-    deleting.clear();
+    pendingDeletions.clear();
   }
 
   /** Whether the machine was rented and the list does not show it yet. */
@@ -52,7 +55,7 @@
     }
     listed.clear();
     listed.putAll(next);
-    deleted.values().removeIf(at -> now - at > 20 * listLagS);
+    deletedAt.values().removeIf(at -> now - at > 20 * listLagS);
     expected.values().removeIf(e -> now - e.rentedAt > 4 * listLagS);
   }
 
@@ -62,31 +65,31 @@
   }
 
   /** Marks machines whose deletion is recorded but not confirmed. */
-  void deleting(List<String> hosts) {
-    deleting.addAll(hosts);
+  void markDeleting(List<String> hosts) {
+    pendingDeletions.addAll(hosts);
   }
 
   /** Ends pending deletions, either confirmed by the cloud or cancelled. */
-  void deleted(List<String> hosts, boolean confirmed, double now) {
-    deleting.removeAll(hosts);
+  void completeDeletions(List<String> hosts, boolean confirmed, double now) {
+    pendingDeletions.removeAll(hosts);
     if (confirmed) {
       for (String host : hosts) {
-        deleted.put(host, now);
+        deletedAt.put(host, now);
         listed.remove(host);
       }
     }
   }
 
   boolean isDeleted(String host) {
-    return deleted.containsKey(host);
+    return deletedAt.containsKey(host);
   }
 
   boolean isDeleting(String host) {
-    return deleting.contains(host);
+    return pendingDeletions.contains(host);
   }
 
   int pendingDeletionCount() {
-    return deleting.size();
+    return pendingDeletions.size();
   }
 
   Collection<ListedMachine> listed() {
@@ -98,10 +101,10 @@
   }
 
   /** Counts the machines that are rented and that no controller holds yet. */
-  Map<MachineKind, Double> arrivingByKind(MachineTable room) {
+  Map<MachineKind, Double> arrivingByKind(MachineTable machines) {
     Map<MachineKind, Double> arriving = new HashMap<>();
     for (ListedMachine l : listed.values()) {
-      if (!l.failed() && !deleted.containsKey(l.host()) && room.get(l.host()) == null) {
+      if (!l.failed() && !deletedAt.containsKey(l.host()) && machines.get(l.host()) == null) {
         arriving.merge(l.kind(), 1.0, Double::sum);
       }
     }
--- a/src/main/java/dev/dunefront/fleet/MachineCatalog.java
+++ b/src/main/java/dev/dunefront/fleet/MachineCatalog.java
@@ -103,9 +103,9 @@
     if (!spec.service() && urgentArraysByClass.size() < MAX_SEEN_SIZES) {
       urgentArraysByClass.putIfAbsent(spec.jobClass(), spec);
     }
-    MachineType home = cheapestType(spec);
-    if (home != null) {
-      cheapestUrgentTypes.add(home.name());
+    MachineType cheapest = cheapestType(spec);
+    if (cheapest != null) {
+      cheapestUrgentTypes.add(cheapest.name());
     }
   }
 
@@ -130,15 +130,15 @@
    * for a job that allows them, or if no type fits.
    */
   public MachineType cheapestType(JobSpec spec) {
-    MachineType home = null;
+    MachineType cheapest = null;
     for (MachineType t : types()) {
       if (!spec.spotAllowed()
           && allowsType(spec, t)
-          && (home == null || taskPrice(spec, t) < taskPrice(spec, home))) {
-        home = t;
+          && (cheapest == null || taskPrice(spec, t) < taskPrice(spec, cheapest))) {
+        cheapest = t;
       }
     }
-    return home;
+    return cheapest;
   }
 
   /** Cost of one task on a fully used on-demand machine of the type. */
@@ -166,8 +166,9 @@
    * machine on which it starts, so it keeps costing the higher price.
    */
   public boolean isExpensive(JobSpec spec, MachineType type) {
-    MachineType home = spec.service() ? cheapestType(spec) : null;
-    return home != null && taskPrice(spec, type) > EXPENSIVE_PRICE_RATIO * taskPrice(spec, home);
+    MachineType cheapest = spec.service() ? cheapestType(spec) : null;
+    return cheapest != null
+        && taskPrice(spec, type) > EXPENSIVE_PRICE_RATIO * taskPrice(spec, cheapest);
   }
 
   /**
@@ -178,8 +179,8 @@
     boolean smallerAllowed = false;
     Set<Resources> needLarge = new HashSet<>(seenSizes);
     for (MachineType t : types()) {
-      int times = spec.taskResources().countFittingIn(t.resources());
-      if (times > 0 && times < OVERSIZE_TASKS) {
+      int perMachine = spec.taskResources().countFittingIn(t.resources());
+      if (perMachine > 0 && perMachine < OVERSIZE_TASKS) {
         smallerAllowed |= spec.machineTypes() == null || spec.machineTypes().contains(t.name());
         needLarge.removeIf(s -> s.fitsIn(t.resources()));
       }
@@ -209,13 +210,13 @@
                 "/catalog",
                 null,
                 3,
-                reply ->
+                response ->
                     decisionLock.run(
                         () -> {
                           Document doc = null;
-                          if (reply.ok()) {
+                          if (response.ok()) {
                             try {
-                              doc = Document.decode(reply.body());
+                              doc = Document.decode(response.body());
                             } catch (MalformedMessageException e) {
                               // fetched again below
                             }
@@ -246,9 +247,9 @@
       return false;
     }
     types = read;
-    Set<String> all = new TreeSet<>();
-    read.values().forEach(t -> all.addAll(t.zones()));
-    zones = all;
+    Set<String> allZones = new TreeSet<>();
+    read.values().forEach(t -> allZones.addAll(t.zones()));
+    zones = allZones;
     return true;
   }
 }
--- a/src/main/java/dev/dunefront/fleet/MachineHealth.java
+++ b/src/main/java/dev/dunefront/fleet/MachineHealth.java
@@ -30,7 +30,7 @@
   private final Settings settings;
   private final Membership membership;
   private final HoldTable holds;
-  private final MachineTable room;
+  private final MachineTable machines;
   private final MachineCatalog catalog;
   private final Inventory inventory;
   private final Map<String, Double> silentSince = new HashMap<>();
@@ -46,13 +46,13 @@
       Settings settings,
       Membership membership,
       HoldTable holds,
-      MachineTable room,
+      MachineTable machines,
       MachineCatalog catalog,
       Inventory inventory) {
     this.settings = settings;
     this.membership = membership;
     this.holds = holds;
-    this.room = room;
+    this.machines = machines;
     this.catalog = catalog;
     this.inventory = inventory;
   }
@@ -62,9 +62,9 @@
    *
    * @param nowMs the time of day that corresponds to {@code now} on the steady clock
    */
-  void startTerm(Intents left, double now, long nowMs) {
-    restore(left.silentSinceMs, silentSince, now, nowMs);
-    restore(left.unlistedSinceMs, unlistedSince, now, nowMs);
+  void startTerm(Intents previous, double now, long nowMs) {
+    restore(previous.silentSinceMs, silentSince, now, nowMs);
+    restore(previous.unlistedSinceMs, unlistedSince, now, nowMs);
   }
 
   private static void restore(
@@ -94,59 +94,59 @@
   }
 
   /**
-   * Adds the machines to delete to {@code why}, with their reasons.
+   * Adds the machines to delete to {@code reasons}.
    *
    * @param watchedS time since this controller started its term
    * @param reporting controllers that have reported their demand
    * @param unreported machines with tasks for which no controller reports a view; changed by the
    *     call
    */
-  void check(
+  void addMachinesToReturn(
       double now,
       double watchedS,
       Set<String> reporting,
       Set<String> unreported,
-      Map<String, ReturnReason> why) {
-    double lease = settings.workers().leaseS();
+      Map<String, ReturnReason> reasons) {
+    double leaseS = settings.workers().leaseS();
     Set<String> silent = silentHosts(reporting);
     Set<String> partitioned = partitionedZones(silent);
     // The previous holder's times count, but this controller must have watched for a lease as well.
-    boolean watchedLease = watchedS > lease;
+    boolean watchedLease = watchedS > leaseS;
     Set<String> running = new HashSet<>();
     for (ListedMachine l : inventory.listed()) {
-      MachineTable.Entry seen = room.get(l.host());
+      MachineTable.Entry entry = machines.get(l.host());
       MachineType type = catalog.type(l.kind().type());
       if (l.failed()) {
-        why.put(l.host(), ReturnReason.FAILED);
+        reasons.put(l.host(), ReturnReason.FAILED);
       } else if (l.booting()) {
         double bootTimeout = 30 + 4 * (type == null ? 30 : type.bootS());
-        if (seen == null && now - l.statusSince() > bootTimeout) {
-          why.put(l.host(), ReturnReason.NOT_BOOTING);
+        if (entry == null && now - l.statusSince() > bootTimeout) {
+          reasons.put(l.host(), ReturnReason.NOT_BOOTING);
         }
       } else if (silent.contains(l.host())) {
         running.add(l.host());
         double since = silentSince.computeIfAbsent(l.host(), h -> now);
         double timeout =
             partitioned.contains(l.kind().zone())
-                ? PARTITION_TIMEOUT_LEASES * lease
-                : silenceTimeoutS(type, lease);
+                ? PARTITION_TIMEOUT_LEASES * leaseS
+                : silenceTimeoutS(type, leaseS);
         if (now - since > timeout && watchedLease) {
-          why.put(l.host(), ReturnReason.SILENT);
+          reasons.put(l.host(), ReturnReason.SILENT);
         }
       }
-      if (seen != null && seen.view().quarantined()) {
-        why.put(l.host(), ReturnReason.QUARANTINED);
+      if (entry != null && entry.view().quarantined()) {
+        reasons.put(l.host(), ReturnReason.QUARANTINED);
       }
     }
     silentSince.keySet().retainAll(running);
-    checkUnresponsive(now, lease, watchedLease, why);
+    checkUnresponsive(now, leaseS, watchedLease, reasons);
     if (now - straysScannedAt > STRAY_SCAN_INTERVAL_S) {
       straysScannedAt = now;
       strays = strays();
     }
     unreported.addAll(strays);
     checkUnlisted(
-        now, watchedLease && watchedS > 2 * settings.cloudLimits().listLagS(), unreported, why);
+        now, watchedLease && watchedS > 2 * settings.cloudLimits().listLagS(), unreported, reasons);
   }
 
   /**
@@ -156,20 +156,20 @@
    * starts the timeout again.
    */
   private void checkUnresponsive(
-      double now, double lease, boolean watchedLease, Map<String, ReturnReason> why) {
-    Set<String> notReceiving = new HashSet<>();
-    for (MachineTable.Entry seen : room.all()) {
-      if (seen.view().unresponsive()) {
-        String host = seen.view().host();
-        notReceiving.add(host);
+      double now, double leaseS, boolean watchedLease, Map<String, ReturnReason> reasons) {
+    Set<String> unresponsive = new HashSet<>();
+    for (MachineTable.Entry entry : machines.all()) {
+      if (entry.view().unresponsive()) {
+        String host = entry.view().host();
+        unresponsive.add(host);
         double since = unresponsiveSince.computeIfAbsent(host, h -> now);
-        double timeout = silenceTimeoutS(catalog.type(seen.view().type()), lease);
+        double timeout = silenceTimeoutS(catalog.type(entry.view().type()), leaseS);
         if (now - since > timeout && watchedLease) {
-          why.put(host, ReturnReason.DEAF);
+          reasons.put(host, ReturnReason.DEAF);
         }
       }
     }
-    unresponsiveSince.keySet().retainAll(notReceiving);
+    unresponsiveSince.keySet().retainAll(unresponsive);
   }
 
   /**
@@ -179,16 +179,16 @@
    * they would never be placed again.
    */
   private void checkUnlisted(
-      double now, boolean watched, Set<String> unreported, Map<String, ReturnReason> why) {
+      double now, boolean watched, Set<String> unreported, Map<String, ReturnReason> reasons) {
     unreported.removeIf(
-        h -> inventory.isListed(h) || inventory.isDeleted(h) || isReporting(room.get(h)));
+        h -> inventory.isListed(h) || inventory.isDeleted(h) || isReporting(machines.get(h)));
     unlistedSince.keySet().retainAll(unreported);
     // A new machine is listed within twice the list lag and stays listed until it is deleted.
     double timeout = 2 * settings.workers().leaseS() + 3 * settings.cloudLimits().listLagS();
     for (String host : unreported) {
       double since = unlistedSince.computeIfAbsent(host, h -> now);
       if (now - since > timeout && watched) {
-        why.put(host, ReturnReason.UNLISTED);
+        reasons.put(host, ReturnReason.UNLISTED);
       }
     }
   }
@@ -201,8 +201,8 @@
   private Set<String> strays() {
     Set<String> found = new HashSet<>();
     for (HoldTable.Hold h : holds.records()) {
-      MachineTable.Entry seen = room.get(h.host());
-      boolean held = seen != null && !seen.view().leaseExpired();
+      MachineTable.Entry entry = machines.get(h.host());
+      boolean held = entry != null && !entry.view().leaseExpired();
       if (!h.machineDeleted()
           && !held
           && !inventory.isListed(h.host())
@@ -218,9 +218,9 @@
    * failed machines as failed; a silent one mostly hangs or is partitioned, and returns with its
    * cached images before a replacement has fetched them.
    */
-  private double silenceTimeoutS(MachineType type, double lease) {
+  private double silenceTimeoutS(MachineType type, double leaseS) {
     double bootS = type == null ? 30 : type.bootS();
-    return 2 * lease + 1.5 * bootS + settings.cloudLimits().listLagS();
+    return 2 * leaseS + 1.5 * bootS + settings.cloudLimits().listLagS();
   }
 
   /**
@@ -247,15 +247,15 @@
     return partitioned;
   }
 
-  private static boolean isReporting(MachineTable.Entry seen) {
-    return seen != null && seen.view().tokenAcknowledged() && !seen.view().leaseExpired();
+  private static boolean isReporting(MachineTable.Entry entry) {
+    return entry != null && entry.view().tokenAcknowledged() && !entry.view().leaseExpired();
   }
 
   /** Running listed machines from which no controller receives reports. */
   private Set<String> silentHosts(Set<String> reporting) {
     Set<String> silent = new HashSet<>();
     for (ListedMachine l : inventory.listed()) {
-      if (!l.failed() && !l.booting() && isSilent(l, room.get(l.host()), reporting)) {
+      if (!l.failed() && !l.booting() && isSilent(l, machines.get(l.host()), reporting)) {
         silent.add(l.host());
       }
     }
@@ -263,9 +263,9 @@
   }
 
   /** Whether no controller receives the machine's reports, as far as this controller knows. */
-  private boolean isSilent(ListedMachine l, MachineTable.Entry seen, Set<String> reporting) {
-    if (seen != null) {
-      return seen.view().leaseExpired();
+  private boolean isSilent(ListedMachine l, MachineTable.Entry entry, Set<String> reporting) {
+    if (entry != null) {
+      return entry.view().leaseExpired();
     }
     HoldTable.Hold hold = holds.holdOf(l.host(), l.kind().zone());
     if (hold == null || hold.machineDeleted()) {
--- a/src/main/java/dev/dunefront/fleet/RentPlan.java
+++ b/src/main/java/dev/dunefront/fleet/RentPlan.java
@@ -29,9 +29,9 @@
   /** Kinds planned for queued urgent tasks. */
   private final Set<MachineKind> urgentKinds = new HashSet<>();
 
-  RentPlan(MachineCatalog catalog, Set<MachineKind> refused) {
+  RentPlan(MachineCatalog catalog, Set<MachineKind> refusedKinds) {
     this.catalog = catalog;
-    this.refusedKinds = refused;
+    this.refusedKinds = refusedKinds;
   }
 
   /** Allocates existing or arriving machines that the tasks would use, and reduces both counts. */
--- a/src/main/java/dev/dunefront/fleet/ScalingPlanner.java
+++ b/src/main/java/dev/dunefront/fleet/ScalingPlanner.java
@@ -28,10 +28,10 @@
 
   private final Tunables tunables;
   private final JobTable jobs;
-  private final MachineTable room;
+  private final MachineTable machines;
   private final MachineCatalog catalog;
   private final Timers timers;
-  private final DeadlineRanking urgencies;
+  private final DeadlineRanking deadlineRanking;
   private final Inventory inventory;
   private final Collection<Message.Demand> demands;
 
@@ -42,18 +42,18 @@
   ScalingPlanner(
       Tunables tunables,
       JobTable jobs,
-      MachineTable room,
+      MachineTable machines,
       MachineCatalog catalog,
       Timers timers,
-      DeadlineRanking urgencies,
+      DeadlineRanking deadlineRanking,
       Inventory inventory,
       Collection<Message.Demand> demands) {
     this.tunables = tunables;
     this.jobs = jobs;
-    this.room = room;
+    this.machines = machines;
     this.catalog = catalog;
     this.timers = timers;
-    this.urgencies = urgencies;
+    this.deadlineRanking = deadlineRanking;
     this.inventory = inventory;
     this.demands = demands;
   }
@@ -77,51 +77,51 @@
    * per call, so a wave of jobs is served by a few large rent requests.
    */
   ScalingPlan plan(Set<MachineKind> refused) {
-    Map<MachineKind, Double> arriving = inventory.arrivingByKind(room);
+    Map<MachineKind, Double> arriving = inventory.arrivingByKind(machines);
     Map<MachineKind, Double> free = freeMachinesByKind();
     Map<MachineKind, Double> counts = machineCounts(arriving);
-    RentPlan market = new RentPlan(catalog, refused);
+    RentPlan rentPlan = new RentPlan(catalog, refused);
     Set<MachineKind> usable = new HashSet<>();
-    List<QueuedNeed> waiting = queuedNeeds();
+    List<QueuedNeed> queued = queuedNeeds();
     List<CapacityNeed> expected = expectedNeeds();
     boolean servicesPlanned = false;
     double tasksAhead = 0;
-    for (QueuedNeed w : waiting) {
+    for (QueuedNeed w : queued) {
       JobSpec spec = w.need.spec;
       if (!servicesPlanned && !spec.priority().urgent()) {
         // Machines arriving for service replicas are not allocated to arrays; otherwise they would
         // be rented again and again.
-        planExpected(market, expected, true, free, arriving);
+        planExpected(rentPlan, expected, true, free, arriving);
         servicesPlanned = true;
       }
-      market.allocate(w.need, arriving);
+      rentPlan.allocate(w.need, arriving);
       CapacityNeed remaining = w.need;
       if (spec.spotAllowed() && w.maxSpotWaitS < Double.POSITIVE_INFINITY) {
         tasksAhead += remaining.unmetTasks();
-        market.addMachines(remaining, true);
-        boolean spotAvailable = market.spotAvailable(spec);
+        rentPlan.addMachines(remaining, true);
+        boolean spotAvailable = rentPlan.spotAvailable(spec);
         // Tasks that spot machines can finish in time wait for them; on-demand machines are only
         // for the rest.
         double inTime =
             spotAvailable
                 ? tasksAhead
-                : spotSlots(market, spec, counts) * w.maxSpotWaitS / remaining.taskDurationS;
+                : spotSlots(rentPlan, spec, counts) * w.maxSpotWaitS / remaining.taskDurationS;
         remaining = remaining.split(Math.max(0, tasksAhead - inTime));
         counts.keySet().stream()
-            .filter(k -> k.spot() && market.wouldUse(spec, k))
+            .filter(k -> k.spot() && rentPlan.wouldUse(spec, k))
             .forEach(usable::add);
       }
       if (remaining.unmetTasks() > 0) {
-        counts.keySet().stream().filter(k -> market.wouldUse(spec, k)).forEach(usable::add);
-        market.addMachines(remaining, false);
+        counts.keySet().stream().filter(k -> rentPlan.wouldUse(spec, k)).forEach(usable::add);
+        rentPlan.addMachines(remaining, false);
       }
     }
     if (!servicesPlanned) {
-      planExpected(market, expected, true, free, arriving);
+      planExpected(rentPlan, expected, true, free, arriving);
     }
-    planExpected(market, expected, false, free, arriving);
-    MachineKind kind = market.kindToRent();
-    return new ScalingPlan(kind, kind == null ? 0 : market.plannedCount(kind), usable, free);
+    planExpected(rentPlan, expected, false, free, arriving);
+    MachineKind kind = rentPlan.kindToRent();
+    return new ScalingPlan(kind, kind == null ? 0 : rentPlan.plannedCount(kind), usable, free);
   }
 
   /** Forecast urgent tasks within the time until a rented machine takes tasks. */
@@ -138,16 +138,16 @@
   }
 
   private static void planExpected(
-      RentPlan market,
+      RentPlan rentPlan,
       List<CapacityNeed> expected,
       boolean services,
       Map<MachineKind, Double> free,
       Map<MachineKind, Double> arriving) {
     for (CapacityNeed need : expected) {
       if (need.spec.service() == services) {
-        market.allocate(need, free);
-        market.allocate(need, arriving);
-        market.addMachines(need, false);
+        rentPlan.allocate(need, free);
+        rentPlan.allocate(need, arriving);
+        rentPlan.addMachines(need, false);
       }
     }
   }
@@ -193,9 +193,9 @@
         bootS = Math.min(bootS, t.bootS());
       }
     }
-    double runS = urgencies.expectedRunS(spec) + fetchS;
+    double runS = deadlineRanking.expectedRunS(spec) + fetchS;
     double ageS = (timers.wallClockMs() - record.acceptedMs()) / 1000.0;
-    Double slackS = spec.priority().urgent() ? null : urgencies.slackS(spec, ageS, runS);
+    Double slackS = spec.priority().urgent() ? null : deadlineRanking.slackS(spec, ageS, runS);
     // Time must remain for an on-demand machine to boot; running tasks have half their run left.
     double maxSpotWaitS =
         slackS == null
@@ -206,11 +206,12 @@
   }
 
   /** How many of the job's tasks run concurrently on the existing and arriving spot machines. */
-  private static double spotSlots(RentPlan market, JobSpec spec, Map<MachineKind, Double> counts) {
+  private static double spotSlots(
+      RentPlan rentPlan, JobSpec spec, Map<MachineKind, Double> counts) {
     double slots = 0;
     for (var e : counts.entrySet()) {
       if (e.getKey().spot()) {
-        slots += e.getValue() * market.tasksPerMachine(spec, e.getKey());
+        slots += e.getValue() * rentPlan.tasksPerMachine(spec, e.getKey());
       }
     }
     return slots;
@@ -223,16 +224,16 @@
    */
   private Map<MachineKind, Double> freeMachinesByKind() {
     Map<MachineKind, Double> free = new HashMap<>();
-    for (MachineTable.Entry s : room.all()) {
+    for (MachineTable.Entry s : machines.all()) {
       MachineType t = catalog.type(s.view().type());
       if (t != null && t.resources().cpu() > 0 && (s.view().schedulable() || s.view().retiring())) {
         boolean borrowed =
             !s.view().spot()
                 && !s.view().hasUrgentTasks()
                 && catalog.isCheapestForUrgent(s.view().type());
-        double part =
+        double freeShare =
             borrowed ? 1 : Math.max(0, (double) s.view().free().cpu() / t.resources().cpu());
-        free.merge(kind(s), part, Double::sum);
+        free.merge(kind(s), freeShare, Double::sum);
       }
     }
     return free;
@@ -241,7 +242,7 @@
   /** Number of existing and arriving machines by kind. */
   private Map<MachineKind, Double> machineCounts(Map<MachineKind, Double> arriving) {
     Map<MachineKind, Double> counts = new HashMap<>(arriving);
-    room.all().forEach(s -> counts.merge(kind(s), 1.0, Double::sum));
+    machines.all().forEach(s -> counts.merge(kind(s), 1.0, Double::sum));
     return counts;
   }
 
@@ -265,7 +266,7 @@
   List<String> idleMachinesToReturn(ScalingPlan plan) {
     List<IdlePolicy.IdleMachine> idle = new ArrayList<>();
     long now = timers.wallClockMs();
-    for (MachineTable.Entry s : room.all()) {
+    for (MachineTable.Entry s : machines.all()) {
       // The holder reports this time, so the next holder of the rent duty knows it as well.
       long since = s.view().idleSinceMs();
       if (since > 0 && !inventory.isDeleted(s.view().host())) {
--- a/src/test/java/dev/dunefront/duty/ElectionPolicyTest.java
+++ b/src/test/java/dev/dunefront/duty/ElectionPolicyTest.java
@@ -22,14 +22,14 @@
   }
 
   private static Decision decide(
-      DutyRecord post,
+      DutyRecord dutyRecord,
       String self,
       List<Candidate> live,
       double vacantS,
       double heldS,
       double unfitS) {
     return ElectionPolicy.decide(
-        new Observation(Duty.RENT, post, self, live, vacantS, heldS, unfitS));
+        new Observation(Duty.RENT, dutyRecord, self, live, vacantS, heldS, unfitS));
   }
 
   @Test
--- a/src/test/java/dev/dunefront/fleet/IntentsTest.java
+++ b/src/test/java/dev/dunefront/fleet/IntentsTest.java
@@ -45,12 +45,12 @@
   @Test
   void recordOfThousandsOfMachinesStaysWithinTheSizeLimit() throws MalformedMessageException {
     Intents i = sampleIntents();
-    for (int hire = 0; hire < 40; hire++) {
+    for (int request = 0; request < 40; request++) {
       List<String> hosts = new ArrayList<>();
       for (int n = 0; n < 50; n++) {
-        hosts.add(String.format("host-%06d", hire * 50 + n));
+        hosts.add(String.format("host-%06d", request * 50 + n));
       }
-      i.completedRents.add(new Intents.CompletedRent(SMALL, 60_000 + hire, hosts));
+      i.completedRents.add(new Intents.CompletedRent(SMALL, 60_000 + request, hosts));
     }
     for (int n = 0; n < 1000; n++) {
       i.silentSinceMs.put(String.format("host-%06d", 5000 + n), n * 1000L);
@@ -74,7 +74,11 @@
   }
 
   private static MachineView view(
-      boolean settled, boolean lost, boolean quarantined, boolean retiring, int running) {
+      boolean tokenAcknowledged,
+      boolean leaseExpired,
+      boolean quarantined,
+      boolean retiring,
+      int running) {
     return new MachineView(
         "h",
         "t",
@@ -83,8 +87,8 @@
         1,
         1,
         1,
-        settled,
-        lost,
+        tokenAcknowledged,
+        leaseExpired,
         !retiring,
         quarantined,
         retiring,
@@ -98,9 +102,9 @@
   }
 
   /**
-   * The columns for each reason: not held, closed and empty, open, running, quarantined, lost. The
-   * controller that recorded a deletion may be replaced before it is sent, and tasks may have been
-   * placed on the machine in the meantime.
+   * The columns for each reason: not held, retiring and empty, schedulable, running, quarantined,
+   * lease expired. The controller that recorded a deletion may be replaced before it is sent, and
+   * tasks may have been placed on the machine in the meantime.
    */
   @Test
   void recordedDeletionAppliesOnlyIfNoTaskCanHaveBeenPlacedSince() {
--- a/src/test/java/dev/dunefront/fleet/RentPlanTest.java
+++ b/src/test/java/dev/dunefront/fleet/RentPlanTest.java
@@ -75,14 +75,14 @@
   private final JobSpec replicas = spec("wk-1", true, 12, 1, 1.4);
   private final JobSpec array = spec("wk-2", false, 60, 4, 6.5);
 
-  private Map<MachineKind, Integer> planned(RentPlan market) {
+  private Map<MachineKind, Integer> planned(RentPlan rentPlan) {
     Map<MachineKind, Integer> all = new HashMap<>();
     for (String type : List.of("slim", "wide")) {
       for (String zone : List.of("a", "b", "c")) {
         for (boolean spot : new boolean[] {false, true}) {
           MachineKind kind = new MachineKind(type, zone, spot);
-          if (market.plannedCount(kind) > 0) {
-            all.put(kind, market.plannedCount(kind));
+          if (rentPlan.plannedCount(kind) > 0) {
+            all.put(kind, rentPlan.plannedCount(kind));
           }
         }
       }
@@ -95,9 +95,9 @@
   void smallTasksUseTheLargeTypeUnlessAnotherJobNeedsIt() {
     catalog.observe(replicas);
     catalog.observe(array);
-    RentPlan market = new RentPlan(catalog, refused);
-    market.addMachines(CapacityNeed.forQueued(replicas, 32, Map.of(), 0), false);
-    assertEquals(Map.of(WIDE_A, 2), planned(market));
+    RentPlan rentPlan = new RentPlan(catalog, refused);
+    rentPlan.addMachines(CapacityNeed.forQueued(replicas, 32, Map.of(), 0), false);
+    assertEquals(Map.of(WIDE_A, 2), planned(rentPlan));
     catalog.observe(spec("wk-3", false, 1, 16, 27));
     RentPlan other = new RentPlan(catalog, refused);
     other.addMachines(CapacityNeed.forQueued(replicas, 32, Map.of(), 0), false);
@@ -109,22 +109,22 @@
   void replicasAreNotAllocatedToMachinesTheyWouldNotUse() {
     catalog.observe(replicas);
     MachineKind slim = new MachineKind("slim", "c", false);
-    RentPlan market = new RentPlan(catalog, refused);
+    RentPlan rentPlan = new RentPlan(catalog, refused);
     CapacityNeed need = CapacityNeed.forQueued(replicas, 12, Map.of(), 0);
-    market.allocate(need, new HashMap<>(Map.of(slim, 9.0)));
+    rentPlan.allocate(need, new HashMap<>(Map.of(slim, 9.0)));
     assertEquals(12, need.unmetTasks());
     refused.addAll(Set.of(WIDE_A, WIDE_B));
-    market.allocate(need, new HashMap<>(Map.of(slim, 9.0)));
+    rentPlan.allocate(need, new HashMap<>(Map.of(slim, 9.0)));
     assertEquals(0, need.unmetTasks(), "the other type is used while the cheaper one is refused");
   }
 
   /** Tasks that must be spread could never all be placed on machines of a single zone. */
   @Test
   void spreadTasksGetMachinesInTheZonesStillAllowed() {
-    RentPlan market = new RentPlan(catalog, refused);
-    market.addMachines(
+    RentPlan rentPlan = new RentPlan(catalog, refused);
+    rentPlan.addMachines(
         CapacityNeed.forQueued(replicas, 12, Map.of("a", 6, "b", 6, "c", 6), 0), false);
-    assertEquals(Map.of(WIDE_A, 1, WIDE_B, 1), planned(market));
+    assertEquals(Map.of(WIDE_A, 1, WIDE_B, 1), planned(rentPlan));
     RentPlan rest = new RentPlan(catalog, refused);
     rest.addMachines(CapacityNeed.forQueued(replicas, 6, Map.of("a", 0, "b", 6), 0), false);
     assertEquals(Map.of(WIDE_B, 1), planned(rest));
@@ -139,10 +139,10 @@
    */
   @Test
   void nothingIsRentedForTasksThatNoZoneAllows() {
-    RentPlan market = new RentPlan(catalog, refused);
-    market.addMachines(
+    RentPlan rentPlan = new RentPlan(catalog, refused);
+    rentPlan.addMachines(
         CapacityNeed.forQueued(replicas, 6, Map.of("a", 0, "b", 0, "c", 0), 0), false);
-    assertNull(market.kindToRent());
+    assertNull(rentPlan.kindToRent());
   }
 
   /** The rest is rented by the next request; until then no more expensive kind is used. */
@@ -150,20 +150,20 @@
   void noDearerKindIsRentedWhenTheCheapestReachesItsRequestLimit() {
     refused.add(new MachineKind("wide", "a", true));
     refused.add(new MachineKind("wide", "b", true));
-    RentPlan market = new RentPlan(catalog, refused);
-    market.addMachines(CapacityNeed.forQueued(array, 1000, Map.of(), 0), false);
-    assertTrue(planned(market).keySet().stream().allMatch(MachineKind::spot));
-    assertTrue(market.spotAvailable(array));
-    assertFalse(market.spotAvailable(replicas));
+    RentPlan rentPlan = new RentPlan(catalog, refused);
+    rentPlan.addMachines(CapacityNeed.forQueued(array, 1000, Map.of(), 0), false);
+    assertTrue(planned(rentPlan).keySet().stream().allMatch(MachineKind::spot));
+    assertTrue(rentPlan.spotAvailable(array));
+    assertFalse(rentPlan.spotAvailable(replicas));
   }
 
   @Test
   void theNextCheapestKindIsRentedWhenOneIsRefused() {
     refused.add(WIDE_A);
     refused.add(WIDE_B);
-    RentPlan market = new RentPlan(catalog, refused);
-    market.addMachines(CapacityNeed.forQueued(replicas, 4, Map.of(), 0), false);
-    assertEquals(Map.of(new MachineKind("slim", "a", false), 1), planned(market));
+    RentPlan rentPlan = new RentPlan(catalog, refused);
+    rentPlan.addMachines(CapacityNeed.forQueued(replicas, 4, Map.of(), 0), false);
+    assertEquals(Map.of(new MachineKind("slim", "a", false), 1), planned(rentPlan));
     RentPlan spot = new RentPlan(catalog, Set.of(SLIM_SPOT_C));
     spot.addMachines(CapacityNeed.forQueued(replicas, 4, Map.of(), 0), true);
     assertNull(spot.kindToRent(), "replicas may not run on spot machines");
