--- a/src/main/java/dev/dunefront/fleet/Autoscaler.java
+++ b/src/main/java/dev/dunefront/fleet/Autoscaler.java
@@ -143,7 +143,7 @@
     return operations.repeatedCount();
   }
 
-  /** Number of recorded operations that no longer applied when they were due. */
+  /** Number of operations that no longer applied when they were due, or were recorded late. */
   public int droppedOperations() {
     return operations.droppedCount();
   }
--- a/src/main/java/dev/dunefront/fleet/CloudOperations.java
+++ b/src/main/java/dev/dunefront/fleet/CloudOperations.java
@@ -375,7 +375,9 @@
     return repeatedCount;
   }
 
-  /** Number of recorded operations that were dropped because they no longer applied. */
+  /**
+   * Number of operations that were dropped because they no longer applied or were recorded late.
+   */
   int droppedCount() {
     return droppedCount;
   }
