--- a/src/main/java/dev/dunefront/duty/Duties.java
+++ b/src/main/java/dev/dunefront/duty/Duties.java
@@ -183,7 +183,7 @@
     timerLagByNode.put(from, timerLagS);
   }
 
-  /** Forgets the timer lag of a controller that is not reachable any more. */
+  /** Removes the timer lag of a controller that is not reachable any more. */
   public void peerDisconnected(String from) {
     timerLagByNode.remove(from);
   }
--- a/src/main/java/dev/dunefront/fleet/Autoscaler.java
+++ b/src/main/java/dev/dunefront/fleet/Autoscaler.java
@@ -133,7 +133,7 @@
     demands.put(from, demand);
   }
 
-  /** Forgets the demand of a controller that is not reachable any more. */
+  /** Removes the demand of a controller that is not reachable any more. */
   public void peerDisconnected(String node) {
     demands.remove(node);
   }
