--- a/src/main/java/dev/dunefront/cleanup/MachineRecordCleanup.java
+++ b/src/main/java/dev/dunefront/cleanup/MachineRecordCleanup.java
@@ -9,23 +9,23 @@
 import java.util.List;
 
 /**
- * Forgets machines whose deletion the cloud has confirmed a while ago, for the controller that has
- * this duty. Nothing but the records themselves says how far it has come, so whoever has the duty
- * next goes on from there.
+ * Removes the records of machines whose deletion the cloud confirmed some time ago, while this
+ * controller holds the clean-up duty. The records themselves are the only state, so the next holder
+ * of the duty continues from them.
  *
- * <p>A record that says that a machine is gone proves its tasks gone, and keeps late reports of the
- * machine from being believed. Packets are held for minutes at most, and every job with a task on
- * the machine hears of its end as soon as the job has a claimant; after {@code burial_s} neither is
- * to be expected. Should one come all the same it costs time and breaks no rule: the machine is
- * held once more, found silent, and proven gone once more.
+ * <p>The record of a deleted machine proves that its task attempts are over and invalidates late
+ * reports from the machine. Packets are delayed by minutes at most, and every job with a task on
+ * the machine processes the deletion as soon as a controller has claimed the job; after {@code
+ * burial_s} neither is to be expected. A later report costs time but violates no invariant: the
+ * machine is held again, found silent, and its deletion is confirmed again.
  */
 public final class MachineRecordCleanup {
   private static final System.Logger LOG = System.getLogger(MachineRecordCleanup.class.getName());
 
-  /** How often some records are removed. */
+  /** Interval between removals. */
   private static final double INTERVAL_S = 2;
 
-  /** The part of the state service's changes that this may take. */
+  /** Fraction of the state service's write budget that removals may use. */
   private static final double WRITE_BUDGET_FRACTION = 0.03;
 
   private final ControllerContext context;
@@ -44,16 +44,16 @@
         Math.max(1, Math.min(context.settings().stateLimits().txnOps(), (int) changes));
   }
 
-  /** Called several times a second. */
+  /** Runs several times a second. */
   public void tick() {
-    long mine = context.duties().term(Duty.CLEANUP);
+    long heldTerm = context.duties().term(Duty.CLEANUP);
     double now = context.timers().now();
-    if (mine != term) {
-      term = mine;
+    if (heldTerm != term) {
+      term = heldTerm;
       termStartedAt = now;
       writeInProgress = false;
     }
-    if (mine == 0 || writeInProgress || now < nextRunAt || context.store().unavailable()) {
+    if (heldTerm == 0 || writeInProgress || now < nextRunAt || context.store().unavailable()) {
       return;
     }
     nextRunAt = now + INTERVAL_S;
@@ -62,22 +62,26 @@
     }
     long nowMs = context.timers().wallClockMs();
     double keepMs = context.tunables().burialS() * 1000;
-    boolean watched = now - termStartedAt > context.tunables().burialS();
-    List<HoldTable.Hold> old =
+    boolean heldLongEnough = now - termStartedAt > context.tunables().burialS();
+    List<HoldTable.Hold> expired =
         context.holds().deletedMachines().stream()
-            // A record of an earlier version has no time: it is old once it was seen for so long.
+            // A record of an earlier version has no time; it expires after this controller has held
+            // the duty for the retention time.
             .filter(
-                h -> h.machineDeletedAtMs() > 0 ? nowMs - h.machineDeletedAtMs() > keepMs : watched)
+                h ->
+                    h.machineDeletedAtMs() > 0
+                        ? nowMs - h.machineDeletedAtMs() > keepMs
+                        : heldLongEnough)
             .limit(maxPerTransaction)
             .toList();
-    if (!old.isEmpty()) {
-      remove(old, mine);
+    if (!expired.isEmpty()) {
+      remove(expired, heldTerm);
     }
   }
 
-  private void remove(List<HoldTable.Hold> old, long inTerm) {
+  private void remove(List<HoldTable.Hold> expired, long inTerm) {
     Txn txn = context.duties().guard(Duty.CLEANUP, inTerm, new Txn());
-    for (HoldTable.Hold h : old) {
+    for (HoldTable.Hold h : expired) {
       txn.requireRevision(HoldTable.key(h.host()), h.revision()).remove(HoldTable.key(h.host()));
     }
     writeInProgress = true;
@@ -92,9 +96,9 @@
               }
               writeInProgress = false;
               if (done.ok()) {
-                removedCount += old.size();
-                LOG.log(Level.DEBUG, "forgets {0} machines that are gone", old.size());
-                old.forEach(
+                removedCount += expired.size();
+                LOG.log(Level.DEBUG, "removed the records of {0} deleted machines", expired.size());
+                expired.forEach(
                     h -> context.replica().apply(HoldTable.key(h.host()), null, done.revision()));
               }
             });
--- a/src/main/java/dev/dunefront/duty/Duties.java
+++ b/src/main/java/dev/dunefront/duty/Duties.java
@@ -18,14 +18,15 @@
 import java.util.Map;
 
 /**
- * The duties of this controller: takes those that nobody has, hands over what it cannot do, and
- * fences what is done for them. A write for a duty is conditional on the duty's record at its term;
- * a message to another controller names the term, and whoever has seen a higher one refuses it.
+ * The duties of this controller: acquires vacant duties, hands over those that it cannot perform,
+ * and fences all operations for a duty by its term. A write for a duty is conditional on the duty's
+ * record at that term; a message to another controller carries the term, and a receiver that knows
+ * a higher one rejects it.
  */
 public final class Duties {
   private static final System.Logger LOG = System.getLogger(Duties.class.getName());
 
-  /** How long after a write for a duty's record the next is tried. */
+  /** Pause after a write of a duty's record before the next one. */
   private static final double WRITE_INTERVAL_S = 0.5;
 
   private final String node;
@@ -35,19 +36,19 @@
   private final Peers peers;
   private final Timers timers;
   private final DecisionLock decisionLock;
-  private final PauseDetector standstill;
+  private final PauseDetector pauseDetector;
   private final Map<Duty, DutyState> states = new EnumMap<>(Duty.class);
 
-  /** By how much the timers of controllers within reach are late, as they tell. */
+  /** Timer lag in seconds that each reachable controller reports, by node. */
   private final Map<String, Double> timerLagByNode = new HashMap<>();
 
   private double ownTimerLagS;
 
-  /** What is known of one duty here. */
+  /** This controller's view of one duty. */
   private static final class DutyState {
     DutyRecord record = DutyRecord.VACANT;
 
-    /** The highest term that anybody has named; above that of the record while that lags. */
+    /** The highest known term; exceeds that of {@code record} while the replica lags. */
     long highestTerm;
 
     double vacantSince = Double.NaN;
@@ -56,7 +57,7 @@
     boolean incapable;
     boolean writePending;
 
-    /** Whom the write under way names. */
+    /** The incarnation named as holder by the write in progress. */
     String pendingHolder;
 
     int refusals;
@@ -73,7 +74,7 @@
       Peers peers,
       Timers timers,
       DecisionLock decisionLock,
-      PauseDetector standstill) {
+      PauseDetector pauseDetector) {
     this.node = node;
     this.store = store;
     this.replica = replica;
@@ -81,165 +82,165 @@
     this.peers = peers;
     this.timers = timers;
     this.decisionLock = decisionLock;
-    this.standstill = standstill;
+    this.pauseDetector = pauseDetector;
     for (Duty d : Duty.values()) {
       states.put(d, new DutyState());
       replica.addListener(
-          d.key(), (rest, value, stamp) -> recordChanged(d, DutyRecord.read(value, stamp)));
+          d.key(), (suffix, value, revision) -> recordChanged(d, DutyRecord.read(value, revision)));
     }
   }
 
-  private void recordChanged(Duty duty, DutyRecord post) {
-    DutyState seat = states.get(duty);
-    boolean before = seat.record.heldBy(membership.ownIncarnation());
+  private void recordChanged(Duty duty, DutyRecord current) {
+    DutyState state = states.get(duty);
+    boolean heldBefore = state.record.heldBy(membership.ownIncarnation());
     double now = timers.now();
-    if (post.vacant()) {
-      seat.vacantSince = now;
+    if (current.vacant()) {
+      state.vacantSince = now;
     } else {
-      if (!Double.isNaN(seat.vacantSince)) {
-        seat.longestVacancyS = Math.max(seat.longestVacancyS, now - seat.vacantSince);
+      if (!Double.isNaN(state.vacantSince)) {
+        state.longestVacancyS = Math.max(state.longestVacancyS, now - state.vacantSince);
       }
-      seat.vacantSince = Double.NaN;
+      state.vacantSince = Double.NaN;
     }
-    seat.record = post;
-    seat.highestTerm = Math.max(seat.highestTerm, post.term());
-    boolean after = post.heldBy(membership.ownIncarnation());
-    if (after) {
-      seat.heldSince = now;
-      seat.unfitSince = Double.NaN;
-      seat.acquisitions++;
-      LOG.log(Level.INFO, "has the duty {0} in term {1}", duty.label(), post.term());
-    } else if (before) {
-      LOG.log(Level.INFO, "no longer has the duty {0}", duty.label());
+    state.record = current;
+    state.highestTerm = Math.max(state.highestTerm, current.term());
+    boolean heldNow = current.heldBy(membership.ownIncarnation());
+    if (heldNow) {
+      state.heldSince = now;
+      state.unfitSince = Double.NaN;
+      state.acquisitions++;
+      LOG.log(Level.INFO, "acquired duty {0} in term {1}", duty.label(), current.term());
+    } else if (heldBefore) {
+      LOG.log(Level.INFO, "lost duty {0}", duty.label());
     }
   }
 
-  // ---- who has it ----
+  // ---- holder and term ----
 
-  /** The node that has the duty, or null. */
+  /** The node that holds the duty, or null. */
   public String holder(Duty duty) {
-    DutyRecord post = states.get(duty).record;
-    return post.vacant() ? null : Membership.nodeOf(post.holder());
+    DutyRecord current = states.get(duty).record;
+    return current.vacant() ? null : Membership.nodeOf(current.holder());
   }
 
-  /** The term in which this controller may act for the duty now, or 0. */
+  /** The term in which this controller may perform the duty now, or 0 if it may not. */
   public long term(Duty duty) {
-    DutyState seat = states.get(duty);
-    boolean mine =
-        seat.record.heldBy(membership.ownIncarnation())
-            && seat.record.term() >= seat.highestTerm
-            && standstill.current();
-    return mine ? seat.record.term() : 0;
+    DutyState state = states.get(duty);
+    boolean own =
+        state.record.heldBy(membership.ownIncarnation())
+            && state.record.term() >= state.highestTerm
+            && pauseDetector.current();
+    return own ? state.record.term() : 0;
   }
 
-  /** Whether this controller may still act in that term. */
+  /** Whether this controller may still perform the duty in that term. */
   public boolean holds(Duty duty, long term) {
     return term > 0 && term == term(duty);
   }
 
-  /** Makes a write conditional on the duty: it fails once the duty has changed hands. */
+  /** Makes a write conditional on the term: it fails once the duty has another holder. */
   public Txn guard(Duty duty, long term, Txn txn) {
     return txn.requireRevision(duty.key(), term);
   }
 
-  // ---- what others do for it ----
+  // ---- requests from holders ----
 
   /**
-   * Whether an act that another controller asks for in a term is to be done; if a higher term is
-   * known the sender is told so.
+   * Whether to accept a request that another controller makes in a term of a duty. If a higher term
+   * is known, the request is rejected and the sender is informed of that term.
    */
   public boolean accepts(Duty duty, long term, String from) {
-    DutyState seat = states.get(duty);
-    if (term < seat.highestTerm) {
-      seat.refusals++;
+    DutyState state = states.get(duty);
+    if (term < state.highestTerm) {
+      state.refusals++;
       LOG.log(
           Level.INFO,
-          "refuses {0} what it asks for the duty {1} in term {2}: term {3} is known",
+          "rejected a request from {0} for duty {1} in term {2}: term {3} is known",
           from,
           duty.label(),
           term,
-          seat.highestTerm);
-      peers.send(from, new Message.DutyTerm(duty.label(), seat.highestTerm));
+          state.highestTerm);
+      peers.send(from, new Message.DutyTerm(duty.label(), state.highestTerm));
       return false;
     }
-    seat.highestTerm = term;
+    state.highestTerm = term;
     return true;
   }
 
-  /** Another controller has seen this term: whoever acts in a lower one was replaced. */
+  /** Handles a term known to another controller; a holder in a lower term has been replaced. */
   public void receive(Message.DutyTerm m) {
     Duty duty = Duty.ofLabel(m.duty());
     if (duty != null) {
-      DutyState seat = states.get(duty);
-      seat.highestTerm = Math.max(seat.highestTerm, m.term());
+      DutyState state = states.get(duty);
+      state.highestTerm = Math.max(state.highestTerm, m.term());
     }
   }
 
-  // ---- who shall have it ----
+  // ---- election ----
 
-  /** A controller within reach tells by how much its timers are late. */
-  public void recordTimerLag(String from, double lateS) {
-    timerLagByNode.put(from, lateS);
+  /** Records the timer lag that a reachable controller reports. */
+  public void recordTimerLag(String from, double timerLagS) {
+    timerLagByNode.put(from, timerLagS);
   }
 
+  /** Removes the timer lag of a controller that is not reachable any more. */
   public void peerDisconnected(String from) {
     timerLagByNode.remove(from);
   }
 
   /**
-   * Whether this controller can do the duty at present, as far as the duty itself goes: while it
-   * cannot it takes none, and gives away what it has.
+   * Sets whether this controller can perform the duty at present. While it cannot, it does not
+   * acquire the duty, and it hands it over if it holds it.
    */
-  public void setCapable(Duty duty, boolean able) {
-    states.get(duty).incapable = !able;
+  public void setCapable(Duty duty, boolean capable) {
+    states.get(duty).incapable = !capable;
   }
 
-  /** Called several times a second. */
-  public void tick(double lateS) {
-    ownTimerLagS = lateS;
-    if (!standstill.current() || !replica.ready() || store.unavailable()) {
+  /** Runs several times a second. */
+  public void tick(double timerLagS) {
+    ownTimerLagS = timerLagS;
+    if (!pauseDetector.current() || !replica.ready() || store.unavailable()) {
       return;
     }
     String self = membership.ownIncarnation();
-    // The least urgent first: it is what a controller with too many gives away.
+    // The least urgent duty first: a controller with too many duties hands that one over.
     for (int i = Duty.values().length - 1; i >= 0; i--) {
       Duty duty = Duty.values()[i];
-      DutyState seat = states.get(duty);
-      if (seat.writePending) {
+      DutyState state = states.get(duty);
+      if (state.writePending) {
         continue;
       }
       List<ElectionPolicy.Candidate> live = candidates();
       double now = timers.now();
-      boolean vacant = vacant(seat.record);
-      if (vacant && Double.isNaN(seat.vacantSince)) {
-        seat.vacantSince = now;
+      boolean vacant = vacant(state.record);
+      if (vacant && Double.isNaN(state.vacantSince)) {
+        state.vacantSince = now;
       }
-      if (!seat.incapable && ownTimerLagS < ElectionPolicy.UNFIT_TIMER_LAG_S) {
-        seat.unfitSince = Double.NaN;
-      } else if (Double.isNaN(seat.unfitSince)) {
-        seat.unfitSince = now;
+      if (!state.incapable && ownTimerLagS < ElectionPolicy.UNFIT_TIMER_LAG_S) {
+        state.unfitSince = Double.NaN;
+      } else if (Double.isNaN(state.unfitSince)) {
+        state.unfitSince = now;
       }
-      ElectionPolicy.Decision step =
+      ElectionPolicy.Decision decision =
           ElectionPolicy.decide(
               new ElectionPolicy.Observation(
                   duty,
-                  vacant ? DutyRecord.VACANT : seat.record,
+                  vacant ? DutyRecord.VACANT : state.record,
                   self,
                   live,
-                  elapsed(seat.vacantSince, now),
-                  now - seat.heldSince,
-                  elapsed(seat.unfitSince, now)));
-      switch (step.kind()) {
+                  elapsed(state.vacantSince, now),
+                  now - state.heldSince,
+                  elapsed(state.unfitSince, now)));
+      switch (decision.kind()) {
         case TAKE -> {
-          if (!seat.incapable) {
+          if (!state.incapable) {
             writeHolder(duty, self);
           }
         }
         case HAND_OVER -> {
-          seat.handovers++;
-
-          LOG.log(Level.INFO, "hands the duty {0} to {1}", duty.label(), step.newHolder());
-          writeHolder(duty, step.newHolder());
+          state.handovers++;
+          LOG.log(Level.INFO, "handing over duty {0} to {1}", duty.label(), decision.newHolder());
+          writeHolder(duty, decision.newHolder());
         }
         case WAIT -> {}
       }
@@ -247,19 +248,20 @@
   }
 
   /**
-   * Whether nobody has the duty: there is no record, or it names an earlier life of a controller
-   * that has come back before its lease ran out.
+   * Whether the duty has no holder: there is no record, or it names an earlier incarnation of a
+   * controller that restarted before its lease expired.
    */
-  private boolean vacant(DutyRecord post) {
-    if (post.vacant()) {
+  private boolean vacant(DutyRecord current) {
+    if (current.vacant()) {
       return true;
     }
-    String now = membership.liveIncarnation(Membership.nodeOf(post.holder()));
-    return now != null && !now.equals(post.holder());
+    String incarnation = membership.liveIncarnation(Membership.nodeOf(current.holder()));
+    return incarnation != null && !incarnation.equals(current.holder());
   }
 
-  private static double elapsed(double at, double now) {
-    return Double.isNaN(at) ? 0 : now - at;
+  /** Seconds since a time on the steady clock; 0 if that is NaN. */
+  private static double elapsed(double since, double now) {
+    return Double.isNaN(since) ? 0 : now - since;
   }
 
   private List<ElectionPolicy.Candidate> candidates() {
@@ -267,67 +269,68 @@
     for (String name : membership.liveNodes()) {
       String incarnation = membership.liveIncarnation(name);
       int duties = 0;
-      for (DutyState seat : states.values()) {
-        String holder = seat.writePending ? seat.pendingHolder : seat.record.holder();
+      for (DutyState state : states.values()) {
+        String holder = state.writePending ? state.pendingHolder : state.record.holder();
         duties += incarnation.equals(holder) ? 1 : 0;
       }
       boolean own = name.equals(node);
-      double late = own ? ownTimerLagS : timerLagByNode.getOrDefault(name, 0.0);
+      double timerLagS = own ? ownTimerLagS : timerLagByNode.getOrDefault(name, 0.0);
       all.add(
           new ElectionPolicy.Candidate(
-              incarnation, duties, late, own || timerLagByNode.containsKey(name)));
+              incarnation, duties, timerLagS, own || timerLagByNode.containsKey(name)));
     }
     return all;
   }
 
   /**
-   * Names an incarnation as holder, itself or another: on the condition of what is recorded now, be
-   * it nothing, under the lease of the one named. If that lease has ended nothing is written.
+   * Writes an incarnation, its own or another, as holder. The write is conditional on the current
+   * record or its absence and attached to the named incarnation's lease; if that lease has expired,
+   * nothing is written.
    */
   private void writeHolder(Duty duty, String incarnation) {
-    DutyState seat = states.get(duty);
-    seat.writePending = true;
-    seat.pendingHolder = incarnation;
-    long term = seat.record.term();
+    DutyState state = states.get(duty);
+    state.writePending = true;
+    state.pendingHolder = incarnation;
+    long term = state.record.term();
     Document value = DutyRecord.write(incarnation, store.newWriteId());
     long lease = Membership.leaseIdOf(incarnation);
     store.tryTxn(
         new Txn().requireRevision(duty.key(), term).put(duty.key(), value, lease),
-        // One small write on which much waits; it goes out once for each change of hands.
+        // A small write that much depends on, made once per change of holder; hence the priority.
         StateStore.RequestPriority.USER,
         done -> {
           if (done.ok()) {
             replica.apply(duty.key(), value, done.revision());
           }
-          timers.after(WRITE_INTERVAL_S, () -> decisionLock.run(() -> seat.writePending = false));
+          timers.after(WRITE_INTERVAL_S, () -> decisionLock.run(() -> state.writePending = false));
         });
   }
 
   /**
-   * Hands over all duties at once, for this process is about to end: each to the best candidate, or
-   * to nobody, so that whoever is first takes it.
+   * Hands over all duties before this process ends: each to the best candidate, or without one its
+   * record is removed, so that any controller can acquire it.
    *
-   * @param then runs when the state service has answered
+   * @param then runs when the state service has responded
    */
   public void releaseAll(Runnable then) {
     String self = membership.ownIncarnation();
     List<ElectionPolicy.Candidate> live = candidates();
     Txn txn = new Txn();
     for (Duty duty : Duty.values()) {
-      DutyState seat = states.get(duty);
-      if (seat.record.heldBy(self)) {
-        seat.writePending = true;
-        seat.highestTerm++;
-        txn.requireRevision(duty.key(), seat.record.term());
-        ElectionPolicy.Candidate to = ElectionPolicy.bestSuccessor(duty, live, self);
-        if (to == null) {
+      DutyState state = states.get(duty);
+      if (state.record.heldBy(self)) {
+        state.writePending = true;
+        state.highestTerm++;
+        txn.requireRevision(duty.key(), state.record.term());
+        ElectionPolicy.Candidate successor = ElectionPolicy.bestSuccessor(duty, live, self);
+        if (successor == null) {
           txn.remove(duty.key());
         } else {
-          String mark = store.newWriteId();
+          String writeId = store.newWriteId();
           txn.put(
               duty.key(),
-              DutyRecord.write(to.incarnation(), mark),
-              Membership.leaseIdOf(to.incarnation()));
+              DutyRecord.write(successor.incarnation(), writeId),
+              Membership.leaseIdOf(successor.incarnation()));
         }
       }
     }
@@ -338,29 +341,29 @@
     }
   }
 
-  // ---- for operators ----
+  // ---- metrics ----
 
-  /** Whether this controller has the duty, as a number. */
+  /** 1 if this controller holds the duty, 0 otherwise. */
   public int held(Duty duty) {
     return term(duty) > 0 ? 1 : 0;
   }
 
-  /** How often this controller was given or took the duty. */
+  /** How often this controller acquired the duty, including by a hand-over. */
   public int acquisitions(Duty duty) {
     return states.get(duty).acquisitions;
   }
 
-  /** How often it handed the duty over for want of fitness or because it had too many. */
+  /** How often this controller handed the duty over, as unfit or to balance the duties. */
   public int handovers(Duty duty) {
     return states.get(duty).handovers;
   }
 
-  /** Acts that were refused here because a higher term was known. */
+  /** Number of requests rejected here because a higher term was known. */
   public int refusals(Duty duty) {
     return states.get(duty).refusals;
   }
 
-  /** The longest time in milliseconds for which nobody was seen to have the duty. */
+  /** The longest observed time without a holder, in milliseconds. */
   public int longestVacancyMs(Duty duty) {
     return (int) Math.min(Integer.MAX_VALUE, Math.round(states.get(duty).longestVacancyS * 1000));
   }
--- a/src/main/java/dev/dunefront/duty/ElectionPolicy.java
+++ b/src/main/java/dev/dunefront/duty/ElectionPolicy.java
@@ -4,37 +4,38 @@
 import java.util.List;
 
 /**
- * What a controller does about a duty, from what it sees. Whatever several decide at once, the
- * state service lets one of them through: a record is taken on the condition that there is none,
- * and handed over on the condition of its stamp.
+ * Decides whether a controller acquires, keeps or hands over a duty, from its own observation. If
+ * several controllers decide at once, the state service accepts only one write: a record is created
+ * on the condition that none exists, and replaced on the condition of its revision.
  */
 final class ElectionPolicy {
-  /** How much longer each next candidate waits, so that the first is seldom contested. */
+  /** Additional wait per rank, so that candidates seldom compete. */
   static final double RANK_DELAY_S = 0.3;
 
-  /** A candidate whose timers are so late comes after all that keep up. */
+  /** A candidate with at least this timer lag ranks after all others. */
   static final double SLOW_TIMER_LAG_S = 0.4;
 
   /**
-   * A holder whose timers are so late cannot do its duty. Well above {@link #SLOW_TIMER_LAG_S}:
-   * what the duty itself costs makes a small controller late now and then, wherever it is.
+   * A holder with at least this timer lag is unfit. Well above {@link #SLOW_TIMER_LAG_S}, since the
+   * load of the duty itself delays the timers of a small controller now and then, whichever holds
+   * it.
    */
   static final double UNFIT_TIMER_LAG_S = 1;
 
-  /** A holder that cannot do its duty gives it away after this time. */
+  /** A holder that has been unfit for longer than this hands the duty over. */
   static final double UNFIT_HANDOVER_DELAY_S = 4;
 
-  /** A duty is kept at least so long before it is given away, or it would go round for ever. */
+  /** Minimum time for which a duty is held; without it, a duty could circulate endlessly. */
   static final double MIN_HELD_S = 20;
 
   private ElectionPolicy() {}
 
   /**
-   * A living controller.
+   * A live controller.
    *
-   * @param dutyCount how many duties it has
-   * @param timerLagS by how much its timers are late, as it tells
-   * @param reachable whether it can be reached from here
+   * @param dutyCount number of duties that it holds
+   * @param timerLagS timer lag that it reports, in seconds
+   * @param reachable whether it is reachable from this controller
    */
   record Candidate(String incarnation, int dutyCount, double timerLagS, boolean reachable) {
     boolean slow() {
@@ -43,13 +44,13 @@
   }
 
   /**
-   * What is seen of one duty.
+   * This controller's view of one duty.
    *
    * @param self this incarnation, or null while it has no lease
-   * @param liveControllers all living controllers, this one among them
-   * @param vacantS for how long nobody has had it
-   * @param heldS for how long this controller has had it
-   * @param unfitS for how long this controller could not do it
+   * @param liveControllers all live controllers, including this one
+   * @param vacantS for how long the duty has had no holder
+   * @param heldS for how long this controller has held it
+   * @param unfitS for how long this controller has been unfit to perform it
    */
   record Observation(
       Duty duty,
@@ -60,7 +61,11 @@
       double heldS,
       double unfitS) {}
 
-  /** What to do: nothing, take the duty, or hand it to another incarnation. */
+  /**
+   * The decision: wait, take the duty, or hand it over.
+   *
+   * @param newHolder incarnation to hand the duty over to; null for the other kinds
+   */
   record Decision(Kind kind, String newHolder) {
     enum Kind {
       WAIT,
@@ -72,30 +77,32 @@
     static final Decision TAKE = new Decision(Kind.TAKE, null);
   }
 
-  static Decision decide(Observation s) {
-    if (s.self == null) {
+  static Decision decide(Observation observation) {
+    if (observation.self == null) {
       return Decision.WAIT;
     }
-    if (s.dutyRecord.vacant()) {
-      int rank = rank(s);
-      return rank >= 0 && s.vacantS >= rank * RANK_DELAY_S ? Decision.TAKE : Decision.WAIT;
+    if (observation.dutyRecord.vacant()) {
+      int rank = rank(observation);
+      return rank >= 0 && observation.vacantS >= rank * RANK_DELAY_S
+          ? Decision.TAKE
+          : Decision.WAIT;
     }
-    if (!s.dutyRecord.heldBy(s.self) || s.heldS < MIN_HELD_S) {
+    if (!observation.dutyRecord.heldBy(observation.self) || observation.heldS < MIN_HELD_S) {
       return Decision.WAIT;
     }
-    Candidate own = findCandidate(s.liveControllers, s.self);
-    Candidate best = bestSuccessor(s.duty, s.liveControllers, s.self);
+    Candidate own = findCandidate(observation.liveControllers, observation.self);
+    Candidate best = bestSuccessor(observation.duty, observation.liveControllers, observation.self);
     if (own == null || best == null) {
       return Decision.WAIT;
     }
-    boolean unfit = s.unfitS > UNFIT_HANDOVER_DELAY_S;
-    boolean crowded = own.dutyCount >= best.dutyCount + 2;
-    return unfit || crowded
+    boolean unfit = observation.unfitS > UNFIT_HANDOVER_DELAY_S;
+    boolean overloaded = own.dutyCount >= best.dutyCount + 2;
+    return unfit || overloaded
         ? new Decision(Decision.Kind.HAND_OVER, best.incarnation)
         : Decision.WAIT;
   }
 
-  /** To whom a duty is handed: a controller within reach that keeps up, or null. */
+  /** The best reachable controller without notable timer lag to hand the duty over to, or null. */
   static Candidate bestSuccessor(Duty duty, List<Candidate> live, String self) {
     return live.stream()
         .filter(c -> !c.incarnation.equals(self) && c.reachable && !c.slow())
@@ -103,21 +110,22 @@
         .orElse(null);
   }
 
-  /** This controller's place among those that may take the duty, or -1. */
-  private static int rank(Observation s) {
-    Candidate own = findCandidate(s.liveControllers, s.self);
+  /** This controller's rank among the live controllers, or -1 if it is not one of them. */
+  private static int rank(Observation observation) {
+    Candidate own = findCandidate(observation.liveControllers, observation.self);
     if (own == null) {
       return -1;
     }
-    Comparator<Candidate> order = candidateOrder(s.duty);
-    return (int) s.liveControllers.stream().filter(c -> order.compare(c, own) < 0).count();
+    Comparator<Candidate> order = candidateOrder(observation.duty);
+    return (int)
+        observation.liveControllers.stream().filter(c -> order.compare(c, own) < 0).count();
   }
 
   private static Candidate findCandidate(List<Candidate> live, String incarnation) {
     return live.stream().filter(c -> c.incarnation.equals(incarnation)).findFirst().orElse(null);
   }
 
-  /** Those that keep up first, then those with fewest duties, then by a draw of the duty's own. */
+  /** Orders by timer lag, then by number of duties, then by a hash of duty and incarnation. */
   private static Comparator<Candidate> candidateOrder(Duty duty) {
     return Comparator.comparing(Candidate::slow)
         .thenComparing(Candidate::dutyCount)
@@ -126,8 +134,8 @@
   }
 
   private static int tieBreak(Duty duty, String incarnation) {
-    int draw = (duty.label() + "@" + incarnation).hashCode() * 0x9E3779B9;
-    draw ^= draw >>> 15;
-    return draw * 0x85EBCA6B;
+    int hash = (duty.label() + "@" + incarnation).hashCode() * 0x9E3779B9;
+    hash ^= hash >>> 15;
+    return hash * 0x85EBCA6B;
   }
 }
--- a/src/main/java/dev/dunefront/fleet/Autoscaler.java
+++ b/src/main/java/dev/dunefront/fleet/Autoscaler.java
@@ -22,34 +22,34 @@
 import java.util.Set;
 
 /**
- * Rents and returns machines while this controller has that duty: decides by {@link ScalingPlanner}
- * and {@link MachineHealth} what to do next, and has {@link CloudOperations} do it. A term begins
- * with what the holder before has left open.
+ * Rents and returns machines while this controller holds the rent duty. {@link ScalingPlanner} and
+ * {@link MachineHealth} decide what to do next, and {@link CloudOperations} executes it. A term
+ * starts with the operations that the previous holder left open.
  */
 public final class Autoscaler {
   private static final System.Logger LOG = System.getLogger(Autoscaler.class.getName());
   private static final int MAX_PENDING_DELETIONS = 100;
 
-  /** How often current prices are asked for. */
+  /** How often current prices are fetched. */
   private static final double PRICE_REFRESH_S = 60;
 
   /**
-   * How soon is looked again after nothing was to be done. A look walks over all machines and all
-   * open jobs, which at a thousand machines is what the renting controller spends most on.
+   * Delay before planning again after a plan without operations. Planning visits all machines and
+   * all open jobs; at a thousand machines it is the largest cost of the renting controller.
    */
   private static final double PLAN_INTERVAL_S = 0.5;
 
-  /** How often a machine that is to be returned is told so. */
+  /** How often a machine's holder is asked to close a machine that is to be returned. */
   private static final double RETIRE_INTERVAL_S = 2;
 
-  /** How long a term waits at its beginning for the controllers to tell what they have waiting. */
+  /** How long a new term waits for all live controllers to report their demand. */
   private static final double DEMAND_WAIT_S = 1.5;
 
   private final double listLagS;
   private final Membership membership;
   private final Duties duties;
-  private final CapacitySubscription interest;
-  private final MachineTable room;
+  private final CapacitySubscription capacitySubscription;
+  private final MachineTable machines;
   private final MachineCatalog catalog;
   private final Timers timers;
   private final Peers peers;
@@ -62,7 +62,7 @@
   private final Map<MachineKind, Double> refusedUntil = new HashMap<>();
   private final Map<String, Double> retireSentAt = new HashMap<>();
 
-  /** The term that has begun here; 0 for none. */
+  /** The term that was started here; 0 if none. */
   private long term;
 
   private long rentRequestCount;
@@ -74,16 +74,16 @@
 
   public Autoscaler(
       ControllerContext context,
-      MachineTable room,
-      CapacitySubscription interest,
-      DeadlineRanking urgencies,
+      MachineTable machines,
+      CapacitySubscription capacitySubscription,
+      DeadlineRanking deadlineRanking,
       HttpCaller caller) {
     this.peers = context.peers();
     this.listLagS = context.settings().cloudLimits().listLagS();
     this.membership = context.membership();
     this.duties = context.duties();
-    this.room = room;
-    this.interest = interest;
+    this.machines = machines;
+    this.capacitySubscription = capacitySubscription;
     this.catalog = context.catalog();
     this.timers = context.timers();
     this.cloud =
@@ -91,15 +91,15 @@
     this.inventory = new Inventory(listLagS);
     this.health =
         new MachineHealth(
-            context.settings(), membership, context.holds(), room, catalog, inventory);
+            context.settings(), membership, context.holds(), machines, catalog, inventory);
     this.planner =
         new ScalingPlanner(
             context.tunables(),
             context.jobs(),
-            room,
+            machines,
             catalog,
             timers,
-            urgencies,
+            deadlineRanking,
             inventory,
             demands.values());
     this.operations =
@@ -107,7 +107,7 @@
             new HandoverRecord(Duty.RENT, duties, context.store(), timers),
             cloud,
             inventory,
-            room,
+            machines,
             new DeletionRecorder(
                 context.holds(),
                 context.store(),
@@ -123,42 +123,44 @@
             this::tick);
   }
 
-  /** The controller that rents, or null. */
+  /** The controller that holds the rent duty, or null if none does. */
   public String rentingNode() {
     return duties.holder(Duty.RENT);
   }
 
+  /** Receives the latest demand of a controller. */
   public void received(String from, Message.Demand demand) {
     demands.put(from, demand);
   }
 
+  /** Removes the demand of a controller that is not reachable any more. */
   public void peerDisconnected(String node) {
     demands.remove(node);
   }
 
-  /** Acts left open by a holder before that were asked for again here. */
+  /** Number of operations left open by a previous holder that were repeated here. */
   public int repeatedOperations() {
     return operations.repeatedCount();
   }
 
-  /** Acts on record that no longer stood when they were to be asked for. */
+  /** Number of operations that no longer applied when they were due, or were recorded late. */
   public int droppedOperations() {
     return operations.droppedCount();
   }
 
-  /** Called several times a second; the cloud is called as often as its rate allows. */
+  /** Runs several times a second; calls the cloud as often as its rate limit allows. */
   public void tick() {
-    long mine = duties.term(Duty.RENT);
-    if (mine == 0 || !catalog.isLoaded()) {
-      // Whoever does not know the machine types yet leaves the duty to others.
+    long heldTerm = duties.term(Duty.RENT);
+    if (heldTerm == 0 || !catalog.isLoaded()) {
+      // A controller without a catalog cannot rent, so it leaves the duty to others.
       duties.setCapable(Duty.RENT, catalog.isLoaded());
       term = 0;
       return;
     }
-    interest.require(ViewDetail.FULL);
+    capacitySubscription.require(ViewDetail.FULL);
     double now = timers.now();
-    if (mine != term || operations.recordConflict()) {
-      startTerm(mine, now);
+    if (heldTerm != term || operations.recordConflict()) {
+      startTerm(heldTerm, now);
     }
     duties.setCapable(Duty.RENT, cloud.reachable());
     operations.writeDeferredChanges();
@@ -166,9 +168,10 @@
         .intents()
         .deletions
         .forEach(
-            (host, why) -> {
-              if (why == ReturnReason.IDLE) {
-                // Until the cloud has answered, or it would open and be used meanwhile.
+            (host, reason) -> {
+              if (reason == ReturnReason.IDLE) {
+                // Repeated until the cloud responds; otherwise the machine would reopen and receive
+                // tasks.
                 requestRetirement(host, now);
               }
             });
@@ -192,9 +195,9 @@
     }
   }
 
-  private void startTerm(long mine, double now) {
-    LOG.log(Level.INFO, "renting and returning machines from now on, in term {0}", mine);
-    term = mine;
+  private void startTerm(long newTerm, double now) {
+    LOG.log(Level.INFO, "started renting and returning machines in term {0}", newTerm);
+    term = newTerm;
     termStartedAt = now;
     inventoryLoaded = false;
     nextPriceRefreshAt = now + PRICE_REFRESH_S;
@@ -204,15 +207,17 @@
     inventory.clear();
     retireSentAt.clear();
     refusedUntil.clear();
-    // What was told in an earlier term is old; all tell the new holder within half a second.
+    // Demand reported in an earlier term is stale; every controller reports to the new holder
+    // within half a second.
     demands.clear();
     operations.startTerm(
-        mine, () -> health.startTerm(operations.intents(), timers.now(), timers.wallClockMs()));
+        newTerm, () -> health.startTerm(operations.intents(), timers.now(), timers.wallClockMs()));
   }
 
   /**
-   * Whether enough is known to decide by: the machines that there are, and what waits at every
-   * controller that lives, as the holder before knew it.
+   * Whether the inventory is loaded and every live controller has reported its demand, or the wait
+   * for those reports is over. Before that, a decision would be based on less than the previous
+   * holder knew.
    */
   private boolean readyToDecide(double now) {
     return inventoryLoaded
@@ -238,33 +243,36 @@
     }
   }
 
-  /** Tells a machine's holder, now and then, to close it for some seconds. */
+  /**
+   * Asks the machine's holder, at a limited rate, to close the machine to new tasks for some
+   * seconds.
+   */
   private void requestRetirement(String host, double now) {
-    MachineTable.Entry seen = room.get(host);
-    if (seen != null
+    MachineTable.Entry entry = machines.get(host);
+    if (entry != null
         && now - retireSentAt.getOrDefault(host, Double.NEGATIVE_INFINITY) > RETIRE_INTERVAL_S) {
       retireSentAt.put(host, now);
-      peers.send(seen.holder(), new Message.RetireMachine(host, term));
+      peers.send(entry.holder(), new Message.RetireMachine(host, term));
     }
   }
 
-  /** Machines that are to be deleted, each for a reason of its own. */
+  /** Selects the machines to delete, each with its reason. */
   private Map<String, ReturnReason> selectReturns(ScalingPlanner.ScalingPlan plan, double now) {
-    Map<String, ReturnReason> why = new HashMap<>();
-    Set<String> unheard = new HashSet<>();
-    demands.values().forEach(d -> unheard.addAll(d.unreportedHosts()));
-    health.check(now, now - termStartedAt, demands.keySet(), unheard, why);
+    Map<String, ReturnReason> reasons = new HashMap<>();
+    Set<String> unreported = new HashSet<>();
+    demands.values().forEach(d -> unreported.addAll(d.unreportedHosts()));
+    health.addMachinesToReturn(now, now - termStartedAt, demands.keySet(), unreported, reasons);
     for (String host : planner.idleMachinesToReturn(plan)) {
-      if (room.get(host).view().retiring()) {
-        why.put(host, ReturnReason.IDLE);
+      if (machines.get(host).view().retiring()) {
+        reasons.put(host, ReturnReason.IDLE);
       } else {
-        // Its holder closes it first; only then can nothing be placed on it any more.
+        // The holder closes the machine first; only then can no task be placed on it any more.
         requestRetirement(host, now);
       }
     }
     retireSentAt.values().removeIf(at -> now - at > 10 * RETIRE_INTERVAL_S);
     Map<String, ReturnReason> toReturn = new LinkedHashMap<>();
-    why.forEach(
+    reasons.forEach(
         (host, reason) -> {
           if (!inventory.isDeleted(host)
               && inventory.pendingDeletionCount() + toReturn.size() < MAX_PENDING_DELETIONS
--- a/src/main/java/dev/dunefront/fleet/CapacityNeed.java
+++ b/src/main/java/dev/dunefront/fleet/CapacityNeed.java
@@ -4,37 +4,41 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Tasks of a job that want machines; goes down as machines are found or planned for them. */
+/** Tasks of a job that need machines; the count decreases as machines are allocated or planned. */
 final class CapacityNeed {
   final JobSpec spec;
 
-  /** How long a task takes, or 0 if that is not known. */
+  /** Expected duration of a task, or 0 if unknown. */
   final double taskDurationS;
 
-  /** Whether somebody waits, or it is only expected that somebody will. */
+  /** Whether the tasks are queued; false if they are only forecast. */
   final boolean queued;
 
   private double unmetTasks;
 
-  /** How many each zone may take; empty if that does not matter. */
+  /** How many tasks each zone may still take; empty if there is no limit per zone. */
   private final Map<String, Double> maxTasksByZone = new HashMap<>();
 
   private CapacityNeed(
-      JobSpec spec, double tasks, Map<String, Integer> zones, double runS, boolean waits) {
+      JobSpec spec,
+      double tasks,
+      Map<String, Integer> zones,
+      double taskDurationS,
+      boolean queued) {
     this.spec = spec;
-    this.taskDurationS = runS;
-    this.queued = waits;
+    this.taskDurationS = taskDurationS;
+    this.queued = queued;
     this.unmetTasks = tasks;
     zones.forEach((zone, n) -> this.maxTasksByZone.put(zone, (double) n));
   }
 
-  /** Tasks that wait, with the time that each takes. */
+  /** A need for queued tasks. */
   static CapacityNeed forQueued(
-      JobSpec spec, double tasks, Map<String, Integer> zones, double runS) {
-    return new CapacityNeed(spec, tasks, zones, runS, true);
+      JobSpec spec, double tasks, Map<String, Integer> zones, double taskDurationS) {
+    return new CapacityNeed(spec, tasks, zones, taskDurationS, true);
   }
 
-  /** Tasks that are expected. */
+  /** A need for forecast tasks. */
   static CapacityNeed forExpected(JobSpec spec, double tasks, Map<String, Integer> zones) {
     return new CapacityNeed(spec, tasks, zones, 0, false);
   }
@@ -43,24 +47,25 @@
     return unmetTasks;
   }
 
-  /** How many tasks a machine, or any number of machines, of the zone may take. */
+  /** How many of the unmet tasks the zone may take. */
   double unmetTasksIn(String zone) {
     return maxTasksByZone.isEmpty()
         ? unmetTasks
         : Math.min(unmetTasks, maxTasksByZone.getOrDefault(zone, 0.0));
   }
 
+  /** Subtracts tasks for which machines of the zone were allocated or planned. */
   void reduce(String zone, double tasks) {
     unmetTasks -= tasks;
     maxTasksByZone.computeIfPresent(zone, (z, n) -> n - tasks);
   }
 
-  /** Leaves out so many tasks; returns them as a need of their own. */
+  /** Moves up to this many tasks into a separate need. */
   CapacityNeed split(double tasks) {
-    CapacityNeed part =
+    CapacityNeed separate =
         new CapacityNeed(spec, Math.min(tasks, unmetTasks), Map.of(), taskDurationS, queued);
-    part.maxTasksByZone.putAll(maxTasksByZone);
-    unmetTasks -= part.unmetTasks;
-    return part;
+    separate.maxTasksByZone.putAll(maxTasksByZone);
+    unmetTasks -= separate.unmetTasks;
+    return separate;
   }
 }
--- a/src/main/java/dev/dunefront/fleet/CloudClient.java
+++ b/src/main/java/dev/dunefront/fleet/CloudClient.java
@@ -11,19 +11,25 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** The cloud's interface for machines, asked one call at a time and no faster than its rate. */
+/** Client of the cloud's machine API; makes one call at a time within the API's rate limit. */
 final class CloudClient {
   private static final System.Logger LOG = System.getLogger(CloudClient.class.getName());
   private static final double CALL_TIMEOUT_S = 4;
   private static final int PAGE_SIZE = 500;
 
-  /** After so many calls in a row without an answer the cloud cannot be reached from here. */
+  /** After this many consecutive calls without a response the cloud counts as unreachable. */
   private static final int MAX_UNANSWERED_CALLS = 2;
 
-  /** The part of the cloud's rate that is used, for a former leader's calls may still count. */
+  /**
+   * Fraction of the rate limit that is used: a former holder's calls may still count towards it.
+   */
   private static final double RATE_FRACTION = 0.9;
 
-  /** A machine as the cloud lists it, with the steady time at which it was first listed. */
+  /**
+   * A machine in the cloud's list.
+   *
+   * @param statusSince time on the steady clock at which it was first listed with this status
+   */
   record ListedMachine(String host, MachineKind kind, String status, double statusSince) {
     boolean failed() {
       return status.equals("failed");
@@ -38,10 +44,10 @@
     }
   }
 
-  /** A request for machines; its name is never used again. */
+  /** A request to rent machines. Its name is unique and makes a repeated request idempotent. */
   record RentRequest(String name, MachineKind kind, int count) {}
 
-  /** What came of a request; TOO_FAST and UNCLEAR leave it open to be made again. */
+  /** Outcome of a request; after {@link #RATE_LIMITED} or {@link #UNKNOWN} it may be repeated. */
   enum Outcome {
     RENTED,
     REFUSED,
@@ -49,7 +55,7 @@
     UNKNOWN
   }
 
-  /** The machines rented, perhaps fewer than asked for. */
+  /** Result of a rent request; there may be fewer machines than requested. */
   record RentResult(Outcome outcome, List<String> hosts) {}
 
   private final Settings settings;
@@ -63,22 +69,22 @@
   private double availableCallsAt;
   private int unansweredCalls;
 
-  /** {@code ready} runs whenever a call is over, so that the next need not wait for a tick. */
+  /** {@code onCallFinished} runs after each call, so that the next one need not wait for a tick. */
   CloudClient(
       Settings settings,
       HttpCaller caller,
       Timers timers,
       DecisionLock decisionLock,
-      Runnable ready) {
+      Runnable onCallFinished) {
     this.settings = settings;
     this.caller = caller;
     this.timers = timers;
     this.decisionLock = decisionLock;
-    this.onCallFinished = ready;
+    this.onCallFinished = onCallFinished;
     this.availableCallsAt = timers.now();
   }
 
-  /** Whether a call may be made now: none is under way, and short bursts keep to the rate. */
+  /** Whether a call may be made now: none is in progress, and the token bucket has a token. */
   boolean canCall() {
     double now = timers.now();
     if (callInProgress || now < nextCallAt) {
@@ -91,12 +97,14 @@
     return availableCalls >= 1;
   }
 
-  /** A term begins: what was not answered in an earlier one says nothing of now. */
+  /**
+   * Resets the count of unanswered calls at the start of a term; those of earlier terms are stale.
+   */
   void resetReachability() {
     unansweredCalls = 0;
   }
 
-  /** Whether the cloud can be reached from here, as far as the last calls tell. */
+  /** Whether the cloud is reachable from this controller, judged by the latest calls. */
   boolean reachable() {
     return unansweredCalls < MAX_UNANSWERED_CALLS;
   }
@@ -112,20 +120,20 @@
                 path,
                 body == null ? null : body.encode(),
                 CALL_TIMEOUT_S,
-                reply ->
+                response ->
                     decisionLock.run(
                         () -> {
                           callInProgress = false;
-                          unansweredCalls = reply.status() == 0 ? unansweredCalls + 1 : 0;
-                          if (reply.status() == 503 || reply.status() == 429) {
+                          unansweredCalls = response.status() == 0 ? unansweredCalls + 1 : 0;
+                          if (response.status() == 503 || response.status() == 429) {
                             nextCallAt = Math.max(nextCallAt, timers.now() + 1);
                           }
-                          then.accept(reply);
+                          then.accept(response);
                           onCallFinished.run();
                         })));
   }
 
-  /** Lists all machines; nothing is heard of a list that does not come whole. */
+  /** Lists all machines; {@code then} is not called if any page fails. */
   void listMachines(Consumer<List<ListedMachine>> then) {
     listMachines("", new ArrayList<>(), then);
   }
@@ -136,12 +144,12 @@
         "GET",
         "/machines?" + (from.isEmpty() ? "" : "from=" + from + "&") + "page=" + PAGE_SIZE,
         null,
-        reply -> {
-          if (!reply.ok()) {
+        response -> {
+          if (!response.ok()) {
             return;
           }
           try {
-            Document d = Document.decode(reply.body());
+            Document d = Document.decode(response.body());
             String last = from;
             for (Document m : d.documents("hosts")) {
               last = m.text("id");
@@ -156,78 +164,79 @@
               then.accept(all);
             }
           } catch (MalformedMessageException e) {
-            LOG.log(Level.INFO, "the machine list cannot be read: {0}", e.getMessage());
+            LOG.log(Level.INFO, "cannot read the machine list: {0}", e.getMessage());
           }
         });
   }
 
-  /** Asks for the catalog with its current prices; nothing is heard of one that does not come. */
+  /** Fetches the catalog with current prices; {@code then} is not called if that fails. */
   void fetchCatalog(Consumer<Document> then) {
     call(
         "GET",
         "/catalog",
         null,
-        reply -> {
-          if (reply.ok()) {
+        response -> {
+          if (response.ok()) {
             try {
-              then.accept(Document.decode(reply.body()));
+              then.accept(Document.decode(response.body()));
             } catch (MalformedMessageException e) {
-              LOG.log(Level.INFO, "the catalog cannot be read: {0}", e.getMessage());
+              LOG.log(Level.INFO, "cannot read the catalog: {0}", e.getMessage());
             }
           }
         });
   }
 
-  /** What came of a deletion; REFUSED means that nothing was deleted. */
+  /** Outcome of a deletion; {@code REFUSED} means that nothing was deleted. */
   enum DeletionResult {
     CONFIRMED,
     REFUSED,
     UNKNOWN
   }
 
-  /** Deletes machines. */
   void deleteMachines(List<String> hosts, Consumer<DeletionResult> then) {
     call(
         "POST",
         "/machines/delete",
         Document.create().put("hosts", hosts),
-        reply ->
+        response ->
             then.accept(
-                reply.ok()
+                response.ok()
                     ? DeletionResult.CONFIRMED
-                    : outcome(reply) == Outcome.UNKNOWN
+                    : outcome(response) == Outcome.UNKNOWN
                         ? DeletionResult.UNKNOWN
                         : DeletionResult.REFUSED));
   }
 
-  void rent(RentRequest h, Consumer<RentResult> then) {
+  /** Rents machines. */
+  void rent(RentRequest request, Consumer<RentResult> then) {
     call(
         "POST",
         "/machines",
         Document.create()
-            .put("hire", h.name)
-            .put("flavor", h.kind.type())
-            .put("site", h.kind.zone())
-            .put("loaners", h.kind.spot())
-            .put("how_many", h.count),
-        reply -> {
+            .put("hire", request.name)
+            .put("flavor", request.kind.type())
+            .put("site", request.kind.zone())
+            .put("loaners", request.kind.spot())
+            .put("how_many", request.count),
+        response -> {
           List<String> hosts = List.of();
-          if (reply.ok()) {
+          if (response.ok()) {
             try {
-              hosts = Document.decode(reply.body()).texts("hosts");
+              hosts = Document.decode(response.body()).texts("hosts");
             } catch (MalformedMessageException e) {
-              LOG.log(Level.INFO, "the answer to a hire cannot be read: {0}", e.getMessage());
+              LOG.log(
+                  Level.INFO, "cannot read the response to a rent request: {0}", e.getMessage());
             }
           }
-          then.accept(new RentResult(outcome(reply), hosts));
+          then.accept(new RentResult(outcome(response), hosts));
         });
   }
 
-  private static Outcome outcome(HttpCaller.Response reply) {
-    if (reply.ok()) {
+  private static Outcome outcome(HttpCaller.Response response) {
+    if (response.ok()) {
       return Outcome.RENTED;
     }
-    return switch (reply.status()) {
+    return switch (response.status()) {
       case 503, 400 -> Outcome.REFUSED;
       case 429 -> Outcome.RATE_LIMITED;
       default -> Outcome.UNKNOWN;
--- a/src/main/java/dev/dunefront/fleet/CloudOperations.java
+++ b/src/main/java/dev/dunefront/fleet/CloudOperations.java
@@ -17,46 +17,54 @@
 import java.util.TreeMap;
 
 /**
- * What is asked of the cloud, in the order decide, record, ask, hear. The cloud knows no terms, so
- * nothing is asked for that is not on record under the duty's term before: whoever follows finds it
- * there and settles it first. A hire is asked for again under its name, which rents nothing twice;
- * a deletion only if it still stands by what is seen of the machine.
+ * Executes rent and delete operations against the cloud API. Each one is decided, recorded, sent
+ * and then completed by its response. The cloud API has no fencing by term, so every operation is
+ * recorded under the duty's term before it is sent, and the next holder of the duty finds it there
+ * and completes it first. A rent request is repeated under the same name, which is idempotent; a
+ * deletion is repeated only if its reason still applies to the current state of the machine.
  */
 final class CloudOperations {
   private static final System.Logger LOG = System.getLogger(CloudOperations.class.getName());
 
-  /** What was decided longer ago than this when its record is written is decided anew. */
+  /** A rent request that took longer than this to be recorded is dropped and decided again. */
   private static final double MAX_DECISION_AGE_S = 5;
 
-  /** How often what has changed is written that no act waits for. */
+  /** Minimum interval between writes of changes that no operation waits for. */
   private static final double DEFERRED_WRITE_INTERVAL_S = 10;
 
-  /** The part of a value's limit that is used. */
+  /** Fraction of the state service's value size limit that is used. */
   private static final double VALUE_SIZE_FRACTION = 0.8;
 
-  /** Something on record, to be asked for. */
+  /** A recorded operation that has yet to be sent. */
   private sealed interface Operation {}
 
-  private record RentOperation(RentRequest hire) implements Operation {}
+  private record RentOperation(RentRequest request) implements Operation {}
 
-  /** {@code unclear} if it was asked for before and nobody knows what has come of that. */
+  /**
+   * A deletion of machines.
+   *
+   * @param outcomeUnknown whether the deletion may have been sent before with an unknown outcome
+   */
   private record DeleteOperation(List<String> hosts, boolean outcomeUnknown) implements Operation {}
 
   private final HandoverRecord handoverRecord;
   private final CloudClient cloud;
   private final Inventory inventory;
-  private final MachineTable room;
-  private final DeletionRecorder confirmedDeletions;
+  private final MachineTable machines;
+  private final DeletionRecorder deletionRecorder;
   private final StateStore store;
   private final Timers timers;
   private final int maxValueBytes;
   private final double listLagS;
   private final double workerLeaseS;
   private final Map<MachineKind, Double> refusedUntil;
-  private final Runnable ready;
+  private final Runnable onReady;
   private final ArrayDeque<Operation> recordedOperations = new ArrayDeque<>();
 
-  /** Machines whose deletion has no answer and does not stand yet, and until when that is so. */
+  /**
+   * Machines whose deletion has an unknown outcome and whose reason does not apply yet, with the
+   * time until which the deletion is deferred.
+   */
   private final Map<String, Double> deferredUntil = new TreeMap<>();
 
   private Intents intents = new Intents();
@@ -69,40 +77,47 @@
   private int droppedCount;
 
   /**
-   * {@code refused} takes kinds that the cloud lacks, with the time until which that counts; {@code
-   * ready} runs when something can be asked for.
+   * Creates the executor.
+   *
+   * @param valueKb the state service's value size limit
+   * @param listLagS how far the cloud's machine list may lag behind
+   * @param refusedUntil receives the kinds that the cloud could not provide, with the time until
+   *     which they are not requested again
+   * @param onReady runs when an operation has been recorded and can be sent
    */
   CloudOperations(
-      HandoverRecord ledger,
+      HandoverRecord handoverRecord,
       CloudClient cloud,
       Inventory inventory,
-      MachineTable room,
-      DeletionRecorder confirmedDeletions,
+      MachineTable machines,
+      DeletionRecorder deletionRecorder,
       StateStore store,
       Timers timers,
       double valueKb,
-      double lagS,
-      double leaseS,
-      Map<MachineKind, Double> refused,
-      Runnable ready) {
-    this.handoverRecord = ledger;
+      double listLagS,
+      double workerLeaseS,
+      Map<MachineKind, Double> refusedUntil,
+      Runnable onReady) {
+    this.handoverRecord = handoverRecord;
     this.cloud = cloud;
     this.inventory = inventory;
-    this.room = room;
-    this.confirmedDeletions = confirmedDeletions;
+    this.machines = machines;
+    this.deletionRecorder = deletionRecorder;
     this.store = store;
     this.timers = timers;
     this.maxValueBytes = (int) (valueKb * 1024 * VALUE_SIZE_FRACTION);
-    this.listLagS = lagS;
-    this.workerLeaseS = leaseS;
-    this.refusedUntil = refused;
-    this.ready = ready;
+    this.listLagS = listLagS;
+    this.workerLeaseS = workerLeaseS;
+    this.refusedUntil = refusedUntil;
+    this.onReady = onReady;
   }
 
-  /** How long a refusal of a kind counts. */
+  /** How long a kind is not requested again after the cloud could not provide it. */
   static final double REFUSAL_TTL_S = 12;
 
-  /** Begins a term: reads what the holder before has left open, which comes first. */
+  /**
+   * Starts a term: loads the operations that the previous holder left open and queues them first.
+   */
   void startTerm(long inTerm, Runnable then) {
     term = inTerm;
     recordedOperations.clear();
@@ -120,17 +135,20 @@
             double age = Math.max(0, (timers.wallClockMs() - c.rentedAtMs()) / 1000.0);
             inventory.addExpected(c.hosts(), c.kind(), now - age);
           }
-          intents.rentRequests.values().forEach(h -> recordedOperations.add(new RentOperation(h)));
+          intents
+              .rentRequests
+              .values()
+              .forEach(request -> recordedOperations.add(new RentOperation(request)));
           if (!intents.deletions.isEmpty()) {
             List<String> hosts = List.copyOf(intents.deletions.keySet());
-            inventory.deleting(hosts);
+            inventory.markDeleting(hosts);
             recordedOperations.add(new DeleteOperation(hosts, true));
           }
           repeatedCount += recordedOperations.size();
           if (!recordedOperations.isEmpty()) {
             LOG.log(
                 Level.INFO,
-                "settles first what the holder before left open: {0} hires, {1} deletions",
+                "completing operations left open by the previous holder: {0} rent requests, {1} deletions",
                 intents.rentRequests.size(),
                 intents.deletions.size());
           }
@@ -143,53 +161,58 @@
     try {
       return Intents.read(value);
     } catch (MalformedMessageException e) {
-      LOG.log(Level.ERROR, "what was left open cannot be read: {0}", e.getMessage());
+      LOG.log(
+          Level.ERROR,
+          "cannot read the recorded operations of the previous holder: {0}",
+          e.getMessage());
       return new Intents();
     }
   }
 
-  /** What the holder before has left, and what is on record now. */
+  /** The current intents, which include those left by the previous holder. */
   Intents intents() {
     return intents;
   }
 
-  /** Whether it is known what was left open, and nothing is being recorded. */
+  /** Whether the previous holder's intents are loaded and no write is in progress. */
   boolean ready() {
     return loaded && !handoverRecord.writeInProgress();
   }
 
-  /** Whether the record was found changed by somebody else: the term has to be begun anew. */
+  /** Whether another writer changed the record, so that the term has to be started again. */
   boolean recordConflict() {
     return recordConflict;
   }
 
-  void rent(RentRequest h) {
-    intents.rentRequests.put(h.name(), h);
-    double at = timers.now();
+  /** Records a rent request and sends it once the record is written. */
+  void rent(RentRequest request) {
+    intents.rentRequests.put(request.name(), request);
+    double decidedAt = timers.now();
     persist(
         () -> {
-          if (timers.now() - at > MAX_DECISION_AGE_S) {
-            intents.rentRequests.remove(h.name());
+          if (timers.now() - decidedAt > MAX_DECISION_AGE_S) {
+            intents.rentRequests.remove(request.name());
             droppedCount++;
           } else {
-            recordedOperations.add(new RentOperation(h));
+            recordedOperations.add(new RentOperation(request));
           }
         });
   }
 
+  /** Records deletions and sends them once the record is written. */
   void delete(Map<String, ReturnReason> toReturn) {
     List<String> hosts = List.copyOf(toReturn.keySet());
     intents.deletions.putAll(toReturn);
-    inventory.deleting(hosts);
+    inventory.markDeleting(hosts);
     persist(() -> recordedOperations.add(new DeleteOperation(hosts, false)));
   }
 
-  /** What has changed in the intents is written when nothing waits for it, and not often. */
+  /** Marks the intents as changed; the change is written with a delay. */
   void markDirty() {
     dirty = true;
   }
 
-  /** Writes what has been noted if it is time. */
+  /** Writes deferred changes if the interval has passed and the state service is not busy. */
   void writeDeferredChanges() {
     double now = timers.now();
     if (dirty
@@ -205,29 +228,32 @@
     double now = timers.now();
     dirty = false;
     nextDeferredWriteAt = now + DEFERRED_WRITE_INTERVAL_S;
-    // By then the list shows them, and whoever follows reads it first.
+    // After four times the list lag the machine list shows these machines, and a new holder reads
+    // the list before it decides.
     long since = timers.wallClockMs() - Math.round(4000 * listLagS);
     intents.completedRents.removeIf(
         c -> c.rentedAtMs() < since || c.hosts().stream().noneMatch(inventory::isExpected));
     handoverRecord.write(
         intents.write(maxValueBytes),
-        kept -> {
-          if (kept) {
+        written -> {
+          if (written) {
             then.run();
-            ready.run();
+            onReady.run();
           } else {
             recordConflict = true;
           }
         });
   }
 
-  /** Asks for what is on record, one at a time; says whether anything was asked for. */
+  /** Sends the next recorded operation; returns whether one was sent. */
   boolean executeNext() {
-    for (Operation act = recordedOperations.poll(); act != null; act = recordedOperations.poll()) {
-      if (act instanceof RentOperation r) {
-        execute(r.hire());
+    for (Operation operation = recordedOperations.poll();
+        operation != null;
+        operation = recordedOperations.poll()) {
+      if (operation instanceof RentOperation r) {
+        execute(r.request());
         return true;
-      } else if (act instanceof DeleteOperation r && execute(r)) {
+      } else if (operation instanceof DeleteOperation r && execute(r)) {
         return true;
       }
     }
@@ -242,108 +268,116 @@
     return !due.isEmpty() && execute(new DeleteOperation(due, true));
   }
 
-  private void execute(RentRequest h) {
+  private void execute(RentRequest request) {
     long inTerm = term;
     cloud.rent(
-        h,
-        rented -> {
+        request,
+        result -> {
           if (inTerm != term) {
-            // Whoever has the duty now found the hire on record, and asks under its name.
+            // The current holder found the rent request in the record and repeats it by name.
             return;
           }
           double now = timers.now();
-          if (rented.outcome() == CloudClient.Outcome.UNKNOWN) {
-            // The same name asks again, so that nothing is rented twice.
-            recordedOperations.add(new RentOperation(h));
+          if (result.outcome() == CloudClient.Outcome.UNKNOWN) {
+            // Repeated under the same name, so no machine is rented twice.
+            recordedOperations.add(new RentOperation(request));
             return;
           }
-          intents.rentRequests.remove(h.name());
+          intents.rentRequests.remove(request.name());
           dirty = true;
-          if (rented.outcome() == CloudClient.Outcome.RENTED) {
+          if (result.outcome() == CloudClient.Outcome.RENTED) {
             LOG.log(
-                Level.INFO, "rented {0} of {1} {2}", rented.hosts().size(), h.count(), h.kind());
-            inventory.addExpected(rented.hosts(), h.kind(), now);
-            if (!rented.hosts().isEmpty()) {
+                Level.INFO,
+                "rented {0} of {1} {2}",
+                result.hosts().size(),
+                request.count(),
+                request.kind());
+            inventory.addExpected(result.hosts(), request.kind(), now);
+            if (!result.hosts().isEmpty()) {
               intents.completedRents.add(
-                  new Intents.CompletedRent(h.kind(), timers.wallClockMs(), rented.hosts()));
+                  new Intents.CompletedRent(request.kind(), timers.wallClockMs(), result.hosts()));
             }
           }
-          if (rented.outcome() != CloudClient.Outcome.RATE_LIMITED
-              && rented.hosts().size() < h.count()) {
-            refusedUntil.put(h.kind(), now + REFUSAL_TTL_S);
+          if (result.outcome() != CloudClient.Outcome.RATE_LIMITED
+              && result.hosts().size() < request.count()) {
+            refusedUntil.put(request.kind(), now + REFUSAL_TTL_S);
           }
         });
   }
 
-  /** False if none of it stands any more. */
-  private boolean execute(DeleteOperation act) {
+  /** Returns false if no deletion of the operation applies any more. */
+  private boolean execute(DeleteOperation operation) {
     double now = timers.now();
-    Map<String, ReturnReason> still = new LinkedHashMap<>();
-    List<String> over = new ArrayList<>();
-    for (String host : act.hosts()) {
-      ReturnReason why = intents.deletions.get(host);
+    Map<String, ReturnReason> applicable = new LinkedHashMap<>();
+    List<String> obsolete = new ArrayList<>();
+    for (String host : operation.hosts()) {
+      ReturnReason reason = intents.deletions.get(host);
       MachineView view = machineView(host);
       Double until = deferredUntil.get(host);
-      if (why.stillApplies(view)) {
-        still.put(host, why);
+      if (reason.stillApplies(view)) {
+        applicable.put(host, reason);
         deferredUntil.remove(host);
-      } else if (act.outcomeUnknown()
-          && why.mayApplyLater(view)
+      } else if (operation.outcomeUnknown()
+          && reason.mayApplyLater(view)
           && (until == null || now <= until)) {
-        // It may be on its way. After a restart of all, machines find their holders within a lease,
-        // and these close them; then nothing is there when it arrives.
+        // An earlier request may still be in flight. After a restart of all controllers, holders
+        // reach their machines within a lease and close them, so that no task runs on the machine
+        // when the request takes effect.
         deferredUntil.putIfAbsent(host, now + workerLeaseS);
       } else {
         deferredUntil.remove(host);
-        LOG.log(Level.INFO, "does not return {0} after all", host);
-        over.add(host);
+        LOG.log(Level.INFO, "cancelled the deletion of {0}: its reason no longer applies", host);
+        obsolete.add(host);
       }
     }
-    droppedCount += over.size();
-    completeDeletions(over, false);
-    if (still.isEmpty()) {
+    droppedCount += obsolete.size();
+    completeDeletions(obsolete, false);
+    if (applicable.isEmpty()) {
       return false;
     }
-    List<String> asked = List.copyOf(still.keySet());
+    List<String> hosts = List.copyOf(applicable.keySet());
     long inTerm = term;
     cloud.deleteMachines(
-        asked,
-        answer -> {
-          if (answer == CloudClient.DeletionResult.CONFIRMED) {
-            confirmedDeletions.record(asked);
+        hosts,
+        result -> {
+          if (result == CloudClient.DeletionResult.CONFIRMED) {
+            deletionRecorder.record(hosts);
           }
           if (inTerm != term) {
             return;
           }
-          if (answer == CloudClient.DeletionResult.CONFIRMED) {
-            completeDeletions(asked, true);
-          } else if (answer == CloudClient.DeletionResult.REFUSED && !act.outcomeUnknown()) {
-            // Nothing is on its way, so it can be decided anew.
-            completeDeletions(asked, false);
+          if (result == CloudClient.DeletionResult.CONFIRMED) {
+            completeDeletions(hosts, true);
+          } else if (result == CloudClient.DeletionResult.REFUSED && !operation.outcomeUnknown()) {
+            // No request is in flight, so the return can be decided again.
+            completeDeletions(hosts, false);
           } else {
-            recordedOperations.add(new DeleteOperation(asked, true));
+            recordedOperations.add(new DeleteOperation(hosts, true));
           }
         });
     return true;
   }
 
+  /** The holder's view of the machine, or null if no controller holds it. */
   private MachineView machineView(String host) {
-    MachineTable.Entry seen = room.get(host);
-    return seen == null ? null : seen.view();
+    MachineTable.Entry entry = machines.get(host);
+    return entry == null ? null : entry.view();
   }
 
   private void completeDeletions(List<String> hosts, boolean confirmed) {
-    inventory.deleted(hosts, confirmed, timers.now());
+    inventory.completeDeletions(hosts, confirmed, timers.now());
     intents.deletions.keySet().removeAll(hosts);
     dirty |= !hosts.isEmpty();
   }
 
-  /** Acts that were left open by a holder before and asked for again. */
+  /** Number of operations left open by a previous holder that were queued again here. */
   int repeatedCount() {
     return repeatedCount;
   }
 
-  /** Acts on record that were not asked for, for they no longer stood. */
+  /**
+   * Number of operations that were dropped because they no longer applied or were recorded late.
+   */
   int droppedCount() {
     return droppedCount;
   }
--- a/src/main/java/dev/dunefront/fleet/DeletionRecorder.java
+++ b/src/main/java/dev/dunefront/fleet/DeletionRecorder.java
@@ -9,8 +9,9 @@
 import java.util.List;
 
 /**
- * Records the ends of machines that the cloud has confirmed, by which all that ran there is proven
- * gone. An end is true whoever writes it down, so this needs no duty.
+ * Records machine deletions that the cloud has confirmed; such a record proves that every task
+ * attempt on the machine is over. A confirmed deletion holds no matter which controller records it,
+ * so the write needs no duty.
  */
 final class DeletionRecorder {
   private static final double RETRY_S = 0.5;
@@ -21,7 +22,7 @@
   private final DecisionLock decisionLock;
   private final int maxPerTransaction;
 
-  /** At most {@code changes} records are written in one transaction. */
+  /** {@code changes} limits the records written in one transaction. */
   DeletionRecorder(
       HoldTable holds, StateStore store, Timers timers, DecisionLock decisionLock, int changes) {
     this.holds = holds;
@@ -31,33 +32,34 @@
     this.maxPerTransaction = Math.max(1, changes);
   }
 
+  /** Records the deletions that are not recorded yet; retries until they are. */
   void record(List<String> hosts) {
-    List<String> left = new ArrayList<>();
+    List<String> unrecorded = new ArrayList<>();
     for (String host : hosts) {
       HoldTable.Hold hold = holds.recordOf(host);
       if (hold == null || !hold.machineDeleted()) {
-        left.add(host);
+        unrecorded.add(host);
       }
     }
-    for (int from = 0; from < left.size(); from += maxPerTransaction) {
-      write(left.subList(from, Math.min(left.size(), from + maxPerTransaction)));
+    for (int from = 0; from < unrecorded.size(); from += maxPerTransaction) {
+      write(unrecorded.subList(from, Math.min(unrecorded.size(), from + maxPerTransaction)));
     }
   }
 
   private void write(List<String> hosts) {
-    String mark = store.newWriteId();
+    String writeId = store.newWriteId();
     Txn txn = new Txn();
     for (String host : hosts) {
       HoldTable.Hold hold = holds.recordOf(host);
       txn.requireRevision(HoldTable.key(host), hold == null ? 0 : hold.revision())
-          .put(HoldTable.key(host), HoldTable.writeDeleted(timers.wallClockMs(), mark));
+          .put(HoldTable.key(host), HoldTable.writeDeleted(timers.wallClockMs(), writeId));
     }
     store.commit(
         txn,
-        mark,
+        writeId,
         done -> {
           if (!done.ok()) {
-            // Somebody has taken one of them meanwhile: the others need not wait for its record.
+            // One of the holds has changed: write each separately, so that it delays no other.
             timers.after(
                 RETRY_S,
                 () -> decisionLock.run(() -> hosts.forEach(host -> record(List.of(host)))));
--- a/src/main/java/dev/dunefront/fleet/DemandForecast.java
+++ b/src/main/java/dev/dunefront/fleet/DemandForecast.java
@@ -11,27 +11,28 @@
 import java.util.Set;
 
 /**
- * Urgent work that is to be expected while a machine would boot: it has no time to wait for one.
- * Arrays come and go, and a burst of them is in proportion to what is open. Services stay, so what
- * is open says nothing of what will come; what came lately does.
+ * Forecasts the urgent tasks that will arrive within the time that a new machine takes to boot;
+ * they cannot wait for one. Arrays are short-lived, and a burst of them is proportional to the open
+ * tasks. Services are long-lived, so the forecast for them uses recent arrivals instead.
  */
 final class DemandForecast {
-  /** Of a single job no more tasks than these count. */
+  /** Maximum number of tasks counted for a single job. */
   private static final int MAX_TASKS_PER_JOB = 1000;
 
   private static final int WINDOWS = 2;
 
   /**
-   * What came in one window comes again, but only up to so many times what came in the one before:
-   * a single wave, as at the start of a day, is no habit.
+   * The arrivals of the latest window are expected again, up to this many times those of the window
+   * before it; a single wave, as at the start of a day, does not repeat.
    */
   private static final double MAX_GROWTH = 2;
 
-  /** Room for at least so many of the largest services that came lately is kept. */
+  /** Room is kept for at least this many services of the largest open size in a job class. */
   private static final int MIN_LARGEST_SERVICES = 2;
 
   private DemandForecast() {}
 
+  /** Open and recently arrived services of one job class. */
   private static final class Arrivals {
     final double[] tasksByWindow = new double[WINDOWS];
     double openTasks;
@@ -39,12 +40,18 @@
   }
 
   /**
+   * Returns the expected urgent tasks as needs.
+   *
    * @param zones all zones
-   * @param part how much of what is open is kept ready at most
-   * @param windowS how long a machine takes to come
+   * @param fraction room to keep ready, at most, as a fraction of the open tasks
+   * @param windowS time from the rent request until a machine takes tasks
    */
   static List<CapacityNeed> urgentNeeds(
-      Collection<JobTable.Entry> jobs, Set<String> zones, double part, double windowS, long nowMs) {
+      Collection<JobTable.Entry> jobs,
+      Set<String> zones,
+      double fraction,
+      double windowS,
+      long nowMs) {
     List<CapacityNeed> needs = new ArrayList<>();
     Map<String, Arrivals> services = new HashMap<>();
     for (JobTable.Entry e : jobs) {
@@ -56,7 +63,7 @@
       if (!spec.service()) {
         needs.add(
             CapacityNeed.forExpected(
-                spec, tasks * part, maxTasksByZone(spec, tasks * part, zones)));
+                spec, tasks * fraction, maxTasksByZone(spec, tasks * fraction, zones)));
         continue;
       }
       Arrivals a = services.computeIfAbsent(spec.jobClass(), c -> new Arrivals());
@@ -70,9 +77,10 @@
       }
     }
     for (Arrivals a : services.values()) {
-      double habit = Math.min(a.tasksByWindow[0], MAX_GROWTH * a.tasksByWindow[1]);
+      double recurring = Math.min(a.tasksByWindow[0], MAX_GROWTH * a.tasksByWindow[1]);
       double largest = Math.min(a.largestSpec.tasks(), MAX_TASKS_PER_JOB);
-      double tasks = Math.min(a.openTasks * part, Math.max(habit, MIN_LARGEST_SERVICES * largest));
+      double tasks =
+          Math.min(a.openTasks * fraction, Math.max(recurring, MIN_LARGEST_SERVICES * largest));
       needs.add(
           CapacityNeed.forExpected(
               a.largestSpec, tasks, maxTasksByZone(a.largestSpec, tasks, zones)));
@@ -80,12 +88,12 @@
     return needs;
   }
 
-  /** Tasks that must be apart want room in more zones than one. */
+  /** Limits tasks that must be spread to half of them per zone; empty if any zone may take all. */
   private static Map<String, Integer> maxTasksByZone(JobSpec spec, double tasks, Set<String> all) {
-    Map<String, Integer> most = new HashMap<>();
+    Map<String, Integer> limits = new HashMap<>();
     if (spec.spread()) {
-      all.forEach(zone -> most.put(zone, (int) Math.ceil(tasks / 2)));
+      all.forEach(zone -> limits.put(zone, (int) Math.ceil(tasks / 2)));
     }
-    return most;
+    return limits;
   }
 }
--- a/src/main/java/dev/dunefront/fleet/Intents.java
+++ b/src/main/java/dev/dunefront/fleet/Intents.java
@@ -10,43 +10,47 @@
 import java.util.TreeMap;
 
 /**
- * What whoever rents leaves on record for its successor: what it is about to ask the cloud for and
- * has no answer to, what has come of hires that the lagging list may not show yet, and since when
- * machines are silent.
+ * What the holder of the rent duty records for the next holder: the rent requests and deletions
+ * that it is about to send or that have no response yet, the machines rented so recently that the
+ * cloud's lagging list may not show them, and since when machines are silent.
  */
 final class Intents {
-  /** Times of silence are written in steps of so many milliseconds, so that few of them differ. */
+  /** Since-times are rounded down to this step, so that many hosts share one group. */
   private static final long TIME_STEP_MS = 5_000;
 
-  /** What a host's name takes besides its characters, as the state service counts. */
+  /** Encoding overhead of a host name, as the state service counts the size of a value. */
   private static final int BYTES_PER_NAME = 3;
 
+  /** Upper bound of the encoded size of a group without its host names. */
   private static final int BYTES_PER_GROUP = 120;
 
-  /** Machines that came by a hire at a time of day. */
+  /** Machines rented by one request; {@code rentedAtMs} is a time of day. */
   record CompletedRent(MachineKind kind, long rentedAtMs, List<String> hosts) {}
 
-  /** Asked for, or about to be; by name. */
+  /** Rent requests sent or about to be sent, by name. */
   final Map<String, RentRequest> rentRequests = new LinkedHashMap<>();
 
-  /** Deletions asked for, or about to be: the reason by host. */
+  /** Deletions sent or about to be sent: the reason by host. */
   final Map<String, ReturnReason> deletions = new LinkedHashMap<>();
 
-  /** Answered hires, oldest first. */
+  /** Rent requests with a response, oldest first. */
   final List<CompletedRent> completedRents = new ArrayList<>();
 
-  /** Time of day since when nobody hears a machine. */
+  /** Time of day since when no controller receives a machine's reports, by host. */
   final Map<String, Long> silentSinceMs = new TreeMap<>();
 
-  /** Time of day since when machines with tasks are neither heard nor listed. */
+  /** Time of day since when a machine with tasks neither reports nor is listed, by host. */
   final Map<String, Long> unlistedSinceMs = new TreeMap<>();
 
-  /** The value to be kept, within so many bytes: what is most easily found out anew goes first. */
-  Document write(int bytes) {
-    int left = bytes;
-    List<Document> asked = new ArrayList<>();
-    for (RentRequest h : rentRequests.values()) {
-      asked.add(kind(h.kind()).put("name", h.name()).put("n", h.count()));
+  /**
+   * Encodes the intents within a size limit. Open requests and deletions are always kept; the
+   * entries that are easiest to determine again are left out first.
+   */
+  Document write(int maxBytes) {
+    int left = maxBytes;
+    List<Document> rentDocs = new ArrayList<>();
+    for (RentRequest request : rentRequests.values()) {
+      rentDocs.add(kind(request.kind()).put("name", request.name()).put("n", request.count()));
       left -= BYTES_PER_GROUP;
     }
     Map<String, List<String>> reasons = new LinkedHashMap<>();
@@ -54,11 +58,11 @@
       reasons.computeIfAbsent(e.getValue().name(), r -> new ArrayList<>()).add(e.getKey());
       left -= e.getKey().length() + BYTES_PER_NAME;
     }
-    List<Document> toReturn = new ArrayList<>();
+    List<Document> deletionDocs = new ArrayList<>();
     reasons.forEach(
-        (r, hosts) -> toReturn.add(Document.create().put("why", r).put("hosts", hosts)));
+        (r, hosts) -> deletionDocs.add(Document.create().put("why", r).put("hosts", hosts)));
     left -= ReturnReason.values().length * BYTES_PER_GROUP;
-    List<Document> arrived = new ArrayList<>();
+    List<Document> completedDocs = new ArrayList<>();
     for (int i = completedRents.size() - 1; i >= 0; i--) {
       CompletedRent c = completedRents.get(i);
       left -= BYTES_PER_GROUP;
@@ -68,18 +72,21 @@
       if (left < 0) {
         break;
       }
-      arrived.add(0, kind(c.kind).put("at", c.rentedAtMs).put("hosts", c.hosts));
+      completedDocs.add(0, kind(c.kind).put("at", c.rentedAtMs).put("hosts", c.hosts));
     }
     Document value =
-        Document.create().put("hires", asked).put("deletions", toReturn).put("came", arrived);
+        Document.create()
+            .put("hires", rentDocs)
+            .put("deletions", deletionDocs)
+            .put("came", completedDocs);
     left = writeSinceTimes(value, "unlisted", unlistedSinceMs, left);
     writeSinceTimes(value, "silent", silentSinceMs, left);
     return value;
   }
 
   private static int writeSinceTimes(
-      Document value, String name, Map<String, Long> times, int bytes) {
-    int left = bytes;
+      Document value, String name, Map<String, Long> times, int maxBytes) {
+    int left = maxBytes;
     TreeMap<Long, List<String>> groups = new TreeMap<>();
     for (var e : times.entrySet()) {
       groups
@@ -109,7 +116,7 @@
     return new MachineKind(d.text("type"), d.text("zone"), d.flag("spot"));
   }
 
-  /** Reads what was left; null, which is nothing, is nothing. */
+  /** Decodes recorded intents; a null value gives empty ones. */
   static Intents read(Document value) throws MalformedMessageException {
     Intents i = new Intents();
     if (value == null) {
--- a/src/main/java/dev/dunefront/fleet/Inventory.java
+++ b/src/main/java/dev/dunefront/fleet/Inventory.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 
 /**
- * What is known of machines from the cloud: those listed, those rented that the lagging list has
- * yet to show, those deleted that it still shows.
+ * The machines known from the cloud: those listed, those rented that the lagging list does not show
+ * yet, and those deleted that it still shows.
  */
 final class Inventory {
   private record Expected(MachineKind kind, double rentedAt) {}
@@ -19,25 +19,31 @@
   private final double listLagS;
   private final Map<String, ListedMachine> listed = new HashMap<>();
   private final Map<String, Expected> expected = new HashMap<>();
-  private final Map<String, Double> deleted = new HashMap<>();
-  private final Set<String> deleting = new HashSet<>();
 
-  Inventory(double lagS) {
-    this.listLagS = lagS;
+  /** Confirmed deletions, with their time on the steady clock. */
+  private final Map<String, Double> deletedAt = new HashMap<>();
+
+  private final Set<String> pendingDeletions = new HashSet<>();
+
+  Inventory(double listLagS) {
+    this.listLagS = listLagS;
   }
 
-  /** Whoever begins to rent knows nothing of what was listed before. */
+  /**
+   * Clears the inventory at the start of a term, except for confirmed deletions, which stay valid.
+   */
   void clear() {
     listed.clear();
     expected.clear();
-    deleting.clear();
+    pendingDeletions.clear();
   }
 
-  /** Whether a machine that came by a hire has yet to show in the list. */
+  /** Whether the machine was rented and the list does not show it yet. */
   boolean isExpected(String host) {
     return expected.containsKey(host);
   }
 
+  /** Replaces the listed machines by a new list. */
   void applyList(List<ListedMachine> all, double now) {
     Map<String, ListedMachine> next = new HashMap<>();
     for (ListedMachine l : all) {
@@ -49,39 +55,41 @@
     }
     listed.clear();
     listed.putAll(next);
-    deleted.values().removeIf(at -> now - at > 20 * listLagS);
+    deletedAt.values().removeIf(at -> now - at > 20 * listLagS);
     expected.values().removeIf(e -> now - e.rentedAt > 4 * listLagS);
   }
 
-  /** Machines that were rented then, which the list may not show yet. */
+  /** Adds machines that were rented at a time on the steady clock and may not be listed yet. */
   void addExpected(List<String> hosts, MachineKind kind, double at) {
     hosts.forEach(h -> expected.put(h, new Expected(kind, at)));
   }
 
-  void deleting(List<String> hosts) {
-    deleting.addAll(hosts);
+  /** Marks machines whose deletion is recorded but not confirmed. */
+  void markDeleting(List<String> hosts) {
+    pendingDeletions.addAll(hosts);
   }
 
-  void deleted(List<String> hosts, boolean confirmed, double now) {
-    deleting.removeAll(hosts);
+  /** Ends pending deletions, either confirmed by the cloud or cancelled. */
+  void completeDeletions(List<String> hosts, boolean confirmed, double now) {
+    pendingDeletions.removeAll(hosts);
     if (confirmed) {
       for (String host : hosts) {
-        deleted.put(host, now);
+        deletedAt.put(host, now);
         listed.remove(host);
       }
     }
   }
 
   boolean isDeleted(String host) {
-    return deleted.containsKey(host);
+    return deletedAt.containsKey(host);
   }
 
   boolean isDeleting(String host) {
-    return deleting.contains(host);
+    return pendingDeletions.contains(host);
   }
 
   int pendingDeletionCount() {
-    return deleting.size();
+    return pendingDeletions.size();
   }
 
   Collection<ListedMachine> listed() {
@@ -92,15 +100,15 @@
     return listed.containsKey(host);
   }
 
-  /** Machines that are rented and not yet held by anybody. */
-  Map<MachineKind, Double> arrivingByKind(MachineTable room) {
-    Map<MachineKind, Double> coming = new HashMap<>();
+  /** Counts the machines that are rented and that no controller holds yet. */
+  Map<MachineKind, Double> arrivingByKind(MachineTable machines) {
+    Map<MachineKind, Double> arriving = new HashMap<>();
     for (ListedMachine l : listed.values()) {
-      if (!l.failed() && !deleted.containsKey(l.host()) && room.get(l.host()) == null) {
-        coming.merge(l.kind(), 1.0, Double::sum);
+      if (!l.failed() && !deletedAt.containsKey(l.host()) && machines.get(l.host()) == null) {
+        arriving.merge(l.kind(), 1.0, Double::sum);
       }
     }
-    expected.values().forEach(e -> coming.merge(e.kind, 1.0, Double::sum));
-    return coming;
+    expected.values().forEach(e -> arriving.merge(e.kind, 1.0, Double::sum));
+    return arriving;
   }
 }
--- a/src/main/java/dev/dunefront/fleet/MachineCatalog.java
+++ b/src/main/java/dev/dunefront/fleet/MachineCatalog.java
@@ -19,15 +19,19 @@
 import java.util.TreeSet;
 
 /**
- * The machine types. The first controller ever asks the cloud and leaves a copy in the state
- * service, so that a restart need not wait for the cloud.
+ * The catalog of machine types. The first controller to start fetches it from the cloud and stores
+ * a copy in the state service, so that a restart does not depend on the cloud. It also records the
+ * observed task sizes and urgent jobs, which placement and scaling take into account.
  */
 public final class MachineCatalog {
   private static final String KEY = "c/catalog";
   private static final double RETRY_S = 2;
   private static final int MAX_SEEN_SIZES = 100;
 
-  /** A type is dear to a replica if it costs this many times as much there as on the cheapest. */
+  /**
+   * A type is too expensive for a service replica if the replica costs more than this many times as
+   * much there as on its cheapest type.
+   */
   private static final double EXPENSIVE_PRICE_RATIO = 1.2;
 
   private final String cloudAddress;
@@ -38,7 +42,10 @@
   private Map<String, MachineType> types = Map.of();
   private Set<String> zones = Set.of();
 
-  /** The sizes of tasks that have been seen; users have few of them. */
+  /**
+   * Task sizes observed so far, bounded by {@link #MAX_SEEN_SIZES}; users submit few distinct
+   * sizes.
+   */
   private final Set<Resources> seenSizes =
       Collections.newSetFromMap(
           new LinkedHashMap<>() {
@@ -48,14 +55,19 @@
             }
           });
 
-  /** A job of each class of urgent arrays that has been seen. */
+  /** One observed job for each class of urgent arrays. */
   private final Map<String, JobSpec> urgentArraysByClass = new LinkedHashMap<>();
 
+  /** Types that are the cheapest for some observed urgent job that excludes spot machines. */
   private final Set<String> cheapestUrgentTypes = new HashSet<>();
 
   public MachineCatalog(
-      String cloud, HttpCaller caller, StateStore store, Timers timers, DecisionLock decisionLock) {
-    this.cloudAddress = cloud;
+      String cloudAddress,
+      HttpCaller caller,
+      StateStore store,
+      Timers timers,
+      DecisionLock decisionLock) {
+    this.cloudAddress = cloudAddress;
     this.caller = caller;
     this.store = store;
     this.timers = timers;
@@ -74,15 +86,15 @@
     return types.values();
   }
 
-  /** From this many tasks on, a machine is larger than a task needs. */
+  /** A machine that fits at least this many tasks of a job is oversized for that job. */
   public static final int OVERSIZE_TASKS = 8;
 
-  /** All zones in which there are machines. */
+  /** All zones in which a machine type is available. */
   public Set<String> zones() {
     return zones;
   }
 
-  /** A job has been seen: what it needs is remembered, for others leave room to it. */
+  /** Records a job's requirements, for which other jobs leave room. */
   public void observe(JobSpec spec) {
     seenSizes.add(spec.taskResources());
     if (!spec.priority().urgent()) {
@@ -91,15 +103,15 @@
     if (!spec.service() && urgentArraysByClass.size() < MAX_SEEN_SIZES) {
       urgentArraysByClass.putIfAbsent(spec.jobClass(), spec);
     }
-    MachineType home = cheapestType(spec);
-    if (home != null) {
-      cheapestUrgentTypes.add(home.name());
+    MachineType cheapest = cheapestType(spec);
+    if (cheapest != null) {
+      cheapestUrgentTypes.add(cheapest.name());
     }
   }
 
   /**
-   * Whether urgent arrays may use machines of the kind. They come and go in bursts, and whether
-   * they start in time is a matter of images that a machine has or has not.
+   * Whether urgent arrays may use machines of the kind. They arrive in bursts, and they start in
+   * time only on machines that have their images cached.
    */
   boolean servesUrgentArrays(MachineKind kind) {
     MachineType t = types.get(kind.type());
@@ -114,32 +126,32 @@
   }
 
   /**
-   * The type on which a task costs least, for work that may not run on spot machines; null for work
-   * that may.
+   * The type on which a task of the job costs least, for a job that excludes spot machines; null
+   * for a job that allows them, or if no type fits.
    */
   public MachineType cheapestType(JobSpec spec) {
-    MachineType home = null;
+    MachineType cheapest = null;
     for (MachineType t : types()) {
       if (!spec.spotAllowed()
           && allowsType(spec, t)
-          && (home == null || taskPrice(spec, t) < taskPrice(spec, home))) {
-        home = t;
+          && (cheapest == null || taskPrice(spec, t) < taskPrice(spec, cheapest))) {
+        cheapest = t;
       }
     }
-    return home;
+    return cheapest;
   }
 
-  /** What a task costs on an ordinary machine of a type, if the machine is full. */
+  /** Cost of one task on a fully used on-demand machine of the type. */
   private static double taskPrice(JobSpec spec, MachineType t) {
     return t.price() / Math.max(1, spec.taskResources().countFittingIn(t.resources()));
   }
 
-  /** Whether there is urgent work that may not run on spot machines. */
+  /** Whether an urgent job that excludes spot machines has been observed. */
   public boolean needsOnDemand() {
     return !cheapestUrgentTypes.isEmpty();
   }
 
-  /** Whether urgent work that may not run on spot machines is at home on the type. */
+  /** Whether the type is the cheapest for an urgent job that excludes spot machines. */
   public boolean isCheapestForUrgent(String type) {
     return cheapestUrgentTypes.contains(type);
   }
@@ -150,31 +162,33 @@
   }
 
   /**
-   * Whether a replica should wait for another type: it stays where it starts, and costs clearly
-   * less there.
+   * Whether a service replica should wait for a cheaper type than this one. A replica stays on the
+   * machine on which it starts, so it keeps costing the higher price.
    */
   public boolean isExpensive(JobSpec spec, MachineType type) {
-    MachineType home = spec.service() ? cheapestType(spec) : null;
-    return home != null && taskPrice(spec, type) > EXPENSIVE_PRICE_RATIO * taskPrice(spec, home);
+    MachineType cheapest = spec.service() ? cheapestType(spec) : null;
+    return cheapest != null
+        && taskPrice(spec, type) > EXPENSIVE_PRICE_RATIO * taskPrice(spec, cheapest);
   }
 
   /**
-   * Whether machines on which the job's tasks would be lost in space should be left to others:
-   * there is an allowed type that is not too large for it, and work that fits on no such type.
+   * Whether the job should avoid types that are oversized for it: it is allowed on a type that is
+   * not, and some observed task size fits only on oversized ones.
    */
   public boolean avoidsOversized(JobSpec spec) {
-    boolean smallerServes = false;
+    boolean smallerAllowed = false;
     Set<Resources> needLarge = new HashSet<>(seenSizes);
     for (MachineType t : types()) {
-      int times = spec.taskResources().countFittingIn(t.resources());
-      if (times > 0 && times < OVERSIZE_TASKS) {
-        smallerServes |= spec.machineTypes() == null || spec.machineTypes().contains(t.name());
+      int perMachine = spec.taskResources().countFittingIn(t.resources());
+      if (perMachine > 0 && perMachine < OVERSIZE_TASKS) {
+        smallerAllowed |= spec.machineTypes() == null || spec.machineTypes().contains(t.name());
         needLarge.removeIf(s -> s.fitsIn(t.resources()));
       }
     }
-    return smallerServes && !needLarge.isEmpty();
+    return smallerAllowed && !needLarge.isEmpty();
   }
 
+  /** Loads the catalog from the state service, or from the cloud if it is not stored there. */
   public void start() {
     store.get(
         KEY,
@@ -187,7 +201,7 @@
         });
   }
 
-  private void fetch(boolean keep) {
+  private void fetch(boolean storeCopy) {
     decisionLock.defer(
         () ->
             caller.call(
@@ -196,20 +210,20 @@
                 "/catalog",
                 null,
                 3,
-                reply ->
+                response ->
                     decisionLock.run(
                         () -> {
                           Document doc = null;
-                          if (reply.ok()) {
+                          if (response.ok()) {
                             try {
-                              doc = Document.decode(reply.body());
+                              doc = Document.decode(response.body());
                             } catch (MalformedMessageException e) {
-                              // asked again below
+                              // fetched again below
                             }
                           }
                           if (doc == null || !load(doc)) {
                             timers.after(RETRY_S, () -> decisionLock.run(this::start));
-                          } else if (keep) {
+                          } else if (storeCopy) {
                             store.tryTxn(
                                 new Txn().put(KEY, doc),
                                 StateStore.RequestPriority.BACKGROUND,
@@ -218,7 +232,7 @@
                         })));
   }
 
-  /** Takes a catalog as the cloud gives it; false if it cannot be read. */
+  /** Loads a catalog in the cloud's format; returns false if it is malformed or empty. */
   boolean load(Document doc) {
     Map<String, MachineType> read = new LinkedHashMap<>();
     try {
@@ -233,9 +247,9 @@
       return false;
     }
     types = read;
-    Set<String> all = new TreeSet<>();
-    read.values().forEach(t -> all.addAll(t.zones()));
-    zones = all;
+    Set<String> allZones = new TreeSet<>();
+    read.values().forEach(t -> allZones.addAll(t.zones()));
+    zones = allZones;
     return true;
   }
 }
--- a/src/main/java/dev/dunefront/fleet/RentPlan.java
+++ b/src/main/java/dev/dunefront/fleet/RentPlan.java
@@ -8,65 +8,69 @@
 import java.util.Set;
 
 /**
- * Chooses what to rent. It is given what there is and what can be had, and decides without a look
- * at anything else; machines are counted with parts, for tasks of several jobs share one.
+ * Chooses the machine kinds to rent, from the given machines and available kinds alone. Machine
+ * counts are fractional, since tasks of several jobs share a machine.
  */
 final class RentPlan {
   static final int MAX_MACHINES_PER_REQUEST = 50;
+
+  /** Tolerance for fractional counts. */
   private static final double EPSILON = 1e-6;
+
   private static final double URGENT_WEIGHT = 4;
 
-  /** What machines many times too large count as, in multiples of their price. */
+  /** Cost factor for oversized machines that should be left to other jobs. */
   private static final double OVERSIZE_COST_FACTOR = 2;
 
   private final MachineCatalog catalog;
   private final Set<MachineKind> refusedKinds;
   private final Map<MachineKind, Double> plannedMachines = new LinkedHashMap<>();
 
-  /** Kinds of which urgent work needs some. */
+  /** Kinds planned for queued urgent tasks. */
   private final Set<MachineKind> urgentKinds = new HashSet<>();
 
-  RentPlan(MachineCatalog catalog, Set<MachineKind> refused) {
+  RentPlan(MachineCatalog catalog, Set<MachineKind> refusedKinds) {
     this.catalog = catalog;
-    this.refusedKinds = refused;
+    this.refusedKinds = refusedKinds;
   }
 
-  /** Takes room for the tasks from machines that there are, or come, and that they would use. */
+  /** Allocates existing or arriving machines that the tasks would use, and reduces both counts. */
   void allocate(CapacityNeed need, Map<MachineKind, Double> machines) {
     for (var e : machines.entrySet()) {
-      int fit = wouldUse(need.spec, e.getKey()) ? tasksPerMachine(need.spec, e.getKey()) : 0;
-      double wanted = need.unmetTasksIn(e.getKey().zone());
-      if (fit > 0 && wanted > EPSILON) {
-        double used = Math.min(e.getValue(), wanted / fit);
-        need.reduce(e.getKey().zone(), used * fit);
+      int perMachine = wouldUse(need.spec, e.getKey()) ? tasksPerMachine(need.spec, e.getKey()) : 0;
+      double unmet = need.unmetTasksIn(e.getKey().zone());
+      if (perMachine > 0 && unmet > EPSILON) {
+        double used = Math.min(e.getValue(), unmet / perMachine);
+        need.reduce(e.getKey().zone(), used * perMachine);
         e.setValue(e.getValue() - used);
       }
     }
   }
 
   /**
-   * Adds machines for the tasks to the plan, the cheapest first, as far as they can be had. Of a
-   * kind that has been planned as often as one call rents, the rest is left to the next call: what
-   * is dearer is not taken for it.
+   * Adds machines for the tasks to the plan, the cheapest available kinds first. Once a kind
+   * reaches the limit of one rent request, the rest waits for the next request instead of using a
+   * more expensive kind.
    */
   void addMachines(CapacityNeed need, boolean spotOnly) {
     MachineKind kind;
     while (need.unmetTasks() > EPSILON && (kind = cheapestKind(need, spotOnly)) != null) {
-      int fit = tasksPerMachine(need.spec, kind);
-      double had = plannedMachines.getOrDefault(kind, 0.0);
-      double more = Math.min(MAX_MACHINES_PER_REQUEST - had, need.unmetTasksIn(kind.zone()) / fit);
+      int perMachine = tasksPerMachine(need.spec, kind);
+      double already = plannedMachines.getOrDefault(kind, 0.0);
+      double more =
+          Math.min(MAX_MACHINES_PER_REQUEST - already, need.unmetTasksIn(kind.zone()) / perMachine);
       if (more <= EPSILON) {
         return;
       }
-      plannedMachines.put(kind, had + more);
+      plannedMachines.put(kind, already + more);
       if (need.queued && need.spec.priority().urgent()) {
         urgentKinds.add(kind);
       }
-      need.reduce(kind.zone(), more * fit);
+      need.reduce(kind.zone(), more * perMachine);
     }
   }
 
-  /** Whether spot machines that the job may use might still be had. */
+  /** Whether a spot kind that the job may use has not been refused by the cloud. */
   boolean spotAvailable(JobSpec spec) {
     return catalog.types().stream().anyMatch(t -> isAvailable(spec, t, true));
   }
@@ -82,37 +86,37 @@
   }
 
   /**
-   * The kind of which most is planned, or null. Machines for urgent work count several times, but
-   * do not go first: its jobs come one by one, and each call for a few machines would keep hundreds
-   * waiting for theirs.
+   * The kind to rent next: the one with the most planned machines, or null if none is planned.
+   * Kinds for urgent tasks get a higher weight but no strict precedence: urgent jobs arrive one by
+   * one, and a request for a few machines each time would delay hundreds of others.
    */
   MachineKind kindToRent() {
-    MachineKind most = null;
+    MachineKind heaviest = null;
     for (MachineKind k : plannedMachines.keySet()) {
-      if (most == null || weight(k) > weight(most)) {
-        most = k;
+      if (heaviest == null || weight(k) > weight(heaviest)) {
+        heaviest = k;
       }
     }
-    return most;
+    return heaviest;
   }
 
   private double weight(MachineKind kind) {
     return plannedMachines.get(kind) * (urgentKinds.contains(kind) ? URGENT_WEIGHT : 1);
   }
 
-  /** How many machines of the kind are planned. */
+  /** Number of planned machines of the kind, rounded up. */
   int plannedCount(MachineKind kind) {
     return (int) Math.ceil(plannedMachines.getOrDefault(kind, 0.0) - EPSILON);
   }
 
-  /** Whether the job's tasks would use a machine of the kind rather than wait for another. */
+  /** Whether the job's tasks would use a machine of the kind rather than wait for a cheaper one. */
   boolean wouldUse(JobSpec spec, MachineKind kind) {
     return tasksPerMachine(spec, kind) > 0
         && (!catalog.isExpensive(spec, catalog.type(kind.type()))
             || !isAvailable(spec, catalog.cheapestType(spec), false));
   }
 
-  /** How many tasks of the job a machine of the kind takes. */
+  /** How many tasks of the job fit on a machine of the kind; 0 if it is not allowed there. */
   int tasksPerMachine(JobSpec spec, MachineKind kind) {
     MachineType t = catalog.type(kind.type());
     return t != null && spec.allows(kind.type(), kind.zone(), kind.spot())
@@ -124,20 +128,21 @@
   private MachineKind cheapestKind(CapacityNeed need, boolean spotOnly) {
     MachineKind best = null;
     double bestCost = Double.MAX_VALUE;
-    boolean leavesLarge = catalog.avoidsOversized(need.spec);
+    boolean avoidsOversized = catalog.avoidsOversized(need.spec);
     for (MachineType t : catalog.types()) {
       for (String zone : t.zones()) {
         for (boolean spot : new boolean[] {false, true}) {
           MachineKind kind = new MachineKind(t.name(), zone, spot);
-          int fit = tasksPerMachine(need.spec, kind);
-          if (fit == 0
+          int perMachine = tasksPerMachine(need.spec, kind);
+          if (perMachine == 0
               || spotOnly && !spot
               || refusedKinds.contains(kind)
               || need.unmetTasksIn(zone) <= EPSILON) {
             continue;
           }
-          double cost = (spot ? t.spotPrice() : t.price()) / fit * bootCostFactor(need, t, spot);
-          if (fit >= MachineCatalog.OVERSIZE_TASKS && leavesLarge) {
+          double cost =
+              (spot ? t.spotPrice() : t.price()) / perMachine * bootCostFactor(need, t, spot);
+          if (perMachine >= MachineCatalog.OVERSIZE_TASKS && avoidsOversized) {
             cost *= OVERSIZE_COST_FACTOR;
           }
           boolean full = plannedMachines.getOrDefault(kind, 0.0) >= MAX_MACHINES_PER_REQUEST;
@@ -153,12 +158,17 @@
     return best;
   }
 
-  /** Whether an ordinary machine is taken for a peak, where spot machines would do. */
+  /**
+   * Whether this is an on-demand machine for a load peak that spot machines could serve as well.
+   */
   private static boolean isOnDemandForPeak(CapacityNeed need, boolean spot) {
     return need.spec.spotAllowed() && !need.spec.priority().urgent() && !spot;
   }
 
-  /** A machine for a peak boots for a single run; that adds to the price of a task, as a factor. */
+  /**
+   * Cost factor for the boot time: a machine rented for a load peak boots for a single run, so its
+   * boot is part of the cost of a task.
+   */
   private static double bootCostFactor(CapacityNeed need, MachineType type, boolean spot) {
     return isOnDemandForPeak(need, spot) && need.taskDurationS > 0
         ? 1 + type.bootS() / need.taskDurationS
--- a/src/main/java/dev/dunefront/fleet/ScalingPlanner.java
+++ b/src/main/java/dev/dunefront/fleet/ScalingPlanner.java
@@ -19,47 +19,52 @@
 import java.util.Set;
 
 /**
- * What to rent and which idle machines to return, from what waits, what there is and what comes.
+ * Plans what to rent and which idle machines to return, from queued and forecast tasks and from
+ * existing and arriving machines.
  */
 final class ScalingPlanner {
-  /** What besides its boot passes until a rented machine takes tasks. */
+  /** Time besides its boot until a rented machine takes tasks. */
   private static final double STARTUP_OVERHEAD_S = 10;
 
   private final Tunables tunables;
   private final JobTable jobs;
-  private final MachineTable room;
+  private final MachineTable machines;
   private final MachineCatalog catalog;
   private final Timers timers;
-  private final DeadlineRanking urgencies;
+  private final DeadlineRanking deadlineRanking;
   private final Inventory inventory;
   private final Collection<Message.Demand> demands;
 
-  /** By the index that kinds of seen machines have. */
+  /** Machine kinds by the index of {@link MachineTable.Kind}. */
   private final List<MachineKind> kindsByIndex = new ArrayList<>();
 
-  /** {@code demands} is what the controllers have told last, kept up to date by the caller. */
+  /** {@code demands} holds the latest demand of each controller; the caller keeps it up to date. */
   ScalingPlanner(
       Tunables tunables,
       JobTable jobs,
-      MachineTable room,
+      MachineTable machines,
       MachineCatalog catalog,
       Timers timers,
-      DeadlineRanking urgencies,
+      DeadlineRanking deadlineRanking,
       Inventory inventory,
       Collection<Message.Demand> demands) {
     this.tunables = tunables;
     this.jobs = jobs;
-    this.room = room;
+    this.machines = machines;
     this.catalog = catalog;
     this.timers = timers;
-    this.urgencies = urgencies;
+    this.deadlineRanking = deadlineRanking;
     this.inventory = inventory;
     this.demands = demands;
   }
 
   /**
-   * What to rent next, if anything, which kinds something waiting could use, and what room there is
-   * beyond that kept ready.
+   * The result of planning.
+   *
+   * @param kindToRent kind to rent next, or null if nothing is to be rented
+   * @param count number of machines to rent
+   * @param usableKinds kinds that some queued task could use
+   * @param surplus room beyond that kept ready, in machines by kind
    */
   record ScalingPlan(
       MachineKind kindToRent,
@@ -68,85 +73,89 @@
       Map<MachineKind, Double> surplus) {}
 
   /**
-   * All that waits is put together first: the cloud takes few calls a second but many machines a
-   * call, so a wave of work is answered with few large hires.
+   * Plans for all queued tasks at once. The cloud accepts few calls per second but many machines
+   * per call, so a wave of jobs is served by a few large rent requests.
    */
   ScalingPlan plan(Set<MachineKind> refused) {
-    Map<MachineKind, Double> coming = inventory.arrivingByKind(room);
+    Map<MachineKind, Double> arriving = inventory.arrivingByKind(machines);
     Map<MachineKind, Double> free = freeMachinesByKind();
-    Map<MachineKind, Double> counts = machineCounts(coming);
-    RentPlan market = new RentPlan(catalog, refused);
-    Set<MachineKind> wanted = new HashSet<>();
-    List<QueuedNeed> waiting = queuedNeeds();
+    Map<MachineKind, Double> counts = machineCounts(arriving);
+    RentPlan rentPlan = new RentPlan(catalog, refused);
+    Set<MachineKind> usable = new HashSet<>();
+    List<QueuedNeed> queued = queuedNeeds();
     List<CapacityNeed> expected = expectedNeeds();
-    boolean spared = false;
-    double ahead = 0;
-    for (QueuedNeed w : waiting) {
+    boolean servicesPlanned = false;
+    double tasksAhead = 0;
+    for (QueuedNeed w : queued) {
       JobSpec spec = w.need.spec;
-      if (!spared && !spec.priority().urgent()) {
-        // What comes for replicas is not for arrays, which would have it rented again and again.
-        planExpected(market, expected, true, free, coming);
-        spared = true;
+      if (!servicesPlanned && !spec.priority().urgent()) {
+        // Machines arriving for service replicas are not allocated to arrays; otherwise they would
+        // be rented again and again.
+        planExpected(rentPlan, expected, true, free, arriving);
+        servicesPlanned = true;
       }
-      market.allocate(w.need, coming);
-      CapacityNeed left = w.need;
+      rentPlan.allocate(w.need, arriving);
+      CapacityNeed remaining = w.need;
       if (spec.spotAllowed() && w.maxSpotWaitS < Double.POSITIVE_INFINITY) {
-        ahead += left.unmetTasks();
-        market.addMachines(left, true);
-        boolean more = market.spotAvailable(spec);
-        // What spot machines get done in time waits for them; ordinary ones are for the rest.
+        tasksAhead += remaining.unmetTasks();
+        rentPlan.addMachines(remaining, true);
+        boolean spotAvailable = rentPlan.spotAvailable(spec);
+        // Tasks that spot machines can finish in time wait for them; on-demand machines are only
+        // for the rest.
         double inTime =
-            more ? ahead : spotSlots(market, spec, counts) * w.maxSpotWaitS / left.taskDurationS;
-        left = left.split(Math.max(0, ahead - inTime));
+            spotAvailable
+                ? tasksAhead
+                : spotSlots(rentPlan, spec, counts) * w.maxSpotWaitS / remaining.taskDurationS;
+        remaining = remaining.split(Math.max(0, tasksAhead - inTime));
         counts.keySet().stream()
-            .filter(k -> k.spot() && market.wouldUse(spec, k))
-            .forEach(wanted::add);
+            .filter(k -> k.spot() && rentPlan.wouldUse(spec, k))
+            .forEach(usable::add);
       }
-      if (left.unmetTasks() > 0) {
-        counts.keySet().stream().filter(k -> market.wouldUse(spec, k)).forEach(wanted::add);
-        market.addMachines(left, false);
+      if (remaining.unmetTasks() > 0) {
+        counts.keySet().stream().filter(k -> rentPlan.wouldUse(spec, k)).forEach(usable::add);
+        rentPlan.addMachines(remaining, false);
       }
     }
-    if (!spared) {
-      planExpected(market, expected, true, free, coming);
+    if (!servicesPlanned) {
+      planExpected(rentPlan, expected, true, free, arriving);
     }
-    planExpected(market, expected, false, free, coming);
-    MachineKind most = market.kindToRent();
-    return new ScalingPlan(most, most == null ? 0 : market.plannedCount(most), wanted, free);
+    planExpected(rentPlan, expected, false, free, arriving);
+    MachineKind kind = rentPlan.kindToRent();
+    return new ScalingPlan(kind, kind == null ? 0 : rentPlan.plannedCount(kind), usable, free);
   }
 
-  /** Urgent work that is to be expected while a machine would come. */
+  /** Forecast urgent tasks within the time until a rented machine takes tasks. */
   private List<CapacityNeed> expectedNeeds() {
     if (tunables.spare() <= 0) {
       return List.of();
     }
-    double window = STARTUP_OVERHEAD_S;
+    double windowS = STARTUP_OVERHEAD_S;
     for (MachineType t : catalog.types()) {
-      window = Math.max(window, t.bootS() + STARTUP_OVERHEAD_S);
+      windowS = Math.max(windowS, t.bootS() + STARTUP_OVERHEAD_S);
     }
     return DemandForecast.urgentNeeds(
-        jobs.all(), catalog.zones(), tunables.spare(), window, timers.wallClockMs());
+        jobs.all(), catalog.zones(), tunables.spare(), windowS, timers.wallClockMs());
   }
 
   private static void planExpected(
-      RentPlan market,
+      RentPlan rentPlan,
       List<CapacityNeed> expected,
       boolean services,
       Map<MachineKind, Double> free,
-      Map<MachineKind, Double> coming) {
+      Map<MachineKind, Double> arriving) {
     for (CapacityNeed need : expected) {
       if (need.spec.service() == services) {
-        market.allocate(need, free);
-        market.allocate(need, coming);
-        market.addMachines(need, false);
+        rentPlan.allocate(need, free);
+        rentPlan.allocate(need, arriving);
+        rentPlan.addMachines(need, false);
       }
     }
   }
 
-  /** A need with the part of its slack that it may wait. */
+  /** A queued need, and how long it may wait for spot machines. */
   private record QueuedNeed(CapacityNeed need, double maxSpotWaitS) {}
 
-  /** All that waits for room, most urgent first. */
+  /** All queued needs, most urgent first. */
   private List<QueuedNeed> queuedNeeds() {
     List<QueuedNeed> all = new ArrayList<>();
     for (Message.Demand d : demands) {
@@ -157,7 +166,7 @@
         }
       }
     }
-    // What nobody has claimed yet, for want of room, needs room no less.
+    // Jobs that no controller has claimed yet for lack of room need room as well.
     for (JobTable.Entry e : jobs.all()) {
       if (e.record().claimant() == null && e.record().status() == JobRecord.Status.OPEN) {
         JobSpec spec = e.record().spec();
@@ -176,65 +185,68 @@
 
   private QueuedNeed queuedNeed(JobRecord record, int tasks, Map<String, Integer> zones) {
     JobSpec spec = record.spec();
-    double fetch = 0;
-    double boot = Double.POSITIVE_INFINITY;
+    double fetchS = 0;
+    double bootS = Double.POSITIVE_INFINITY;
     for (MachineType t : catalog.types()) {
       if (spec.taskResources().fitsIn(t.resources()) && t.fetchGbPerS() > 0) {
-        fetch = Math.max(fetch, spec.imageGb() / t.fetchGbPerS());
-        boot = Math.min(boot, t.bootS());
+        fetchS = Math.max(fetchS, spec.imageGb() / t.fetchGbPerS());
+        bootS = Math.min(bootS, t.bootS());
       }
     }
-    double run = urgencies.expectedRunS(spec) + fetch;
-    double age = (timers.wallClockMs() - record.acceptedMs()) / 1000.0;
-    Double slack = spec.priority().urgent() ? null : urgencies.slackS(spec, age, run);
-    // An ordinary machine must have the time to boot, and what runs now has half its run to go.
-    double patience =
-        slack == null
+    double runS = deadlineRanking.expectedRunS(spec) + fetchS;
+    double ageS = (timers.wallClockMs() - record.acceptedMs()) / 1000.0;
+    Double slackS = spec.priority().urgent() ? null : deadlineRanking.slackS(spec, ageS, runS);
+    // Time must remain for an on-demand machine to boot; running tasks have half their run left.
+    double maxSpotWaitS =
+        slackS == null
             ? Double.POSITIVE_INFINITY
-            : tunables.patience() * Math.max(0, slack - boot - run / 2);
-    return new QueuedNeed(CapacityNeed.forQueued(spec, tasks, zones, Math.max(1, run)), patience);
+            : tunables.patience() * Math.max(0, slackS - bootS - runS / 2);
+    return new QueuedNeed(
+        CapacityNeed.forQueued(spec, tasks, zones, Math.max(1, runS)), maxSpotWaitS);
   }
 
-  /** How many of the job's tasks run at once on the spot machines that there are. */
-  private static double spotSlots(RentPlan market, JobSpec spec, Map<MachineKind, Double> counts) {
+  /** How many of the job's tasks run concurrently on the existing and arriving spot machines. */
+  private static double spotSlots(
+      RentPlan rentPlan, JobSpec spec, Map<MachineKind, Double> counts) {
     double slots = 0;
     for (var e : counts.entrySet()) {
       if (e.getKey().spot()) {
-        slots += e.getValue() * market.tasksPerMachine(spec, e.getKey());
+        slots += e.getValue() * rentPlan.tasksPerMachine(spec, e.getKey());
       }
     }
     return slots;
   }
 
   /**
-   * Room that nothing takes, in machines. Ordinary machines on which replicas would be at home and
-   * arrays are count as free: these leave soon, and were they counted, whatever they take of the
-   * room kept ready would be rented anew.
+   * Free room, in machines by kind. On-demand machines of a type that is cheapest for urgent work
+   * count as free while they run no urgent tasks: such tasks end soon, and if their room counted as
+   * used, machines to replace it would be rented.
    */
   private Map<MachineKind, Double> freeMachinesByKind() {
     Map<MachineKind, Double> free = new HashMap<>();
-    for (MachineTable.Entry s : room.all()) {
+    for (MachineTable.Entry s : machines.all()) {
       MachineType t = catalog.type(s.view().type());
       if (t != null && t.resources().cpu() > 0 && (s.view().schedulable() || s.view().retiring())) {
-        boolean lent =
+        boolean borrowed =
             !s.view().spot()
                 && !s.view().hasUrgentTasks()
                 && catalog.isCheapestForUrgent(s.view().type());
-        double part = lent ? 1 : Math.max(0, (double) s.view().free().cpu() / t.resources().cpu());
-        free.merge(kind(s), part, Double::sum);
+        double freeShare =
+            borrowed ? 1 : Math.max(0, (double) s.view().free().cpu() / t.resources().cpu());
+        free.merge(kind(s), freeShare, Double::sum);
       }
     }
     return free;
   }
 
-  /** All machines by kind, those that come included. */
-  private Map<MachineKind, Double> machineCounts(Map<MachineKind, Double> coming) {
-    Map<MachineKind, Double> counts = new HashMap<>(coming);
-    room.all().forEach(s -> counts.merge(kind(s), 1.0, Double::sum));
+  /** Number of existing and arriving machines by kind. */
+  private Map<MachineKind, Double> machineCounts(Map<MachineKind, Double> arriving) {
+    Map<MachineKind, Double> counts = new HashMap<>(arriving);
+    machines.all().forEach(s -> counts.merge(kind(s), 1.0, Double::sum));
     return counts;
   }
 
-  /** The kind of a machine that is seen; made once for each kind, not for each machine. */
+  /** The kind of a machine; cached by kind index, so that no object is created per machine. */
   private MachineKind kind(MachineTable.Entry s) {
     int index = s.kind().index();
     while (kindsByIndex.size() <= index) {
@@ -250,12 +262,12 @@
 
   // ---- returning ----
 
-  /** Machines that idle and are to be returned. */
+  /** Idle machines to return. */
   List<String> idleMachinesToReturn(ScalingPlan plan) {
     List<IdlePolicy.IdleMachine> idle = new ArrayList<>();
     long now = timers.wallClockMs();
-    for (MachineTable.Entry s : room.all()) {
-      // Its holder says since when, so that whoever rents next knows it as well.
+    for (MachineTable.Entry s : machines.all()) {
+      // The holder reports this time, so the next holder of the rent duty knows it as well.
       long since = s.view().idleSinceMs();
       if (since > 0 && !inventory.isDeleted(s.view().host())) {
         idle.add(new IdlePolicy.IdleMachine(s.view().host(), kind(s), (now - since) / 1000.0));
@@ -265,17 +277,17 @@
   }
 
   /**
-   * How long an idle machine is kept: the less it costs, the longer, for what comes next starts as
-   * much sooner on a cheap machine as on a dear one.
+   * How long an idle machine is kept. Cheaper machines are kept longer: keeping one saves the next
+   * task as much startup time as keeping an expensive one.
    */
   private double idleTimeoutS(MachineKind kind) {
     MachineType t = catalog.type(kind.type());
     if (t == null) {
       return Double.POSITIVE_INFINITY;
     }
-    double cheapness = kind.spot() && t.spotPrice() > 0 ? t.price() / t.spotPrice() : 1;
+    double discount = kind.spot() && t.spotPrice() > 0 ? t.price() / t.spotPrice() : 1;
     return Math.max(
-        tunables.idleBoots() * t.bootS() * Math.max(1, cheapness),
+        tunables.idleBoots() * t.bootS() * Math.max(1, discount),
         catalog.servesUrgentArrays(kind) ? tunables.idleWarmS() : 0);
   }
 }
--- a/src/test/java/dev/dunefront/duty/ElectionPolicyTest.java
+++ b/src/test/java/dev/dunefront/duty/ElectionPolicyTest.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Who takes a duty, and when it is given away. */
+/** Which controller takes a vacant duty, and when a holder hands it over. */
 class ElectionPolicyTest {
   private static final DutyRecord VACANT = DutyRecord.VACANT;
 
@@ -22,14 +22,14 @@
   }
 
   private static Decision decide(
-      DutyRecord post,
+      DutyRecord dutyRecord,
       String self,
       List<Candidate> live,
       double vacantS,
       double heldS,
       double unfitS) {
     return ElectionPolicy.decide(
-        new Observation(Duty.RENT, post, self, live, vacantS, heldS, unfitS));
+        new Observation(Duty.RENT, dutyRecord, self, live, vacantS, heldS, unfitS));
   }
 
   @Test
@@ -76,7 +76,10 @@
         }
       }
     }
-    assertEquals(2 * Duty.values().length, first.size(), "each duty falls to either now and then");
+    assertEquals(
+        2 * Duty.values().length,
+        first.size(),
+        "each duty goes to either controller in some draws");
   }
 
   @Test
@@ -85,25 +88,30 @@
     assertEquals(Decision.WAIT, decide(new DutyRecord("a#1", 7), "b#1", live, 0, 0, 0));
     assertEquals(Decision.WAIT, decide(new DutyRecord("", 7), "b#1", live, 0, 0, 0));
     assertEquals(Decision.WAIT, decide(VACANT, null, live, 100, 0, 0));
-    assertEquals(Decision.WAIT, decide(VACANT, "x#1", live, 100, 0, 0), "not among the living");
+    assertEquals(
+        Decision.WAIT, decide(VACANT, "x#1", live, 100, 0, 0), "not among the live controllers");
   }
 
   @Test
   void unfitHolderHandsOverToAFitController() {
     Candidate self = new Candidate("a#1", 1, 2, true);
     Candidate good = punctual("b", 1);
-    Candidate unheard = new Candidate("c#1", 0, 0, false);
+    Candidate unreachable = new Candidate("c#1", 0, 0, false);
     Candidate late = new Candidate("d#1", 0, 1, true);
     DutyRecord mine = new DutyRecord("a#1", 7);
     double held = ElectionPolicy.MIN_HELD_S;
     double unfit = ElectionPolicy.UNFIT_HANDOVER_DELAY_S + 0.1;
-    List<Candidate> live = List.of(self, good, unheard, late);
+    List<Candidate> live = List.of(self, good, unreachable, late);
     assertEquals("b#1", decide(mine, "a#1", live, 0, held, unfit).newHolder());
     assertEquals(
         Decision.WAIT,
         decide(mine, "a#1", live, 0, held, ElectionPolicy.UNFIT_HANDOVER_DELAY_S / 2));
-    assertEquals(Decision.WAIT, decide(mine, "a#1", live, 0, held / 2, unfit), "or it goes round");
-    assertEquals(Decision.WAIT, decide(mine, "a#1", List.of(self, unheard, late), 0, held, unfit));
+    assertEquals(
+        Decision.WAIT,
+        decide(mine, "a#1", live, 0, held / 2, unfit),
+        "minimum hold time, or the duty would circulate");
+    assertEquals(
+        Decision.WAIT, decide(mine, "a#1", List.of(self, unreachable, late), 0, held, unfit));
   }
 
   @Test
@@ -122,7 +130,7 @@
     assertEquals(VACANT, DutyRecord.read(null, 99));
     DutyRecord garbled = DutyRecord.read(Document.create().put("inc", 3), 5);
     assertEquals(5, garbled.term());
-    assertEquals(false, garbled.vacant(), "it is somebody's until its lease ends");
+    assertEquals(false, garbled.vacant(), "held by an unknown holder until its lease expires");
     assertNull(Duty.ofLabel("no such"));
   }
 }
--- a/src/test/java/dev/dunefront/fleet/IntentsTest.java
+++ b/src/test/java/dev/dunefront/fleet/IntentsTest.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What a holder leaves on record, and which of it its successor still does. */
+/** Encoding of recorded intents, and which recorded deletions the next holder still executes. */
 class IntentsTest {
   private static final MachineKind SMALL = new MachineKind("small", "a", true);
 
@@ -41,16 +41,16 @@
     assertTrue(Intents.read(null).rentRequests.isEmpty());
   }
 
-  /** The state service refuses larger values, and nothing would be rented any more. */
+  /** The state service rejects larger values, after which no machine could be rented any more. */
   @Test
   void recordOfThousandsOfMachinesStaysWithinTheSizeLimit() throws MalformedMessageException {
     Intents i = sampleIntents();
-    for (int hire = 0; hire < 40; hire++) {
+    for (int request = 0; request < 40; request++) {
       List<String> hosts = new ArrayList<>();
       for (int n = 0; n < 50; n++) {
-        hosts.add(String.format("host-%06d", hire * 50 + n));
+        hosts.add(String.format("host-%06d", request * 50 + n));
       }
-      i.completedRents.add(new Intents.CompletedRent(SMALL, 60_000 + hire, hosts));
+      i.completedRents.add(new Intents.CompletedRent(SMALL, 60_000 + request, hosts));
     }
     for (int n = 0; n < 1000; n++) {
       i.silentSinceMs.put(String.format("host-%06d", 5000 + n), n * 1000L);
@@ -60,21 +60,25 @@
     }
     for (int limit : new int[] {12_000, 24_000}) {
       Document value = i.write(limit);
-      // Counted as the state service does, in the form of JSON, which the text is no shorter than.
+      // The state service counts the size as JSON, and the text form is at least as long.
       assertTrue(value.toString().length() < limit * 1.2, value.toString().length() + " bytes");
       Intents back = Intents.read(value);
-      assertEquals(i.deletions, back.deletions, "what is open is never left out");
+      assertEquals(i.deletions, back.deletions, "open deletions are never left out");
       assertEquals(i.rentRequests, back.rentRequests);
       Intents.CompletedRent newest = i.completedRents.get(i.completedRents.size() - 1);
       assertEquals(
           newest,
           back.completedRents.get(back.completedRents.size() - 1),
-          "the newest is listed last");
+          "the newest completed request is kept, in last place");
     }
   }
 
   private static MachineView view(
-      boolean settled, boolean lost, boolean quarantined, boolean retiring, int running) {
+      boolean tokenAcknowledged,
+      boolean leaseExpired,
+      boolean quarantined,
+      boolean retiring,
+      int running) {
     return new MachineView(
         "h",
         "t",
@@ -83,8 +87,8 @@
         1,
         1,
         1,
-        settled,
-        lost,
+        tokenAcknowledged,
+        leaseExpired,
         !retiring,
         quarantined,
         retiring,
@@ -97,7 +101,11 @@
         List.of());
   }
 
-  /** For each reason: nobody holds it, closed and empty, open, running, quarantined, lost. */
+  /**
+   * The columns for each reason: not held, retiring and empty, schedulable, running, quarantined,
+   * lease expired. The controller that recorded a deletion may be replaced before it is sent, and
+   * tasks may have been placed on the machine in the meantime.
+   */
   @Test
   void recordedDeletionAppliesOnlyIfNoTaskCanHaveBeenPlacedSince() {
     Map<ReturnReason, String> table =
@@ -129,6 +137,6 @@
     assertEquals(
         true,
         ReturnReason.UNLISTED.stillApplies(view(false, false, false, false, 1)),
-        "never heard");
+        "no report under this token");
   }
 }
--- a/src/test/java/dev/dunefront/fleet/RentPlanTest.java
+++ b/src/test/java/dev/dunefront/fleet/RentPlanTest.java
@@ -18,7 +18,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What is rented and what is returned, by cases. */
+/** Choice of machine kinds to rent, idle machines to return, and the forecast of urgent tasks. */
 class RentPlanTest {
   private static final MachineKind WIDE_A = new MachineKind("wide", "a", false);
   private static final MachineKind WIDE_B = new MachineKind("wide", "b", false);
@@ -75,14 +75,14 @@
   private final JobSpec replicas = spec("wk-1", true, 12, 1, 1.4);
   private final JobSpec array = spec("wk-2", false, 60, 4, 6.5);
 
-  private Map<MachineKind, Integer> planned(RentPlan market) {
+  private Map<MachineKind, Integer> planned(RentPlan rentPlan) {
     Map<MachineKind, Integer> all = new HashMap<>();
     for (String type : List.of("slim", "wide")) {
       for (String zone : List.of("a", "b", "c")) {
         for (boolean spot : new boolean[] {false, true}) {
           MachineKind kind = new MachineKind(type, zone, spot);
-          if (market.plannedCount(kind) > 0) {
-            all.put(kind, market.plannedCount(kind));
+          if (rentPlan.plannedCount(kind) > 0) {
+            all.put(kind, rentPlan.plannedCount(kind));
           }
         }
       }
@@ -90,41 +90,41 @@
     return all;
   }
 
-  /** Nothing needs the large type for itself, and a replica is cheapest there. */
+  /** A replica is cheapest on the large type, and no other job needs that type. */
   @Test
   void smallTasksUseTheLargeTypeUnlessAnotherJobNeedsIt() {
     catalog.observe(replicas);
     catalog.observe(array);
-    RentPlan market = new RentPlan(catalog, refused);
-    market.addMachines(CapacityNeed.forQueued(replicas, 32, Map.of(), 0), false);
-    assertEquals(Map.of(WIDE_A, 2), planned(market));
+    RentPlan rentPlan = new RentPlan(catalog, refused);
+    rentPlan.addMachines(CapacityNeed.forQueued(replicas, 32, Map.of(), 0), false);
+    assertEquals(Map.of(WIDE_A, 2), planned(rentPlan));
     catalog.observe(spec("wk-3", false, 1, 16, 27));
     RentPlan other = new RentPlan(catalog, refused);
     other.addMachines(CapacityNeed.forQueued(replicas, 32, Map.of(), 0), false);
     assertEquals(Map.of(new MachineKind("slim", "a", false), 8), planned(other));
   }
 
-  /** What comes for an array's peak is no room for replicas, which wait for the cheaper type. */
+  /** Machines that arrive for arrays are not room for replicas, which wait for the cheaper type. */
   @Test
   void replicasAreNotAllocatedToMachinesTheyWouldNotUse() {
     catalog.observe(replicas);
     MachineKind slim = new MachineKind("slim", "c", false);
-    RentPlan market = new RentPlan(catalog, refused);
-    CapacityNeed calm = CapacityNeed.forQueued(replicas, 12, Map.of(), 0);
-    market.allocate(calm, new HashMap<>(Map.of(slim, 9.0)));
-    assertEquals(12, calm.unmetTasks());
+    RentPlan rentPlan = new RentPlan(catalog, refused);
+    CapacityNeed need = CapacityNeed.forQueued(replicas, 12, Map.of(), 0);
+    rentPlan.allocate(need, new HashMap<>(Map.of(slim, 9.0)));
+    assertEquals(12, need.unmetTasks());
     refused.addAll(Set.of(WIDE_A, WIDE_B));
-    market.allocate(calm, new HashMap<>(Map.of(slim, 9.0)));
-    assertEquals(0, calm.unmetTasks(), "where the cheaper type cannot be had the other serves");
+    rentPlan.allocate(need, new HashMap<>(Map.of(slim, 9.0)));
+    assertEquals(0, need.unmetTasks(), "the other type is used while the cheaper one is refused");
   }
 
-  /** Machines of one zone alone would never serve tasks that must be apart. */
+  /** Tasks that must be spread could never all be placed on machines of a single zone. */
   @Test
   void spreadTasksGetMachinesInTheZonesStillAllowed() {
-    RentPlan market = new RentPlan(catalog, refused);
-    market.addMachines(
+    RentPlan rentPlan = new RentPlan(catalog, refused);
+    rentPlan.addMachines(
         CapacityNeed.forQueued(replicas, 12, Map.of("a", 6, "b", 6, "c", 6), 0), false);
-    assertEquals(Map.of(WIDE_A, 1, WIDE_B, 1), planned(market));
+    assertEquals(Map.of(WIDE_A, 1, WIDE_B, 1), planned(rentPlan));
     RentPlan rest = new RentPlan(catalog, refused);
     rest.addMachines(CapacityNeed.forQueued(replicas, 6, Map.of("a", 0, "b", 6), 0), false);
     assertEquals(Map.of(WIDE_B, 1), planned(rest));
@@ -133,34 +133,37 @@
     assertEquals(6, need.unmetTasks());
   }
 
-  /** Half of such a job runs and the rest waits; machines for it would be rented for ever. */
+  /**
+   * Half of such a job runs and no zone may take the rest; machines for it would be rented
+   * endlessly.
+   */
   @Test
   void nothingIsRentedForTasksThatNoZoneAllows() {
-    RentPlan market = new RentPlan(catalog, refused);
-    market.addMachines(
+    RentPlan rentPlan = new RentPlan(catalog, refused);
+    rentPlan.addMachines(
         CapacityNeed.forQueued(replicas, 6, Map.of("a", 0, "b", 0, "c", 0), 0), false);
-    assertNull(market.kindToRent());
+    assertNull(rentPlan.kindToRent());
   }
 
-  /** What one call does not bring the next one does; meanwhile nothing dearer is taken for it. */
+  /** The rest is rented by the next request; until then no more expensive kind is used. */
   @Test
   void noDearerKindIsRentedWhenTheCheapestReachesItsRequestLimit() {
     refused.add(new MachineKind("wide", "a", true));
     refused.add(new MachineKind("wide", "b", true));
-    RentPlan market = new RentPlan(catalog, refused);
-    market.addMachines(CapacityNeed.forQueued(array, 1000, Map.of(), 0), false);
-    assertTrue(planned(market).keySet().stream().allMatch(MachineKind::spot));
-    assertTrue(market.spotAvailable(array));
-    assertFalse(market.spotAvailable(replicas));
+    RentPlan rentPlan = new RentPlan(catalog, refused);
+    rentPlan.addMachines(CapacityNeed.forQueued(array, 1000, Map.of(), 0), false);
+    assertTrue(planned(rentPlan).keySet().stream().allMatch(MachineKind::spot));
+    assertTrue(rentPlan.spotAvailable(array));
+    assertFalse(rentPlan.spotAvailable(replicas));
   }
 
   @Test
   void theNextCheapestKindIsRentedWhenOneIsRefused() {
     refused.add(WIDE_A);
     refused.add(WIDE_B);
-    RentPlan market = new RentPlan(catalog, refused);
-    market.addMachines(CapacityNeed.forQueued(replicas, 4, Map.of(), 0), false);
-    assertEquals(Map.of(new MachineKind("slim", "a", false), 1), planned(market));
+    RentPlan rentPlan = new RentPlan(catalog, refused);
+    rentPlan.addMachines(CapacityNeed.forQueued(replicas, 4, Map.of(), 0), false);
+    assertEquals(Map.of(new MachineKind("slim", "a", false), 1), planned(rentPlan));
     RentPlan spot = new RentPlan(catalog, Set.of(SLIM_SPOT_C));
     spot.addMachines(CapacityNeed.forQueued(replicas, 4, Map.of(), 0), true);
     assertNull(spot.kindToRent(), "replicas may not run on spot machines");
@@ -199,14 +202,16 @@
         .sum();
   }
 
-  /** Services stay: room in proportion to what is open would be rented for ever and never used. */
+  /**
+   * Services are long-lived: room in proportion to the open ones would be rented but never used.
+   */
   @Test
   void spareRoomForServicesFollowsArrivalsNotOpenServices() {
     addOpenServices(200, 4, 500);
-    assertEquals(2 * 4, forecast(), "room for the largest, twice");
+    assertEquals(2 * 4, forecast(), "room for two of the largest service");
     addOpenServices(200, 4, 10);
-    assertEquals(2 * 4, forecast(), "a single wave is no habit");
+    assertEquals(2 * 4, forecast(), "a single wave is not expected again");
     addOpenServices(10, 4, 70);
-    assertEquals(2 * 40, forecast(), "twice what came in the span before");
+    assertEquals(2 * 40, forecast(), "twice the arrivals of the window before");
   }
 }
