--- a/src/main/java/dev/dunefront/book/HeldMachines.java
+++ b/src/main/java/dev/dunefront/book/HeldMachines.java
@@ -81,7 +81,7 @@
   public HeldMachines(ControllerContext context, HttpCaller caller) {
     this.settings = context.settings();
     this.membership = context.membership();
-    this.holds = context.holds();
+    this.holds = context.holdTable();
     this.jobs = context.jobs();
     this.peers = context.peers();
     this.timers = context.timers();
@@ -97,7 +97,7 @@
     this.controllerLoads = new ControllerLoads(settings, membership);
     this.workerEvacuation = new WorkerEvacuation(context, controllerLoads);
     this.holdAcquisition = new HoldAcquisition(context, controllerLoads, statusChecks, this);
-    this.pauseDetector = context.standstill();
+    this.pauseDetector = context.pauseDetector();
     this.roomAllocation = new RoomAllocation(context, controllerLoads, viewPublisher);
     this.machineMessages =
         new MachineMessages(context, this, startRequests, preemption, holdAcquisition);
--- a/src/main/java/dev/dunefront/book/HoldAcquisition.java
+++ b/src/main/java/dev/dunefront/book/HoldAcquisition.java
@@ -96,7 +96,7 @@
       HeldMachines heldMachines) {
     this.settings = context.settings();
     this.membership = context.membership();
-    this.holds = context.holds();
+    this.holds = context.holdTable();
     this.catalog = context.catalog();
     this.store = context.store();
     this.peers = context.peers();
--- a/src/main/java/dev/dunefront/book/HoldChanges.java
+++ b/src/main/java/dev/dunefront/book/HoldChanges.java
@@ -15,7 +15,7 @@
 
   HoldChanges(ControllerContext context, HeldMachines heldMachines) {
     this.settings = context.settings();
-    this.holds = context.holds();
+    this.holds = context.holdTable();
     this.heldMachines = heldMachines;
   }
 
--- a/src/main/java/dev/dunefront/book/HoldTable.java
+++ b/src/main/java/dev/dunefront/book/HoldTable.java
@@ -184,7 +184,7 @@
   }
 
   /** Sets the listener, which receives the host of each changed hold record. */
-  public void listen(Consumer<String> changed) {
+  public void setListener(Consumer<String> changed) {
     listener = changed;
   }
 
--- a/src/main/java/dev/dunefront/book/Machine.java
+++ b/src/main/java/dev/dunefront/book/Machine.java
@@ -5,7 +5,7 @@
 import dev.dunefront.evidence.Responsiveness;
 import dev.dunefront.peer.Message.ExitReason;
 import dev.dunefront.peer.Message.MachineView;
-import dev.dunefront.peer.Message.State;
+import dev.dunefront.peer.Message.TaskState;
 import dev.dunefront.peer.Message.TaskStatus;
 import dev.dunefront.wire.MachineType;
 import dev.dunefront.wire.Report;
@@ -298,12 +298,12 @@
   List<TaskStatus> taskStates() {
     List<TaskStatus> all = new ArrayList<>();
     for (Report.Task t : tasks.values()) {
-      State state =
+      TaskState state =
           switch (t.state()) {
-            case "fetching" -> State.FETCHING;
-            case "saving" -> State.SAVING;
-            case "exited" -> State.EXITED;
-            default -> State.RUNNING;
+            case "fetching" -> TaskState.FETCHING;
+            case "saving" -> TaskState.SAVING;
+            case "exited" -> TaskState.EXITED;
+            default -> TaskState.RUNNING;
           };
       ExitReason exitReason =
           switch (t.exitReason()) {
@@ -321,7 +321,7 @@
           if (t == null || t.attempt() != start.attempt) {
             all.add(
                 new TaskStatus(
-                    id.job(), id.number(), start.attempt, State.PENDING, ExitReason.NONE));
+                    id.job(), id.number(), start.attempt, TaskState.PENDING, ExitReason.NONE));
           }
         });
     return all;
--- a/src/main/java/dev/dunefront/book/MachineMessages.java
+++ b/src/main/java/dev/dunefront/book/MachineMessages.java
@@ -89,7 +89,7 @@
             new Machine.RepeatedCommand(c.attempt(), 0, timers.now()));
         heldMachines.reconcile(m);
       }
-    } else if (message instanceof Message.Preempt p) {
+    } else if (message instanceof Message.PreemptTasks p) {
       Machine m = heldMachines.get(p.host());
       if (m != null) {
         preemption.preempt(m, p);
--- a/src/main/java/dev/dunefront/book/Preemption.java
+++ b/src/main/java/dev/dunefront/book/Preemption.java
@@ -54,7 +54,7 @@
    * Stops tasks of lower priority until there is room for the requested tasks: first those that may
    * always be preempted, then the youngest, which lose the least work.
    */
-  void preempt(Machine m, Message.Preempt request) {
+  void preempt(Machine m, Message.PreemptTasks request) {
     MachineType type = catalog.type(m.typeName);
     if (type == null || !m.schedulable()) {
       return;
--- a/src/main/java/dev/dunefront/book/RoomAllocation.java
+++ b/src/main/java/dev/dunefront/book/RoomAllocation.java
@@ -46,7 +46,7 @@
     this.store = context.store();
     this.peers = context.peers();
     this.timers = context.timers();
-    this.pauseDetector = context.standstill();
+    this.pauseDetector = context.pauseDetector();
     this.controllerLoads = controllerLoads;
     this.viewPublisher = viewPublisher;
     this.lastOfferId = timers.wallClockMs() << 16;
--- a/src/main/java/dev/dunefront/book/StartRequests.java
+++ b/src/main/java/dev/dunefront/book/StartRequests.java
@@ -41,7 +41,7 @@
     this.catalog = context.catalog();
     this.peers = context.peers();
     this.timers = context.timers();
-    this.pauseDetector = context.standstill();
+    this.pauseDetector = context.pauseDetector();
     this.heldMachines = heldMachines;
     this.workerCommands = workerCommands;
     this.viewPublisher = viewPublisher;
--- a/src/main/java/dev/dunefront/book/WorkerCommands.java
+++ b/src/main/java/dev/dunefront/book/WorkerCommands.java
@@ -56,13 +56,13 @@
       StatusChecks statusChecks) {
     this.statusChecks = statusChecks;
     this.membership = context.membership();
-    this.holds = context.holds();
+    this.holds = context.holdTable();
     this.store = context.store();
     this.caller = caller;
     this.timers = context.timers();
     this.decisionLock = context.decisionLock();
     this.heldMachines = heldMachines;
-    this.pauseDetector = context.standstill();
+    this.pauseDetector = context.pauseDetector();
     this.standaloneClearDelayS = context.settings().workers().reportS() * MAX_REPORT_DELAY_FACTOR;
   }
 
--- a/src/main/java/dev/dunefront/claim/Claim.java
+++ b/src/main/java/dev/dunefront/claim/Claim.java
@@ -45,7 +45,7 @@
   /** A placed attempt with the runtime state that is not part of its record. */
   static final class LiveAttempt {
     final Placement placement;
-    Message.State state = Message.State.PENDING;
+    Message.TaskState state = Message.TaskState.PENDING;
     double runningSince;
     double queriedAt;
     double stopSentAt;
--- a/src/main/java/dev/dunefront/claim/ClaimWriter.java
+++ b/src/main/java/dev/dunefront/claim/ClaimWriter.java
@@ -320,7 +320,7 @@
               } else {
                 plan.starts().forEach(start -> decline(start.receivedOffer()));
               }
-              if (grantChanged && !result.ok() && result.failed().contains(quota.key())) {
+              if (grantChanged && !result.ok() && result.failedKeys().contains(quota.key())) {
                 refreshQuota(quota, claim);
               } else if (grantChanged) {
                 quota.release();
@@ -478,7 +478,7 @@
   }
 
   private void commitRejected(Claim claim, PlannedTransaction plan, StateStore.WriteResult result) {
-    Set<String> failed = new HashSet<>(result.failed());
+    Set<String> failed = new HashSet<>(result.failedKeys());
     LOG.log(
         Level.DEBUG,
         "transaction for job {0} rejected, failed conditions: {1}",
--- a/src/main/java/dev/dunefront/claim/Claims.java
+++ b/src/main/java/dev/dunefront/claim/Claims.java
@@ -275,7 +275,7 @@
         || claim.loading
         || !claim.isStartable()
         || context.store().unavailable()
-        || !context.standstill().current()) {
+        || !context.pauseDetector().current()) {
       context.peers().send(from, new Message.DeclineOffer(offer.offerId(), offer.host()));
     } else {
       claim.offers.add(new ReceivedOffer(from, offer, context.now()));
@@ -304,7 +304,7 @@
 
   /** Handles a change of a machine's hold record; only its confirmed deletion matters here. */
   public void holdChanged(String host) {
-    HoldTable.Hold hold = context.holds().recordOf(host);
+    HoldTable.Hold hold = context.holdTable().recordOf(host);
     if (hold != null && hold.machineDeleted()) {
       for (Claim claim : List.copyOf(claims.values())) {
         reconciliation.endAttemptsOn(claim, host);
--- a/src/main/java/dev/dunefront/claim/ControllerContext.java
+++ b/src/main/java/dev/dunefront/claim/ControllerContext.java
@@ -21,14 +21,14 @@
     Tunables tunables,
     Membership membership,
     Replica replica,
-    HoldTable holds,
+    HoldTable holdTable,
     JobTable jobs,
     MachineCatalog catalog,
     StateStore store,
     Peers peers,
     Timers timers,
     DecisionLock decisionLock,
-    PauseDetector standstill,
+    PauseDetector pauseDetector,
     Duties duties,
     SafetyMonitor safety) {
 
--- a/src/main/java/dev/dunefront/claim/JobStatistics.java
+++ b/src/main/java/dev/dunefront/claim/JobStatistics.java
@@ -78,7 +78,7 @@
   private static int running(Claim claim) {
     int running = 0;
     for (Claim.LiveAttempt attempt : claim.liveAttempts.values()) {
-      if (attempt.state == Message.State.RUNNING || attempt.state == Message.State.SAVING) {
+      if (attempt.state == Message.TaskState.RUNNING || attempt.state == Message.TaskState.SAVING) {
         running++;
       }
     }
--- a/src/main/java/dev/dunefront/claim/PreemptionRequests.java
+++ b/src/main/java/dev/dunefront/claim/PreemptionRequests.java
@@ -126,7 +126,7 @@
             .peers()
             .send(
                 candidate.machine().holder(),
-                new Message.Preempt(
+                new Message.PreemptTasks(
                     candidate.machine().view().host(), priority.ordinal(), claim.size, count));
       }
     }
--- a/src/main/java/dev/dunefront/claim/Reconciliation.java
+++ b/src/main/java/dev/dunefront/claim/Reconciliation.java
@@ -155,8 +155,8 @@
       LOG.log(
           Level.DEBUG, "task {0}/{1} is {2} on {3}", claim.id(), number, reported.state(), host);
     }
-    if (reported.state() == Message.State.RUNNING
-        && (live.state == Message.State.PENDING || live.state == Message.State.FETCHING)) {
+    if (reported.state() == Message.TaskState.RUNNING
+        && (live.state == Message.TaskState.PENDING || live.state == Message.TaskState.FETCHING)) {
       live.runningSince = context.now();
     }
     live.state = reported.state();
@@ -189,7 +189,7 @@
     List<String> hosts = List.copyOf(claim.hostsToCompare);
     claim.hostsToCompare.clear();
     for (String host : hosts) {
-      HoldTable.Hold hold = context.holds().recordOf(host);
+      HoldTable.Hold hold = context.holdTable().recordOf(host);
       if (hold != null && hold.machineDeleted()) {
         endAttemptsOn(claim, host);
       } else {
--- a/src/main/java/dev/dunefront/claim/StrayTermination.java
+++ b/src/main/java/dev/dunefront/claim/StrayTermination.java
@@ -60,7 +60,7 @@
 
   /** Whether the view was sent under the machine's present hold, as far as known here. */
   private boolean isCurrent(MachineView view) {
-    HoldTable.Hold hold = context.holds().holdOf(view.host(), view.zone());
+    HoldTable.Hold hold = context.holdTable().holdOf(view.host(), view.zone());
     return hold != null && hold.revision() == view.holdRevision();
   }
 
--- a/src/main/java/dev/dunefront/claim/Takeover.java
+++ b/src/main/java/dev/dunefront/claim/Takeover.java
@@ -117,7 +117,7 @@
     String self = context.membership().ownIncarnation();
     if (self == null
         || !context.replica().ready()
-        || !context.standstill().current()
+        || !context.pauseDetector().current()
         || !context.catalog().isLoaded()
         || context.store().unavailable()) {
       return;
--- a/src/main/java/dev/dunefront/cleanup/MachineRecordCleanup.java
+++ b/src/main/java/dev/dunefront/cleanup/MachineRecordCleanup.java
@@ -64,7 +64,7 @@
     double keepMs = context.tunables().burialS() * 1000;
     boolean heldLongEnough = now - termStartedAt > context.tunables().burialS();
     List<HoldTable.Hold> expired =
-        context.holds().deletedMachines().stream()
+        context.holdTable().deletedMachines().stream()
             // A record of an earlier version has no time; it expires after this controller has held
             // the duty for the retention time.
             .filter(
--- a/src/main/java/dev/dunefront/cleanup/RosterUpdater.java
+++ b/src/main/java/dev/dunefront/cleanup/RosterUpdater.java
@@ -80,7 +80,7 @@
         });
     Set<String> retained = new HashSet<>(Set.of(context.settings().node()));
     context.settings().peers().stream().map(Settings.Peer::node).forEach(retained::add);
-    Roster roster = context.holds().roster();
+    Roster roster = context.holdTable().roster();
     if (now - termStartedAt < LEAVE_DELAY_S) {
       // This controller has not watched long enough to know that a member has left.
       roster.members().forEach(m -> retained.add(m.node()));
--- a/src/main/java/dev/dunefront/cli/Controller.java
+++ b/src/main/java/dev/dunefront/cli/Controller.java
@@ -178,7 +178,7 @@
     meters.gauge("dunefront.machines.deafened", heldMachines::unresponsiveCount);
     meters.gauge("dunefront.machines.sent.away", heldMachines::sentAwayCount);
     meters.gauge("dunefront.alone", () -> heldMachines.isolated() ? 1 : 0);
-    holds.listen(
+    holds.setListener(
         host -> {
           heldMachines.holdChanged(host);
           claims.holdChanged(host);
@@ -460,7 +460,7 @@
   @Override
   public void received(String from, Message m) {
     if (m instanceof Message.Demand d) {
-      autoscaler.received(from, d);
+      autoscaler.receiveDemand(from, d);
     } else if (m instanceof Message.JobEnded e) {
       jobs.finalStatusRecorded(
           e.job(), e.done() ? JobRecord.Status.DONE : JobRecord.Status.CANCELLED);
--- a/src/main/java/dev/dunefront/fleet/Autoscaler.java
+++ b/src/main/java/dev/dunefront/fleet/Autoscaler.java
@@ -91,7 +91,7 @@
     this.inventory = new Inventory(listLagS);
     this.health =
         new MachineHealth(
-            context.settings(), membership, context.holds(), machines, catalog, inventory);
+            context.settings(), membership, context.holdTable(), machines, catalog, inventory);
     this.planner =
         new ScalingPlanner(
             context.tunables(),
@@ -109,7 +109,7 @@
             inventory,
             machines,
             new DeletionRecorder(
-                context.holds(),
+                context.holdTable(),
                 context.store(),
                 timers,
                 context.decisionLock(),
@@ -129,7 +129,7 @@
   }
 
   /** Receives the latest demand of a controller. */
-  public void received(String from, Message.Demand demand) {
+  public void receiveDemand(String from, Message.Demand demand) {
     demands.put(from, demand);
   }
 
--- a/src/main/java/dev/dunefront/peer/Message.java
+++ b/src/main/java/dev/dunefront/peer/Message.java
@@ -20,9 +20,9 @@
   record Ping() implements Message {}
 
   /** A task on a machine as its holder knows it; PENDING means that its start is in progress. */
-  record TaskStatus(String job, int number, long attempt, State state, ExitReason exitReason) {
+  record TaskStatus(String job, int number, long attempt, TaskState state, ExitReason exitReason) {
     public boolean exited() {
-      return state == State.EXITED;
+      return state == TaskState.EXITED;
     }
 
     @Override
@@ -42,7 +42,7 @@
   }
 
   /** State of a task on a machine; PENDING means that its start is in progress. */
-  enum State {
+  enum TaskState {
     PENDING,
     FETCHING,
     RUNNING,
@@ -315,7 +315,7 @@
    * Asks the holder to preempt tasks of lower priority, to make room for {@code count} tasks of
    * this size.
    */
-  record Preempt(String host, int priority, Resources size, int count) implements Message {}
+  record PreemptTasks(String host, int priority, Resources size, int count) implements Message {}
 
   /** Requests write tokens of the state service's rate limit, which the sender lacks. */
   record LoanRequest(long requestNumber, int writes) implements Message {}
--- a/src/main/java/dev/dunefront/peer/MessageCodec.java
+++ b/src/main/java/dev/dunefront/peer/MessageCodec.java
@@ -23,12 +23,12 @@
 import dev.dunefront.peer.Message.Offer;
 import dev.dunefront.peer.Message.PendingTasks;
 import dev.dunefront.peer.Message.Ping;
-import dev.dunefront.peer.Message.Preempt;
+import dev.dunefront.peer.Message.PreemptTasks;
 import dev.dunefront.peer.Message.ReserveOffer;
 import dev.dunefront.peer.Message.RetireMachine;
 import dev.dunefront.peer.Message.StartTask;
-import dev.dunefront.peer.Message.State;
 import dev.dunefront.peer.Message.StopTask;
+import dev.dunefront.peer.Message.TaskState;
 import dev.dunefront.peer.Message.TaskStatus;
 import dev.dunefront.peer.Message.ViewSubscription;
 import dev.dunefront.peer.Message.Want;
@@ -203,7 +203,7 @@
     } else if (m instanceof JobCancelled c) {
       out.writeByte(16);
       out.writeUTF(c.job());
-    } else if (m instanceof Preempt p) {
+    } else if (m instanceof PreemptTasks p) {
       out.writeByte(19);
       out.writeUTF(p.host());
       out.writeByte(p.priority());
@@ -353,7 +353,7 @@
             }
             yield new Demand(all, unreportedHosts);
           }
-          case 19 -> new Preempt(in.readUTF(), in.readByte(), readSize(in), in.readInt());
+          case 19 -> new PreemptTasks(in.readUTF(), in.readByte(), readSize(in), in.readInt());
           case 18 ->
               new ControllerStatus(
                   in.readBoolean(),
@@ -406,7 +406,7 @@
               in.readUTF(),
               in.readInt(),
               in.readLong(),
-              enumConstant(State.values(), in.readByte()),
+              enumConstant(TaskState.values(), in.readByte()),
               enumConstant(ExitReason.values(), in.readByte())));
     }
     return new MachineView(
--- a/src/main/java/dev/dunefront/store/StateStore.java
+++ b/src/main/java/dev/dunefront/store/StateStore.java
@@ -54,7 +54,7 @@
    * Result of a transaction or lease request: its revision or lease ID; after a conflict, the keys
    * whose conditions failed.
    */
-  record WriteResult(Outcome outcome, long revision, List<String> failed) {
+  record WriteResult(Outcome outcome, long revision, List<String> failedKeys) {
     public boolean ok() {
       return outcome == Outcome.OK;
     }
--- a/src/test/java/dev/dunefront/evidence/EndProofTest.java
+++ b/src/test/java/dev/dunefront/evidence/EndProofTest.java
@@ -10,7 +10,7 @@
 import dev.dunefront.evidence.EndProof.Kind;
 import dev.dunefront.peer.Message.ExitReason;
 import dev.dunefront.peer.Message.MachineView;
-import dev.dunefront.peer.Message.State;
+import dev.dunefront.peer.Message.TaskState;
 import dev.dunefront.peer.Message.TaskStatus;
 import dev.dunefront.wire.Resources;
 import java.util.List;
@@ -50,14 +50,14 @@
     return EndProof.find(PLACED, shown, view, Basis.of("node-0", view, 0.1));
   }
 
-  private static TaskStatus shown(State state, ExitReason why) {
+  private static TaskStatus shown(TaskState state, ExitReason why) {
     return new TaskStatus("wk-1", 0, PLACED.number(), state, why);
   }
 
   @Test
   void anExpiredLeaseProvesTheEndOnlyInItsOwnSession() {
     assertNull(find(1, true, null));
-    EndProof proof = find(2, true, shown(State.RUNNING, ExitReason.NONE));
+    EndProof proof = find(2, true, shown(TaskState.RUNNING, ExitReason.NONE));
     assertEquals(Kind.LEASE_OVER, proof.kind());
     assertTrue(proof.conditional(), "another holder may be receiving the machine's reports");
     assertEquals(HOLD_REVISION, proof.basis().holdRevision());
@@ -72,14 +72,14 @@
 
   @Test
   void anAttemptShownRunningOrNotShownProvesNothing() {
-    assertNull(find(2, false, shown(State.RUNNING, ExitReason.NONE)));
+    assertNull(find(2, false, shown(TaskState.RUNNING, ExitReason.NONE)));
     assertNull(find(2, false, null));
     assertNull(find(1, false, null));
   }
 
   @Test
   void aReportedExitIsUnconditional() {
-    EndProof proof = find(2, false, shown(State.EXITED, ExitReason.DONE));
+    EndProof proof = find(2, false, shown(TaskState.EXITED, ExitReason.DONE));
     assertEquals(Kind.EXITED, proof.kind());
     assertEquals(ExitReason.DONE, proof.exitReason());
     assertFalse(proof.conditional());
--- a/src/test/java/dev/dunefront/peer/MessageCodecTest.java
+++ b/src/test/java/dev/dunefront/peer/MessageCodecTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import dev.dunefront.peer.Message.ExitReason;
-import dev.dunefront.peer.Message.State;
+import dev.dunefront.peer.Message.TaskState;
 import dev.dunefront.peer.Message.TaskStatus;
 import dev.dunefront.wire.Resources;
 import java.io.IOException;
@@ -38,7 +38,7 @@
               List.of("img"),
               List.of(0, 1, 0, 2),
               List.of(0, 1, 0, 0),
-              List.of(new TaskStatus("wk-1", 2, 3, State.EXITED, ExitReason.DONE))),
+              List.of(new TaskStatus("wk-1", 2, 3, TaskState.EXITED, ExitReason.DONE))),
           new Message.ViewSubscription(ViewDetail.CAPACITY),
           new Message.LoanRequest(1, 2),
           new Message.Loan(1, 2),
@@ -59,7 +59,7 @@
           new Message.JobCancelled("wk-1"),
           new Message.JobEnded("wk-1", true),
           new Message.ControllerStatus(true, 1.5, 2.5, 3, 0.5),
-          new Message.Preempt("h", 1, new Resources(1, 2, 3), 4),
+          new Message.PreemptTasks("h", 1, new Resources(1, 2, 3), 4),
           new Message.RetireMachine("h", 4),
           new Message.DutyTerm("rent", 5),
           new Message.Demand(
