--- a/src/test/java/dev/dunefront/story/CancellationDuringOutageTest.java
+++ b/src/test/java/dev/dunefront/story/CancellationDuringOutageTest.java
@@ -18,7 +18,6 @@
  * may live, while workers report to the refused controller.
  */
 class CancellationDuringOutageTest {
-
   private static World world() {
     World w = new World(5);
     w.start().pass(2);
@@ -46,16 +45,16 @@
   }
 
   /**
-   * The sequence that users had: one controller is refused for less and for more than its lease
-   * before the general outage begins.
+   * The sequence of the users' incident: one controller is refused for less and for more than its
+   * lease before the general outage begins.
    */
   @Property(generation = GenerationMode.EXHAUSTIVE)
   void cancelledTasksStopDuringOutage(
-      @ForAll @IntRange(min = 0, max = 3) int leader,
+      @ForAll @IntRange(min = 0, max = 3) int refusedNumber,
       @ForAll boolean longerThanItsLease,
       @ForAll boolean longerThanTasksMayLive) {
     World w = world();
-    String refused = "node-" + leader;
+    String refused = "node-" + refusedNumber;
     for (int round = 1; round <= 2; round++) {
       List<String> ids = submitJobs(w, round);
       List<String> toCancel = ids.subList(0, 3);
@@ -63,7 +62,7 @@
       w.pass(longerThanItsLease ? 6 : 0.5);
       for (String id : toCancel) {
         w.cancelled.add(id);
-        w.user("POST", "/v1/jobs/" + id + "/abort", null, id, leader + 1, 60);
+        w.user("POST", "/v1/jobs/" + id + "/abort", null, id, refusedNumber + 1, 60);
       }
       w.pass(0.2);
       w.state.outage(true);
--- a/src/test/java/dev/dunefront/story/CombinedFaultsTest.java
+++ b/src/test/java/dev/dunefront/story/CombinedFaultsTest.java
@@ -299,10 +299,11 @@
     return simulate(faults, seed, key -> false);
   }
 
-  private static World simulate(List<Fault> faults, int seed, Predicate<String> unconditional) {
+  private static World simulate(
+      List<Fault> faults, int seed, Predicate<String> preconditionIgnored) {
     Random random = new Random(seed);
     World w = World.limited(List.of("a", "a", "a", "b", "b"), TEAM_CPU_LIMIT);
-    w.unconditional = unconditional;
+    w.unconditional = preconditionIgnored;
     if (random.nextBoolean()) {
       w.renting(random.nextBoolean() ? 3 : 1, 3);
       w.cloud.capacity(12);
--- a/src/test/java/dev/dunefront/story/ControllerRestartTest.java
+++ b/src/test/java/dev/dunefront/story/ControllerRestartTest.java
@@ -187,8 +187,8 @@
     w.stateSlowS = () -> 0;
     w.fates = (from, path, body) -> World.Fate.ON_TIME;
     w.pass(20);
-    // Six machines suffice. One or two too many are a known occurrence; renting twice would give
-    // twelve.
+    // Six machines suffice. One or two extra machines are known to be rented occasionally; renting
+    // twice would give twelve.
     assertTrue(w.hired() <= 8, w.hired() + " machines were rented");
     assertEquals(16, w.running(), "all tasks run");
     assertEquals(List.of(), w.misused);
@@ -269,12 +269,12 @@
    */
   @Example
   void controllersRestartWhileMachinesAreUnreachable() {
-    for (boolean deaf : List.of(true, false)) {
+    for (boolean cannotReceive : List.of(true, false)) {
       World w = world();
       assertEquals(201, w.submit("node-0", World.job("wk-1", 20, 1)).status());
       w.pass(3);
       for (int i = 0; i < 3; i++) {
-        (deaf ? w.deaf : w.silent).add("host-" + i);
+        (cannotReceive ? w.deaf : w.silent).add("host-" + i);
       }
       w.nodes.values().forEach(World.Node::crash);
       w.pass(0.5);
--- a/src/test/java/dev/dunefront/story/DelayedMessageTest.java
+++ b/src/test/java/dev/dunefront/story/DelayedMessageTest.java
@@ -109,7 +109,7 @@
 
   /**
    * The key that names the current incarnation of a controller changes to another incarnation while
-   * the controller is serving, because a write of an earlier attempt arrives late. If the key
+   * the controller is serving, because a write that was sent earlier arrives late. If the key
    * stayed that way, all others would consider the controller dead for good.
    */
   @Test
@@ -201,7 +201,7 @@
         "without the precondition the scenario must produce overlaps");
   }
 
-  private static List<String> overlapsWithFormerHolder(boolean unconditional) {
+  private static List<String> overlapsWithFormerHolder(boolean ignorePrecondition) {
     World w = new World(4);
     w.start().pass(2);
     FakeWorker m = w.machine("host-1", "small", "a", "node-0");
@@ -213,7 +213,7 @@
     assertEquals(201, w.submit(claimant, World.job("wk-1", 2, 1)).status());
     w.pass(2);
     assertEquals(2, m.running().size());
-    w.unconditional = key -> unconditional && key.startsWith("w/h/");
+    w.unconditional = key -> ignorePrecondition && key.startsWith("w/h/");
     w.refusedByState.add(former);
     w.lost =
         (from, to) ->
--- a/src/test/java/dev/dunefront/story/DutyTest.java
+++ b/src/test/java/dev/dunefront/story/DutyTest.java
@@ -213,11 +213,11 @@
       double gap = vacancyS(w, 20);
       assertTrue(gap <= 0.5, controllers + " controllers: " + gap + " s");
     }
-    World alone = new World(1);
-    alone.start().pass(5);
-    alone.nodes.get("node-0").end();
-    alone.pass(0.1);
-    assertEquals(null, alone.named(RENT), "no controller is left to hold the duty");
+    World single = new World(1);
+    single.start().pass(5);
+    single.nodes.get("node-0").end();
+    single.pass(0.1);
+    assertEquals(null, single.named(RENT), "no controller is left to hold the duty");
   }
 
   /**
@@ -263,11 +263,11 @@
    */
   @Test
   void controllerWithoutMachineTypesLeavesRentingToOthers() {
-    for (String knows : List.of("node-0", "node-1", "node-2")) {
+    for (String informed : List.of("node-0", "node-1", "node-2")) {
       World w = new World(3);
-      w.lost = (from, to) -> !from.equals(knows) && to.equals(CLOUD);
+      w.lost = (from, to) -> !from.equals(informed) && to.equals(CLOUD);
       w.start().pass(2);
-      assertEquals(knows, w.named(RENT));
+      assertEquals(informed, w.named(RENT));
     }
   }
 
--- a/src/test/java/dev/dunefront/story/IsolatedControllerTest.java
+++ b/src/test/java/dev/dunefront/story/IsolatedControllerTest.java
@@ -173,8 +173,9 @@
 
   /**
    * The state service refuses the controller, whose links to the others are down. To the controller
-   * this looks like an outage for all, since only the others could tell it otherwise. Without a
-   * rule it would keep its workers until the others return their machines as silent.
+   * this looks like an outage for all, since only the others could inform it otherwise. If it
+   * waited for the end of that outage, it would keep its workers until the others return their
+   * machines as silent.
    */
   @Test
   void workersMoveWhenStateServiceRefusesTheirController() {
--- a/src/test/java/dev/dunefront/story/JobDurabilityTest.java
+++ b/src/test/java/dev/dunefront/story/JobDurabilityTest.java
@@ -133,7 +133,8 @@
   }
 
   /**
-   * One controller crashes and restarts five times within ten seconds while it is placing tasks.
+   * One controller crashes and restarts five times within ten seconds, whatever it is doing at the
+   * time.
    */
   @Example
   void controllerRestartsRepeatedlyWithinItsLease() {
@@ -236,7 +237,10 @@
     }
   }
 
-  /** A burst of status requests causes only a few reads of the state service. */
+  /**
+   * A burst of eight times the usual number of status requests causes only a few reads of the state
+   * service.
+   */
   @Example
   void statusRequestBurstCausesFewStateServiceReads() {
     World w = World.of(4);
@@ -264,7 +268,7 @@
 
   /**
    * No controller returns an older status than another has already returned, even if the responses
-   * to its watch are lost or submitted.
+   * to its watch are lost or late.
    */
   @Property(tries = 60, seed = "27", shrinking = ShrinkingMode.BOUNDED)
   void statusNeverGoesBackWhenWatchResponsesAreLostOrLate(
