--- a/src/test/java/dev/dunefront/load/CapacityPage.java
+++ b/src/test/java/dev/dunefront/load/CapacityPage.java
@@ -52,17 +52,17 @@
         series.computeIfAbsent(read.series(), s -> new ArrayList<>()).add(read.measurement());
       }
     }
-    return new CapacityPage(series).made();
+    return new CapacityPage(series).render();
   }
 
-  private String made() {
-    points();
-    slopes();
-    worked();
+  private String render() {
+    renderPoints();
+    renderSlopes();
+    renderProjections();
     return text.toString();
   }
 
-  private List<Measurement> of(String... names) {
+  private List<Measurement> measurementsOf(String... names) {
     List<Measurement> all = new ArrayList<>();
     for (String name : names) {
       all.addAll(series.getOrDefault(name, List.of()));
@@ -88,14 +88,14 @@
 
   // ---- the points ----
 
-  private void points() {
-    line("### Measured points");
-    line("");
-    line(
+  private void renderPoints() {
+    addLine("### Measured points");
+    addLine("");
+    addLine(
         "Series | varied | controllers, workers | starts/s | cores, all | ms/start | peer"
             + " records/start | peer KB/start | changes/start | conflicts | requests/s | urgent p50,"
             + " p90 s | submit p95 ms");
-    line("--- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | ---");
+    addLine("--- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | ---");
     for (String name :
         List.of(
             "idle",
@@ -108,14 +108,14 @@
             "teams",
             "running",
             "zones")) {
-      for (Measurement m : of(name)) {
-        point(name, m);
+      for (Measurement m : measurementsOf(name)) {
+        renderPoint(name, m);
       }
     }
-    line("");
+    addLine("");
   }
 
-  private void point(String name, Measurement m) {
+  private void renderPoint(String name, Measurement m) {
     LoadOptions o = m.options();
     String varied =
         switch (name) {
@@ -129,7 +129,7 @@
           default -> o.zones() + " zones";
         };
     boolean idle = m.starts() == 0;
-    line(
+    addLine(
         "%s | %s | %d, %d | %.0f | %.2f | %s | %s | %s | %s | %d | %.0f | %s | %s",
         name,
         varied,
@@ -137,234 +137,248 @@
         o.workers(),
         startsPerS(m),
         cpu(m),
-        idle ? "-" : number(perStart(m, m.cpuS() * 1000), 2),
-        idle ? "-" : number(perStart(m, m.peerRecords()), 1),
-        idle ? "-" : number(perStart(m, m.peerKilobytes()), 2),
-        idle ? "-" : number(perStart(m, m.stateChanges()), 3),
+        idle ? "-" : formatFixed(perStart(m, m.cpuS() * 1000), 2),
+        idle ? "-" : formatFixed(perStart(m, m.peerRecords()), 1),
+        idle ? "-" : formatFixed(perStart(m, m.peerKilobytes()), 2),
+        idle ? "-" : formatFixed(perStart(m, m.stateChanges()), 3),
         m.stateConflicts(),
         perS(m, m.stateRequests()),
-        idle ? "-" : number(m.urgentP50S(), 2) + ", " + number(m.urgentP90S(), 2),
-        idle ? "-" : number(m.submitP95Ms(), 0));
+        idle ? "-" : formatFixed(m.urgentP50S(), 2) + ", " + formatFixed(m.urgentP90S(), 2),
+        idle ? "-" : formatFixed(m.submitP95Ms(), 0));
   }
 
   // ---- the slopes ----
 
-  private Fit idleCpu() {
+  private LinearFit idleCpu() {
     return overWorkers(CapacityPage::cpu);
   }
 
-  private Fit startCpu() {
+  private LinearFit startCpu() {
     return overStarts(CapacityPage::cpu);
   }
 
-  private Fit overStarts(ToDoubleFunction<Measurement> amount) {
-    return Fit.of(of("common", "starts"), CapacityPage::startsPerS, amount);
+  private LinearFit overStarts(ToDoubleFunction<Measurement> amount) {
+    return LinearFit.of(measurementsOf("common", "starts"), CapacityPage::startsPerS, amount);
   }
 
-  private Fit overWorkers(ToDoubleFunction<Measurement> amount) {
-    return Fit.of(of("idle"), m -> m.options().workers(), amount);
+  private LinearFit overWorkers(ToDoubleFunction<Measurement> amount) {
+    return LinearFit.of(measurementsOf("idle"), m -> m.options().workers(), amount);
   }
 
-  private Fit overControllers(ToDoubleFunction<Measurement> amount) {
-    return Fit.of(of("controllers", "common"), m -> m.options().controllers(), amount);
+  private LinearFit overControllers(ToDoubleFunction<Measurement> amount) {
+    return LinearFit.of(
+        measurementsOf("controllers", "common"), m -> m.options().controllers(), amount);
   }
 
   /** For each start, over jobs for each start. */
-  private Fit overJobs(ToDoubleFunction<Measurement> amount) {
-    return Fit.of(of("tasksPerJob", "common"), m -> 1.0 / m.options().tasksPerJob(), amount);
+  private LinearFit overJobs(ToDoubleFunction<Measurement> amount) {
+    return LinearFit.of(
+        measurementsOf("tasksPerJob", "common"), m -> 1.0 / m.options().tasksPerJob(), amount);
   }
 
-  private Fit overRunning(ToDoubleFunction<Measurement> amount) {
-    return Fit.of(of("running", "common"), m -> m.running() / 1000.0, amount);
+  private LinearFit overRunning(ToDoubleFunction<Measurement> amount) {
+    return LinearFit.of(measurementsOf("running", "common"), m -> m.running() / 1000.0, amount);
   }
 
-  private Fit overTeams(ToDoubleFunction<Measurement> amount) {
-    return Fit.of(of("teams"), m -> m.options().teams(), amount);
+  private LinearFit overTeams(ToDoubleFunction<Measurement> amount) {
+    return LinearFit.of(measurementsOf("teams"), m -> m.options().teams(), amount);
   }
 
-  private void slopes() {
-    line("### Slopes");
-    line("");
-    line("For each | what | slope | at zero | points");
-    line("--- | --- | --- | --- | ---");
-    slope("worker", "controllers' processor time, ms a second", scaled(idleCpu(), 1000), 3);
-    slope(
+  private void renderSlopes() {
+    addLine("### Slopes");
+    addLine("");
+    addLine("For each | what | slope | at zero | points");
+    addLine("--- | --- | --- | --- | ---");
+    renderSlope("worker", "controllers' processor time, ms a second", scaled(idleCpu(), 1000), 3);
+    renderSlope(
         "worker", "heap of one controller, KB", scaled(overWorkers(Measurement::heapMb), 1024), 1);
-    slope("worker", "open files of one controller", overWorkers(Measurement::descriptors), 3);
-    slope("start", "controllers' processor time, ms", scaled(startCpu(), 1000), 2);
-    slope("start", "peer records", overStarts(m -> perS(m, m.peerRecords())), 1);
-    slope("start", "peer KB", overStarts(m -> perS(m, m.peerKilobytes())), 2);
-    slope("start", "reports", overStarts(m -> perS(m, m.reports())), 2);
-    slope("start", "direct commands", overStarts(m -> perS(m, m.orders())), 2);
-    slope("start", "state requests", overStarts(m -> perS(m, m.stateRequests())), 3);
-    slope("start", "state changes", overStarts(m -> perS(m, m.stateChanges())), 4);
-    slope(
+    renderSlope("worker", "open files of one controller", overWorkers(Measurement::descriptors), 3);
+    renderSlope("start", "controllers' processor time, ms", scaled(startCpu(), 1000), 2);
+    renderSlope("start", "peer records", overStarts(m -> perS(m, m.peerRecords())), 1);
+    renderSlope("start", "peer KB", overStarts(m -> perS(m, m.peerKilobytes())), 2);
+    renderSlope("start", "reports", overStarts(m -> perS(m, m.reports())), 2);
+    renderSlope("start", "direct commands", overStarts(m -> perS(m, m.orders())), 2);
+    renderSlope("start", "state requests", overStarts(m -> perS(m, m.stateRequests())), 3);
+    renderSlope("start", "state changes", overStarts(m -> perS(m, m.stateChanges())), 4);
+    renderSlope(
         "controller",
         "processor time for a start, ms",
         overControllers(m -> perStart(m, m.cpuS() * 1000)),
         3);
-    slope(
+    renderSlope(
         "controller",
         "peer records for a start",
         overControllers(m -> perStart(m, m.peerRecords())),
         2);
-    slope(
+    renderSlope(
         "controller",
         "state requests a second",
         overControllers(m -> perS(m, m.stateRequests())),
         2);
     if (series.containsKey("tasksPerJob")) {
-      slope("job", "processor time, ms", overJobs(m -> perStart(m, m.cpuS() * 1000)), 1);
-      slope("job", "state changes", overJobs(m -> perStart(m, m.stateChanges())), 1);
-      slope("job", "peer records", overJobs(m -> perStart(m, m.peerRecords())), 0);
+      renderSlope("job", "processor time, ms", overJobs(m -> perStart(m, m.cpuS() * 1000)), 1);
+      renderSlope("job", "state changes", overJobs(m -> perStart(m, m.stateChanges())), 1);
+      renderSlope("job", "peer records", overJobs(m -> perStart(m, m.peerRecords())), 0);
     }
     if (series.containsKey("running")) {
-      slope(
+      renderSlope(
           "1,000 running tasks",
           "processor time, ms a second",
           scaled(overRunning(CapacityPage::cpu), 1000),
           1);
-      slope(
+      renderSlope(
           "1,000 running tasks",
           "heap of one controller, KB",
           scaled(overRunning(Measurement::heapMb), 1024),
           0);
     }
     if (series.containsKey("teams")) {
-      slope("team", "state changes for a start", overTeams(m -> perStart(m, m.stateChanges())), 5);
+      renderSlope(
+          "team", "state changes for a start", overTeams(m -> perStart(m, m.stateChanges())), 5);
     }
     if (series.containsKey("zones")) {
-      slope(
+      renderSlope(
           "zone",
           "processor time, ms a second",
-          scaled(Fit.of(of("zones", "common"), m -> m.options().zones(), CapacityPage::cpu), 1000),
+          scaled(
+              LinearFit.of(
+                  measurementsOf("zones", "common"), m -> m.options().zones(), CapacityPage::cpu),
+              1000),
           2);
     }
-    line("");
+    addLine("");
   }
 
-  private static Fit scaled(Fit fit, double by) {
-    return new Fit(fit.atZero() * by, fit.slope() * by, fit.points());
+  private static LinearFit scaled(LinearFit fit, double by) {
+    return new LinearFit(fit.intercept() * by, fit.slope() * by, fit.points());
   }
 
-  private void slope(String each, String what, Fit fit, int digits) {
-    line(
+  private void renderSlope(String each, String what, LinearFit fit, int digits) {
+    addLine(
         "%s | %s | %s | %s | %d",
-        each, what, number(fit.slope(), digits), number(fit.atZero(), digits), fit.points());
+        each,
+        what,
+        formatFixed(fit.slope(), digits),
+        formatFixed(fit.intercept(), digits),
+        fit.points());
   }
 
   // ---- worked out ----
 
-  private void worked() {
-    line("### Worked out at the letter's size");
-    line("");
-    line("Role | quantity | from | value | budget | margin | carried by");
-    line("--- | --- | --- | --- | --- | --- | ---");
-    controllers();
-    stateService();
-    worker();
-    users();
-    line("");
-  }
-
-  private void controllers() {
-    double cores = startCpu().at(Target.STARTS);
-    double each = cores / Target.CONTROLLERS;
-    row(
+  private void renderProjections() {
+    addLine("### Worked out at the letter's size");
+    addLine("");
+    addLine("Role | quantity | from | value | budget | margin | carried by");
+    addLine("--- | --- | --- | --- | --- | --- | ---");
+    renderControllers();
+    renderStateService();
+    renderWorker();
+    renderUsers();
+    addLine("");
+  }
+
+  private void renderControllers() {
+    double cores = startCpu().at(TargetDeployment.STARTS_PER_S);
+    double each = cores / TargetDeployment.CONTROLLERS;
+    renderRow(
         "controller",
         "cores at the peak, each",
         "(at zero + slope x 950) / 14",
         each,
-        Target.CONTROLLER_CORE,
+        TargetDeployment.CONTROLLER_CORES,
         "`book.Views`, `book.Interests`, `claim.RoomInterest`");
-    double idle = idleCpu().at(Target.WORKERS) / Target.CONTROLLERS;
-    row(
+    double idle = idleCpu().at(TargetDeployment.WORKERS) / TargetDeployment.CONTROLLERS;
+    renderRow(
         "controller",
         "cores idle, each",
         "idle series",
         idle,
-        Target.CONTROLLER_CORE,
+        TargetDeployment.CONTROLLER_CORES,
         "`book.Books`");
-    Measurement peak = last("peak");
-    row(
+    Measurement peak = lastMeasurement("peak");
+    renderRow(
         "controller",
         "cores at the peak, each, measured",
         "peak run",
-        cpu(peak) / Target.CONTROLLERS,
-        Target.CONTROLLER_CORE,
+        cpu(peak) / TargetDeployment.CONTROLLERS,
+        TargetDeployment.CONTROLLER_CORES,
         "the same");
-    row(
+    renderRow(
         "controller",
         "heap after a collection, MB",
         "peak run, one controller",
         peak.heapMb(),
         120,
         "`claim.Room`, `job.JobTable`");
-    row(
+    renderRow(
         "controller",
         "resident memory, MB",
         "peak run, the largest",
         peak.residentMb(),
-        Target.CONTROLLER_MB,
+        TargetDeployment.CONTROLLER_MB,
         "`deploy/service.toml`");
-    row(
+    renderRow(
         "controller",
         "open files and sockets",
         "peak run, the most",
         peak.descriptors(),
-        Target.CONTROLLER_SOCKETS,
+        TargetDeployment.CONTROLLER_SOCKETS,
         "`net.UndertowCaller`");
-    row(
+    renderRow(
         "controller",
         "peer records a second, each",
         "(at zero + slope x 950) / 14",
-        overStarts(m -> perS(m, m.peerRecords())).at(Target.STARTS) / Target.CONTROLLERS,
+        overStarts(m -> perS(m, m.peerRecords())).at(TargetDeployment.STARTS_PER_S)
+            / TargetDeployment.CONTROLLERS,
         0,
         "`peer.XnioPeers`, `peer.Detail`");
-    row(
+    renderRow(
         "controller",
         "peer KB a second, each",
         "(at zero + slope x 950) / 14",
-        overStarts(m -> perS(m, m.peerKilobytes())).at(Target.STARTS) / Target.CONTROLLERS,
+        overStarts(m -> perS(m, m.peerKilobytes())).at(TargetDeployment.STARTS_PER_S)
+            / TargetDeployment.CONTROLLERS,
         0,
         "`peer.Records`");
-    row(
+    renderRow(
         "controller",
         "reports taken a second, each",
         "(at zero + slope x 950) / 14",
-        overStarts(m -> perS(m, m.reports())).at(Target.STARTS) / Target.CONTROLLERS,
+        overStarts(m -> perS(m, m.reports())).at(TargetDeployment.STARTS_PER_S)
+            / TargetDeployment.CONTROLLERS,
         0,
         "`book.Reports`");
-    row(
+    renderRow(
         "controller",
         "commands sent a second, each",
         "slope x 950 / 14",
-        overStarts(m -> perS(m, m.orders())).at(Target.STARTS) / Target.CONTROLLERS,
+        overStarts(m -> perS(m, m.orders())).at(TargetDeployment.STARTS_PER_S)
+            / TargetDeployment.CONTROLLERS,
         0,
         "`book.Orders`");
   }
 
-  private void stateService() {
-    row(
+  private void renderStateService() {
+    renderRow(
         "state service",
         "requests a second at the peak",
         "at zero + slope x 950",
-        overStarts(m -> perS(m, m.stateRequests())).at(Target.STARTS),
-        Target.STATE_REQUESTS,
+        overStarts(m -> perS(m, m.stateRequests())).at(TargetDeployment.STARTS_PER_S),
+        TargetDeployment.STATE_REQUESTS_PER_S,
         "`store.HttpStore`, `store.Share`");
-    row(
+    renderRow(
         "state service",
         "changes a second at the peak",
         "at zero + slope x 950",
-        overStarts(m -> perS(m, m.stateChanges())).at(Target.STARTS),
-        Target.STATE_CHANGES,
+        overStarts(m -> perS(m, m.stateChanges())).at(TargetDeployment.STARTS_PER_S),
+        TargetDeployment.STATE_CHANGES_PER_S,
         "`claim.Recorder`, `claim.Quotas`");
-    Measurement peak = last("peak");
+    Measurement peak = lastMeasurement("peak");
     double kept = 0;
     for (double[] kind : peak.values().values()) {
       kept += kind[0] * kind[1];
     }
-    row(
+    renderRow(
         "state service",
         "MB of values that change at the peak",
         "peak run, sum over kinds",
@@ -372,58 +386,58 @@
         0,
         "`job.JobRecord`, `claim.Chunk`");
     double[] ended = peak.values().getOrDefault("d", new double[2]);
-    row(
+    renderRow(
         "state service",
         "MB of final records after a year",
         "bytes of `d/` x 19,000 x 365",
-        ended[1] * Target.JOBS_PER_DAY * 365 / 1e6,
+        ended[1] * TargetDeployment.JOBS_PER_DAY * 365 / 1e6,
         0,
         "none: final records are kept for ever");
   }
 
-  private void worker() {
-    Measurement peak = last("peak");
+  private void renderWorker() {
+    Measurement peak = lastMeasurement("peak");
     double calls = (peak.reports() + peak.orders()) / peak.spanS() / peak.options().workers();
-    row(
+    renderRow(
         "worker",
         "bytes a second at the peak",
         "bodies of the peak run + 260 a call",
-        peak.workerBytesPerS() + calls * Target.HEADER_BYTES,
-        Target.WORKER_BYTES,
+        peak.workerBytesPerS() + calls * TargetDeployment.HEADER_BYTES,
+        TargetDeployment.WORKER_BYTES_PER_S,
         "the protocol's reports and commands");
-    row(
+    renderRow(
         "worker",
         "part of a core at the peak",
         "hollow worker, peak run",
         peak.workerCpu(),
-        Target.WORKER_CORE,
+        TargetDeployment.WORKER_CORES,
         "the same");
-    row(
+    renderRow(
         "worker",
         "memory, MB",
         "process of all hollow workers / 1,800",
         peak.hostResidentMb() / peak.options().workers(),
-        Target.WORKER_MB,
+        TargetDeployment.WORKER_MB,
         "the same");
   }
 
-  private void users() {
-    Measurement peak = last("peak");
-    row(
+  private void renderUsers() {
+    Measurement peak = lastMeasurement("peak");
+    renderRow(
         "user",
         "urgent start at the peak, p50 s, without the fetch",
         "peak run",
         peak.urgentP50S(),
-        Target.URGENT_S,
+        TargetDeployment.URGENT_WAIT_S,
         "`claim.WantPlacement`, `book.Dealing`");
-    row(
+    renderRow(
         "user",
         "urgent start at the peak, p90 s, without the fetch",
         "peak run",
         peak.urgentP90S(),
-        Target.URGENT_S,
+        TargetDeployment.URGENT_WAIT_S,
         "the same");
-    row(
+    renderRow(
         "user",
         "submission at the peak, p95 ms",
         "peak run",
@@ -432,41 +446,49 @@
         "`job.Submissions`");
   }
 
-  private Measurement last(String name) {
-    List<Measurement> all = of(name);
+  private Measurement lastMeasurement(String name) {
+    List<Measurement> all = measurementsOf(name);
     return all.get(all.size() - 1);
   }
 
   /** A budget of 0 stands for none. */
-  private void row(
+  private void renderRow(
       String role, String what, String from, double value, double budget, String carrier) {
     String margin = "-";
     if (budget > 0) {
       margin =
-          value > budget ? "**over, x" + number(value / budget, 2) + "**" : percent(value, budget);
+          value > budget
+              ? "**over, x" + formatFixed(value / budget, 2) + "**"
+              : remainingPercent(value, budget);
     }
-    line(
+    addLine(
         "%s | %s | %s | %s | %s | %s | %s",
-        role, what, from, figure(value), budget > 0 ? figure(budget) : "-", margin, carrier);
+        role,
+        what,
+        from,
+        formatThreeDigits(value),
+        budget > 0 ? formatThreeDigits(budget) : "-",
+        margin,
+        carrier);
   }
 
-  private static String percent(double value, double budget) {
-    return number(100 * (1 - value / budget), 0) + "%";
+  private static String remainingPercent(double value, double budget) {
+    return formatFixed(100 * (1 - value / budget), 0) + "%";
   }
 
   /** About three digits of a number. */
-  private static String figure(double value) {
+  private static String formatThreeDigits(double value) {
     double size = Math.abs(value);
     int digits =
         size >= 100 || value == Math.rint(value) ? 0 : size >= 10 ? 1 : size >= 0.1 ? 2 : 5;
-    return number(value, digits);
+    return formatFixed(value, digits);
   }
 
-  private static String number(double value, int digits) {
+  private static String formatFixed(double value, int digits) {
     return String.format(Locale.ROOT, "%,." + digits + "f", value);
   }
 
-  private void line(String format, Object... values) {
+  private void addLine(String format, Object... values) {
     text.append(values.length == 0 ? format : String.format(Locale.ROOT, format, values));
     text.append('\n');
   }
--- a/src/test/java/dev/dunefront/load/CapacityPageTest.java
+++ b/src/test/java/dev/dunefront/load/CapacityPageTest.java
@@ -12,14 +12,14 @@
 /** The capacity page and the tools that make it. */
 class CapacityPageTest {
   @Test
-  void thePageIsMadeFromTheMeasuredValues() throws IOException {
+  void pageMatchesTheTablesGeneratedFromMeasuredValues() throws IOException {
     String page = Files.readString(CapacityPage.PAGE);
     assertEquals(CapacityPage.withTables(page, CapacityPage.MEASURED), page);
     assertTrue(page.contains("### Worked out at the letter's size"));
   }
 
   @Test
-  void aGrownSiteHasHigherCountsAndNothingElseChanged() {
+  void scaledSiteFileChangesOnlyTheRequestedCounts() {
     List<String> site =
         List.of(
             "[nodes]",
@@ -41,7 +41,7 @@
             "teams = [\"one\"]",
             "[[targets]]",
             "count = 0");
-    assertEquals(site, GrowSite.grown(site, Map.of()));
+    assertEquals(site, SiteFileScaler.scaledLines(site, Map.of()));
     assertEquals(
         List.of(
             "[nodes]",
@@ -67,7 +67,7 @@
             "teams = [\"one\", \"one-001\"]",
             "[[targets]]",
             "count = 0"),
-        GrowSite.grown(
+        SiteFileScaler.scaledLines(
             site,
             Map.of(
                 "controllers",
--- a/src/test/java/dev/dunefront/load/ControllerProcess.java
+++ b/src/test/java/dev/dunefront/load/ControllerProcess.java
@@ -14,22 +14,22 @@
 
 /** A real controller, started as {@code deploy/service.toml} says, and what its process uses. */
 final class ControllerProcess {
-  private static final long END_S = 5;
-  private static final Duration LOOK = Duration.ofSeconds(5);
+  private static final long KILL_TIMEOUT_S = 5;
+  private static final Duration HTTP_TIMEOUT = Duration.ofSeconds(5);
   private static final HttpClient HTTP = HttpClient.newHttpClient();
 
   /** Processor seconds, bytes through all system calls that read or write, records to peers. */
-  record Use(double cpuS, long bytes, long peerRecords, long peerKilobytes) {
-    Use plus(Use o) {
-      return new Use(
+  record ResourceUsage(double cpuS, long bytes, long peerRecords, long peerKilobytes) {
+    ResourceUsage plus(ResourceUsage o) {
+      return new ResourceUsage(
           cpuS + o.cpuS,
           bytes + o.bytes,
           peerRecords + o.peerRecords,
           peerKilobytes + o.peerKilobytes);
     }
 
-    Use minus(Use o) {
-      return new Use(
+    ResourceUsage minus(ResourceUsage o) {
+      return new ResourceUsage(
           cpuS - o.cpuS,
           bytes - o.bytes,
           peerRecords - o.peerRecords,
@@ -43,7 +43,7 @@
   private final String logLevel;
   private final int number;
   private Process process;
-  private Use earlierLives = new Use(0, 0, 0, 0);
+  private ResourceUsage earlierUsage = new ResourceUsage(0, 0, 0, 0);
 
   ControllerProcess(
       Path directory, int number, String settingsText, String address, String logLevel)
@@ -85,7 +85,7 @@
     if (process != null) {
       process.destroyForcibly();
       try {
-        process.waitFor(END_S, TimeUnit.SECONDS);
+        process.waitFor(KILL_TIMEOUT_S, TimeUnit.SECONDS);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
@@ -93,7 +93,7 @@
   }
 
   /** Stops the process without ending it, or lets it go on. */
-  void pause(boolean on) throws IOException {
+  void setPaused(boolean on) throws IOException {
     if (alive()) {
       new ProcessBuilder("kill", on ? "-STOP" : "-CONT", Long.toString(process.pid())).start();
     }
@@ -109,8 +109,8 @@
   }
 
   /** The same in the middle of a run; what it has used until now counts on. */
-  void crash() throws IOException {
-    earlierLives = use();
+  void killAndKeepUsage() throws IOException {
+    earlierUsage = resourceUsage();
     kill();
   }
 
@@ -124,7 +124,9 @@
 
   private HttpResponse<String> get(String path) throws IOException {
     HttpRequest request =
-        HttpRequest.newBuilder(URI.create("http://" + address + path)).timeout(LOOK).build();
+        HttpRequest.newBuilder(URI.create("http://" + address + path))
+            .timeout(HTTP_TIMEOUT)
+            .build();
     try {
       return HTTP.send(request, HttpResponse.BodyHandlers.ofString());
     } catch (InterruptedException e) {
@@ -133,8 +135,8 @@
     }
   }
 
-  Use use() throws IOException {
-    double cpuS = ThreadUse.cpuOf(Files.readString(proc("stat")));
+  ResourceUsage resourceUsage() throws IOException {
+    double cpuS = CpuTime.parseCpuS(Files.readString(proc("stat")));
     long bytes = 0;
     for (String line : Files.readAllLines(proc("io"))) {
       if (line.startsWith("rchar:") || line.startsWith("wchar:")) {
@@ -142,13 +144,13 @@
       }
     }
     String metrics = get("/metrics").body();
-    Use now =
-        new Use(
+    ResourceUsage now =
+        new ResourceUsage(
             cpuS,
             bytes,
             metric(metrics, "dunefront_peer_sent_records"),
             metric(metrics, "dunefront_peer_sent_kilobytes"));
-    return now.plus(earlierLives);
+    return now.plus(earlierUsage);
   }
 
   private static long metric(String text, String name) {
--- a/src/test/java/dev/dunefront/load/Deployment.java
+++ b/src/test/java/dev/dunefront/load/Deployment.java
@@ -25,19 +25,19 @@
  * that it has started, also when this process is interrupted.
  */
 final class Deployment {
-  private static final double UP_S = 120;
-  private static final long PAUSE_MS = 200;
+  private static final double STARTUP_TIMEOUT_S = 120;
+  private static final long POLL_INTERVAL_MS = 200;
 
   private final LoadOptions options;
   private final LoadSettings.Addresses addresses;
-  private final Outside outside;
-  private final HollowFleet fleet;
-  private final RuleChecker rules;
+  private final ExternalServices externalServices;
+  private final SimulatedFleet fleet;
+  private final InvariantChecker invariants;
   private final MessageFaults messageFaults = new MessageFaults();
-  private final StartLog log = new StartLog();
-  private final JobSource source;
-  private final XnioWorker users;
-  private final XnioWorker services;
+  private final LatencyRecorder latencies = new LatencyRecorder();
+  private final JobGenerator jobs;
+  private final XnioWorker userThreads;
+  private final XnioWorker serviceThreads;
   private final List<ControllerProcess> controllers = new ArrayList<>();
   private final RegionNetwork network;
   private final boolean relays;
@@ -58,7 +58,7 @@
     Runtime.getRuntime().addShutdownHook(new Thread(this::killControllers));
     int count = options.controllers();
     // Held until the relays have ports of their own, or those would be taken from among these.
-    List<ServerSocket> reserved = reserve(3 * count + 2);
+    List<ServerSocket> reserved = reservePorts(3 * count + 2);
     List<String> ports = reserved.stream().map(Deployment::addressOf).toList();
     addresses =
         new LoadSettings.Addresses(
@@ -66,54 +66,61 @@
             ports.get(3 * count),
             ports.subList(0, count),
             ports.subList(count, 2 * count));
-    services = worker("services");
-    users = worker("users");
-    rules = new RuleChecker(options.limitTasks());
+    serviceThreads = worker("services");
+    userThreads = worker("users");
+    invariants = new InvariantChecker(options.limitTasks());
     network = new RegionNetwork(options.regions());
     Map<String, Integer> byName = new HashMap<>();
     for (int i = 0; i < count; i++) {
       byName.put(LoadSettings.controller(i), i);
-      String settings = LoadSettings.of(options, addresses, peersOf(i), stateOf(i), i);
+      String settings =
+          LoadSettings.settingsText(options, addresses, peerAddressesFor(i), stateAddressFor(i), i);
       String at = addresses.users().get(i);
       controllers.add(new ControllerProcess(directory, i, settings, at, logLevel));
     }
     for (ServerSocket socket : reserved) {
       socket.close();
     }
-    List<InetSocketAddress> statesAt = addresses.states().stream().map(Deployment::at).toList();
-    outside =
-        new Outside(services, statesAt, at(addresses.cloud()), options.zoneNames(), options.seed());
+    List<InetSocketAddress> statesAt =
+        addresses.states().stream().map(Deployment::loopbackAddress).toList();
+    externalServices =
+        new ExternalServices(
+            serviceThreads,
+            statesAt,
+            loopbackAddress(addresses.cloud()),
+            options.zoneNames(),
+            options.seed());
     // Only now: its thread alone may touch the relays from here on.
     new Thread(network, "network").start();
     fleet =
-        new HollowFleet(
-            new HollowWorker.Common(
+        new SimulatedFleet(
+            new SimulatedWorker.SharedContext(
                 addresses.users(),
                 byName,
-                rules,
-                log,
+                invariants,
+                latencies,
                 options,
-                this::reaches,
+                this::reachable,
                 messageFaults,
                 eventsKept),
-            at(ports.get(3 * count + 1)).getPort());
-    Timers timers = new XnioTimers(users.getIoThread());
+            loopbackAddress(ports.get(3 * count + 1)).getPort());
+    Timers timers = new XnioTimers(userThreads.getIoThread());
     UndertowHttpCaller caller =
         new UndertowHttpCaller(
-            users.getIoThread(), new DefaultByteBufferPool(false, 8192, 64, 4), timers);
-    source = new JobSource(options, addresses.users(), caller, timers, rules, log);
+            userThreads.getIoThread(), new DefaultByteBufferPool(false, 8192, 64, 4), timers);
+    jobs = new JobGenerator(options, addresses.users(), caller, timers, invariants, latencies);
   }
 
-  private boolean reaches(String zone, int controller) {
+  private boolean reachable(String zone, int controller) {
     return network.reaches(options.regionOfZone(zone), options.regionOfController(controller));
   }
 
   /** Where a controller reaches the others. */
-  private List<String> peersOf(int own) throws IOException {
+  private List<String> peerAddressesFor(int own) throws IOException {
     List<String> all = new ArrayList<>();
     for (int other = 0; other < options.controllers(); other++) {
       all.add(
-          through(
+          addressVia(
               options.regionOfController(own),
               options.regionOfController(other),
               addresses.peers().get(other)));
@@ -125,12 +132,12 @@
    * Where a controller reaches the state service, which is in a region of its own or in one of
    * theirs.
    */
-  private String stateOf(int own) throws IOException {
-    return through(
+  private String stateAddressFor(int own) throws IOException {
+    return addressVia(
         options.regionOfController(own), options.stateRegion(), addresses.states().get(own));
   }
 
-  private String through(int from, int to, String target) throws IOException {
+  private String addressVia(int from, int to, String target) throws IOException {
     return relays && from != to ? network.relay(from, to, target) : target;
   }
 
@@ -145,13 +152,13 @@
   }
 
   /** A numeric loopback address, written with its port. */
-  static InetSocketAddress at(String address) {
+  static InetSocketAddress loopbackAddress(String address) {
     int colon = address.lastIndexOf(':');
     return new InetSocketAddress(
         InetAddress.getLoopbackAddress(), Integer.parseInt(address.substring(colon + 1)));
   }
 
-  private static List<ServerSocket> reserve(int count) throws IOException {
+  private static List<ServerSocket> reservePorts(int count) throws IOException {
     List<ServerSocket> sockets = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       sockets.add(new ServerSocket(0, 1, InetAddress.getLoopbackAddress()));
@@ -167,23 +174,23 @@
   void start() throws IOException, InterruptedException {
     for (int i = 0; i < options.workers(); i++) {
       String zone = options.zoneNames().get(i % options.zones());
-      outside.add(fleet.add(zone).host(), zone);
+      externalServices.addRunningMachine(fleet.add(zone).host(), zone);
     }
     for (ControllerProcess controller : controllers) {
       controller.start();
     }
     awaitUp();
-    users.getIoThread().execute(source::start);
+    userThreads.getIoThread().execute(jobs::start);
   }
 
   private void awaitUp() throws InterruptedException, IOException {
-    long until = System.nanoTime() + Math.round(UP_S * 1e9);
+    long until = System.nanoTime() + Math.round(STARTUP_TIMEOUT_S * 1e9);
     for (ControllerProcess controller : controllers) {
       while (!controller.up()) {
         if (System.nanoTime() > until) {
-          throw new IOException("controllers are not up after " + UP_S + " s");
+          throw new IOException("controllers are not up after " + STARTUP_TIMEOUT_S + " s");
         }
-        Thread.sleep(PAUSE_MS);
+        Thread.sleep(POLL_INTERVAL_MS);
       }
     }
   }
@@ -192,17 +199,17 @@
    * Waits until every accepted job is over, or so many seconds have passed; says how many are not.
    */
   int drain(double seconds) throws InterruptedException {
-    source.stop();
+    jobs.stop();
     long until = System.nanoTime() + Math.round(seconds * 1e9);
     while (openJobs() > 0 && System.nanoTime() < until) {
-      Thread.sleep(PAUSE_MS);
+      Thread.sleep(POLL_INTERVAL_MS);
     }
     return openJobs();
   }
 
   /** Accepted jobs that are not known to be over. */
   int openJobs() throws InterruptedException {
-    return OnThread.get(users.getIoThread(), source::open);
+    return IoThreadCall.get(userThreads.getIoThread(), jobs::openJobs);
   }
 
   LoadOptions options() {
@@ -213,12 +220,12 @@
     return controllers;
   }
 
-  HollowFleet fleet() {
+  SimulatedFleet fleet() {
     return fleet;
   }
 
-  Outside outside() {
-    return outside;
+  ExternalServices externalServices() {
+    return externalServices;
   }
 
   RegionNetwork network() {
@@ -229,21 +236,21 @@
     return messageFaults;
   }
 
-  RuleChecker rules() {
-    return rules;
+  InvariantChecker invariants() {
+    return invariants;
   }
 
-  StartLog log() {
-    return log;
+  LatencyRecorder latencies() {
+    return latencies;
   }
 
-  JobSource source() {
-    return source;
+  JobGenerator jobs() {
+    return jobs;
   }
 
   /** The thread of the users, on which faults are brought about as well. */
-  XnioIoThread thread() {
-    return users.getIoThread();
+  XnioIoThread userThread() {
+    return userThreads.getIoThread();
   }
 
   private void killControllers() {
@@ -252,11 +259,11 @@
 
   /** Ends everything. */
   void close() throws InterruptedException {
-    source.stop();
+    jobs.stop();
     killControllers();
     network.close();
     fleet.close();
-    users.shutdownNow();
-    services.shutdownNow();
+    userThreads.shutdownNow();
+    serviceThreads.shutdownNow();
   }
 }
--- a/src/test/java/dev/dunefront/load/Outside.java
+++ b/src/test/java/dev/dunefront/load/ExternalServices.java
@@ -19,11 +19,12 @@
 import org.xnio.XnioWorker;
 
 /** The stand-ins of the state service and the cloud on one I/O thread, and what they are asked. */
-final class Outside {
+final class ExternalServices {
   /** What the state service has been asked so far. */
-  record StateUse(long requests, long changes, long conflicts, long bytesIn, long bytesOut) {
-    StateUse minus(StateUse earlier) {
-      return new StateUse(
+  record StateServiceUsage(
+      long requests, long changes, long conflicts, long bytesIn, long bytesOut) {
+    StateServiceUsage minus(StateServiceUsage earlier) {
+      return new StateServiceUsage(
           requests - earlier.requests,
           changes - earlier.changes,
           conflicts - earlier.conflicts,
@@ -38,15 +39,15 @@
    */
   private static final double BOOT_S = 600;
 
-  private static final int REFUSED = 503;
-  private static final double REFUSED_LOOK_S = 0.05;
-  private static final double LEAST_LATE_S = 1;
-  private static final double LATE_SPREAD_S = 9;
+  private static final int REFUSED_STATUS = 503;
+  private static final double REFUSED_CHECK_INTERVAL_S = 0.05;
+  private static final double MIN_DELAY_S = 1;
+  private static final double DELAY_SPREAD_S = 9;
 
   private final XnioIoThread thread;
   private final XnioTimers timers;
   private final Random random;
-  private MachineEnd machineEnd = (hosts, then) -> then.run();
+  private MachineTerminator machineTerminator = (hosts, then) -> then.run();
   private final List<StateFaults> stateFaults = new ArrayList<>();
   private final FakeStateService state;
   private final FakeCloud cloud;
@@ -58,9 +59,9 @@
   /** What the state service does to the requests of one controller. */
   private static final class StateFaults {
     private boolean refused;
-    private double slowS;
+    private double maxDelayS;
     private double unansweredShare;
-    private double lateShare;
+    private double delayedShare;
   }
 
   /**
@@ -69,7 +70,7 @@
    * @param statesAt an address of the state service for each controller, by which they are told
    *     apart
    */
-  Outside(
+  ExternalServices(
       XnioWorker worker,
       List<InetSocketAddress> statesAt,
       InetSocketAddress cloudAt,
@@ -90,8 +91,8 @@
   }
 
   private void state(StateFaults faults, HttpServer.Request request, HttpServer.Responder answer) {
-    if (faults.slowS > 0) {
-      timers.after(random.nextDouble() * faults.slowS, () -> serve(faults, request, answer));
+    if (faults.maxDelayS > 0) {
+      timers.after(random.nextDouble() * faults.maxDelayS, () -> serve(faults, request, answer));
     } else {
       serve(faults, request, answer);
     }
@@ -101,7 +102,7 @@
     requests++;
     bytesIn += request.body().length;
     if (faults.refused) {
-      answer.send(REFUSED, null);
+      answer.send(REFUSED_STATUS, null);
       return;
     }
     if (request.path().equals("/txn")) {
@@ -110,8 +111,8 @@
         handle(request, reply -> {});
         return;
       }
-      if (drawn < faults.unansweredShare + faults.lateShare) {
-        double lateS = LEAST_LATE_S + random.nextDouble() * LATE_SPREAD_S;
+      if (drawn < faults.unansweredShare + faults.delayedShare) {
+        double lateS = MIN_DELAY_S + random.nextDouble() * DELAY_SPREAD_S;
         timers.after(lateS, () -> handle(request, reply -> {}));
         return;
       }
@@ -123,7 +124,7 @@
   private void answerUnlessRefused(
       StateFaults faults, Response reply, HttpServer.Responder answer) {
     if (faults.refused) {
-      timers.after(REFUSED_LOOK_S, () -> answerUnlessRefused(faults, reply, answer));
+      timers.after(REFUSED_CHECK_INTERVAL_S, () -> answerUnlessRefused(faults, reply, answer));
     } else {
       answer.send(reply.status(), reply.body());
     }
@@ -142,18 +143,18 @@
   }
 
   /** The state service refuses one controller while it serves the others, or serves it again. */
-  void refuse(int controller, boolean on) {
+  void setStateRefused(int controller, boolean on) {
     thread.execute(() -> stateFaults.get(controller).refused = on);
   }
 
   /** The state service is out for all, or back. */
-  void outage(boolean on) {
+  void setStateOutage(boolean on) {
     thread.execute(() -> state.outage(on));
   }
 
   /** Requests of a controller take up to so many seconds longer. */
-  void slow(int controller, double seconds) {
-    thread.execute(() -> stateFaults.get(controller).slowS = seconds);
+  void setStateDelay(int controller, double seconds) {
+    thread.execute(() -> stateFaults.get(controller).maxDelayS = seconds);
   }
 
   /** Such shares of a controller's transactions are carried out at once or late, unanswered. */
@@ -161,25 +162,25 @@
     thread.execute(
         () -> {
           stateFaults.get(controller).unansweredShare = unansweredShare;
-          stateFaults.get(controller).lateShare = lateShare;
+          stateFaults.get(controller).delayedShare = lateShare;
         });
   }
 
   /** Ends machines; calls back once they and everything on them are gone. */
-  interface MachineEnd {
-    void end(List<String> hosts, Runnable then);
+  interface MachineTerminator {
+    void terminate(List<String> hosts, Runnable then);
   }
 
   /** From now on machines that the cloud deletes are ended so. */
-  void endMachinesBy(MachineEnd end) {
-    thread.execute(() -> machineEnd = end);
+  void setMachineTerminator(MachineTerminator end) {
+    thread.execute(() -> machineTerminator = end);
   }
 
   private void cloud(HttpServer.Request request, HttpServer.Responder answer) {
     Response reply = cloud.handle(request.method(), pathAndQuery(request), request.body());
     Runnable send = () -> answer.send(reply.status(), reply.body());
     if (request.path().equals("/machines/delete") && reply.ok()) {
-      machineEnd.end(hostsOf(request.body()), send);
+      machineTerminator.terminate(hostsOf(request.body()), send);
     } else {
       send.run();
     }
@@ -198,26 +199,26 @@
   }
 
   /** Lists a machine that is up. */
-  void add(String host, String zone) {
+  void addRunningMachine(String host, String zone) {
     thread.execute(() -> cloud.addRunning(host, "small", zone));
   }
 
   /** The cloud notices that a machine has stopped. */
-  void fail(String host) {
+  void markMachineFailed(String host) {
     thread.execute(() -> cloud.markFailed(host));
   }
 
-  StateUse use() throws InterruptedException {
-    return OnThread.get(
+  StateServiceUsage stateServiceUsage() throws InterruptedException {
+    return IoThreadCall.get(
         thread,
         () ->
-            new StateUse(
+            new StateServiceUsage(
                 requests, state.writes("") + state.failedTxnOps(), conflicts, bytesIn, bytesOut));
   }
 
   /** Mean encoded bytes of the stored values, and how many there are, by the key's first part. */
-  Map<String, double[]> values() throws InterruptedException {
-    return OnThread.get(
+  Map<String, double[]> storedValueSizes() throws InterruptedException {
+    return IoThreadCall.get(
         thread,
         () -> {
           Map<String, double[]> kinds = new TreeMap<>();
--- a/src/test/java/dev/dunefront/load/OnThread.java
+++ b/src/test/java/dev/dunefront/load/IoThreadCall.java
@@ -6,8 +6,8 @@
 import org.xnio.XnioExecutor;
 
 /** Asks for what belongs to an I/O thread from another thread. */
-final class OnThread {
-  private OnThread() {}
+final class IoThreadCall {
+  private IoThreadCall() {}
 
   static <T> T get(XnioExecutor thread, Supplier<T> question) throws InterruptedException {
     AtomicReference<T> answer = new AtomicReference<>();
--- a/src/test/java/dev/dunefront/load/JobSource.java
+++ b/src/test/java/dev/dunefront/load/JobGenerator.java
@@ -10,11 +10,11 @@
 import java.util.Random;
 
 /** The users: submit jobs at a steady rate and ask about each until it is done. */
-final class JobSource {
-  private static final double SUBMIT_S = 5;
-  private static final double POLL_S = 2;
-  private static final double POLL_PAUSE_S = 5;
-  private static final double RETRY_S = 1;
+final class JobGenerator {
+  private static final double SUBMIT_TIMEOUT_S = 5;
+  private static final double POLL_TIMEOUT_S = 2;
+  private static final double POLL_INTERVAL_S = 5;
+  private static final double MIN_RETRY_DELAY_S = 1;
   private static final int IMAGES = 20;
 
   /** Users who cancel a job do so within this time of its acceptance, in seconds. */
@@ -24,44 +24,44 @@
   private final List<String> controllers;
   private final HttpCaller caller;
   private final Timers timers;
-  private final RuleChecker rules;
-  private final StartLog log;
+  private final InvariantChecker invariants;
+  private final LatencyRecorder latencies;
   private final Random random;
   private boolean stopped;
   private int submitted;
   private int accepted;
-  private int open;
+  private int openJobs;
   private int refused;
 
-  JobSource(
+  JobGenerator(
       LoadOptions options,
       List<String> controllers,
       HttpCaller caller,
       Timers timers,
-      RuleChecker rules,
-      StartLog log) {
+      InvariantChecker rules,
+      LatencyRecorder log) {
     this.options = options;
     this.controllers = controllers;
     this.caller = caller;
     this.timers = timers;
-    this.rules = rules;
-    this.log = log;
+    this.invariants = rules;
+    this.latencies = log;
     this.random = new Random(options.seed());
   }
 
   /** Submits until it is stopped. */
   void start() {
     double pauseS = options.tasksPerJob() / options.startsPerS();
-    next(timers.now(), pauseS);
+    submitNext(timers.now(), pauseS);
   }
 
-  private void next(double due, double pauseS) {
+  private void submitNext(double due, double pauseS) {
     if (stopped) {
       return;
     }
     submit();
     double nextDue = due + pauseS;
-    timers.after(Math.max(0, nextDue - timers.now()), () -> next(nextDue, pauseS));
+    timers.after(Math.max(0, nextDue - timers.now()), () -> submitNext(nextDue, pauseS));
   }
 
   void stop() {
@@ -69,8 +69,8 @@
   }
 
   /** Jobs that were accepted and are not known to be done. */
-  int open() {
-    return open;
+  int openJobs() {
+    return openJobs;
   }
 
   int accepted() {
@@ -86,9 +86,9 @@
     String id = String.format(Locale.ROOT, "wk-%06d", ++submitted);
     boolean urgent = random.nextDouble() < options.urgentShare();
     String team = LoadSettings.team(random.nextInt(options.teams()));
-    RuleChecker.Job job =
-        new RuleChecker.Job(id, team, options.tasksPerJob(), urgent, timers.now());
-    rules.submitted(job);
+    InvariantChecker.Job job =
+        new InvariantChecker.Job(id, team, options.tasksPerJob(), urgent, timers.now());
+    invariants.submitted(job);
     byte[] body =
         Document.create()
             .put("id", id)
@@ -112,20 +112,20 @@
     post(job, body, submitted);
   }
 
-  private void post(RuleChecker.Job job, byte[] body, int attempt) {
+  private void post(InvariantChecker.Job job, byte[] body, int attempt) {
     String controller = controllers.get(attempt % controllers.size());
     caller.call(
         controller,
         "POST",
         "/v1/jobs",
         body,
-        SUBMIT_S,
+        SUBMIT_TIMEOUT_S,
         reply -> {
           if (reply.status() == 201 || reply.ok()) {
-            log.accepted(timers.now() - job.submittedAt());
+            latencies.accepted(timers.now() - job.submittedAt());
             accepted++;
-            open++;
-            timers.after(POLL_PAUSE_S, () -> poll(job.id(), attempt));
+            openJobs++;
+            timers.after(POLL_INTERVAL_S, () -> poll(job.id(), attempt));
             if (options.cancelShare() > 0 && random.nextDouble() < options.cancelShare()) {
               double afterS = random.nextDouble() * CANCEL_WITHIN_S;
               timers.after(afterS, () -> cancel(job.id(), attempt));
@@ -133,24 +133,25 @@
           } else {
             refused++;
             timers.after(
-                Math.max(RETRY_S, reply.retryAfterS()), () -> post(job, body, attempt + 1));
+                Math.max(MIN_RETRY_DELAY_S, reply.retryAfterS()),
+                () -> post(job, body, attempt + 1));
           }
         });
   }
 
   private void cancel(String id, int attempt) {
-    boolean askedAfterEnd = rules.over(id);
+    boolean askedAfterEnd = invariants.finished(id);
     caller.call(
         controllers.get(attempt % controllers.size()),
         "POST",
         "/v1/jobs/" + id + "/abort",
         new byte[0],
-        SUBMIT_S,
+        SUBMIT_TIMEOUT_S,
         reply -> {
           if (reply.ok()) {
-            told(id, reply, askedAfterEnd);
+            recordStatus(id, reply, askedAfterEnd);
           } else {
-            double pauseS = Math.max(RETRY_S, reply.retryAfterS());
+            double pauseS = Math.max(MIN_RETRY_DELAY_S, reply.retryAfterS());
             timers.after(pauseS, () -> cancel(id, attempt + 1));
           }
         });
@@ -158,36 +159,36 @@
 
   /** Asks until the job is over, and once more, at another controller. */
   private void poll(String id, int attempt) {
-    boolean askedAfterEnd = rules.over(id);
+    boolean askedAfterEnd = invariants.finished(id);
     caller.call(
         controllers.get(attempt % controllers.size()),
         "GET",
         "/v1/jobs/" + id,
         null,
-        POLL_S,
+        POLL_TIMEOUT_S,
         reply -> {
           if (reply.status() == 404) {
-            rules.toldUnknown(id);
+            invariants.jobNotFound(id);
           }
           if (reply.ok()) {
-            told(id, reply, askedAfterEnd);
+            recordStatus(id, reply, askedAfterEnd);
           }
           if (!askedAfterEnd || !reply.ok()) {
-            int next = reply.ok() && !rules.over(id) ? attempt : attempt + 1;
-            timers.after(POLL_PAUSE_S, () -> poll(id, next));
+            int next = reply.ok() && !invariants.finished(id) ? attempt : attempt + 1;
+            timers.after(POLL_INTERVAL_S, () -> poll(id, next));
           }
         });
   }
 
-  private void told(String id, Response reply, boolean askedAfterEnd) {
-    boolean before = rules.over(id);
-    rules.told(id, status(reply), askedAfterEnd);
-    if (rules.over(id) && !before) {
-      open--;
+  private void recordStatus(String id, Response reply, boolean askedAfterEnd) {
+    boolean before = invariants.finished(id);
+    invariants.statusReported(id, statusOf(reply), askedAfterEnd);
+    if (invariants.finished(id) && !before) {
+      openJobs--;
     }
   }
 
-  private static String status(Response reply) {
+  private static String statusOf(Response reply) {
     try {
       return Document.decode(reply.body()).text("status");
     } catch (MalformedMessageException e) {
--- a/src/test/java/dev/dunefront/load/StartLog.java
+++ b/src/test/java/dev/dunefront/load/LatencyRecorder.java
@@ -3,20 +3,20 @@
 import org.HdrHistogram.Histogram;
 
 /** How long tasks and submissions have waited, in milliseconds, since counting began. */
-final class StartLog {
-  private static final long MOST_MS = 600_000;
+final class LatencyRecorder {
+  private static final long MAX_MS = 600_000;
 
-  private final Histogram urgent = new Histogram(MOST_MS, 3);
-  private final Histogram others = new Histogram(MOST_MS, 3);
-  private final Histogram submissions = new Histogram(MOST_MS, 3);
+  private final Histogram urgent = new Histogram(MAX_MS, 3);
+  private final Histogram others = new Histogram(MAX_MS, 3);
+  private final Histogram submissions = new Histogram(MAX_MS, 3);
   private boolean counting;
   private long starts;
 
-  synchronized void count(boolean on) {
+  synchronized void setCounting(boolean on) {
     counting = on;
   }
 
-  synchronized void started(RuleChecker.Job job, double now) {
+  synchronized void started(InvariantChecker.Job job, double now) {
     if (counting && job != null) {
       starts++;
       (job.urgent() ? urgent : others).recordValue(millis(now - job.submittedAt()));
@@ -33,19 +33,19 @@
     return starts;
   }
 
-  synchronized double urgentS(double percentile) {
+  synchronized double urgentWaitS(double percentile) {
     return urgent.getValueAtPercentile(percentile) / 1000.0;
   }
 
-  synchronized double othersS(double percentile) {
+  synchronized double otherWaitS(double percentile) {
     return others.getValueAtPercentile(percentile) / 1000.0;
   }
 
-  synchronized double submissionMs(double percentile) {
+  synchronized double submissionLatencyMs(double percentile) {
     return submissions.getValueAtPercentile(percentile);
   }
 
   private static long millis(double seconds) {
-    return Math.max(0, Math.min(MOST_MS, Math.round(seconds * 1000)));
+    return Math.max(0, Math.min(MAX_MS, Math.round(seconds * 1000)));
   }
 }
--- a/src/test/java/dev/dunefront/load/Fit.java
+++ b/src/test/java/dev/dunefront/load/LinearFit.java
@@ -4,9 +4,9 @@
 import java.util.function.ToDoubleFunction;
 
 /** A straight line through measured points, by least squares. */
-record Fit(double atZero, double slope, int points) {
+record LinearFit(double intercept, double slope, int points) {
 
-  static Fit of(
+  static LinearFit of(
       List<Measurement> points, ToDoubleFunction<Measurement> x, ToDoubleFunction<Measurement> y) {
     int n = points.size();
     double meanX = points.stream().mapToDouble(x).average().orElse(0);
@@ -19,10 +19,10 @@
       squares += distance * distance;
     }
     double slope = squares == 0 ? 0 : products / squares;
-    return new Fit(meanY - slope * meanX, slope, n);
+    return new LinearFit(meanY - slope * meanX, slope, n);
   }
 
   double at(double x) {
-    return atZero + slope * x;
+    return intercept + slope * x;
   }
 }
--- a/src/test/java/dev/dunefront/load/Troubles.java
+++ b/src/test/java/dev/dunefront/load/LoadFaults.java
@@ -13,43 +13,43 @@
  * are replaced, a zone is lost with its controllers, a region is alone. All of it runs on one
  * thread.
  */
-final class Troubles {
+final class LoadFaults {
   /** Machines that fail, are restarted or replaced on a day, of the letter. */
-  static final int LOST_A_DAY = 13 + 250;
+  static final int MACHINES_LOST_PER_DAY = 13 + 250;
 
-  private static final double REPLACED_S = 2;
-  private static final double NOTICED_S = 30;
-  private static final double ZONE_LOST_AT = 0.3;
-  private static final double REGION_CUT_AT = 0.6;
-  private static final double CUT_FOR = 0.25;
-  private static final double RESTART_S = 6;
+  private static final double REPLACEMENT_DELAY_S = 2;
+  private static final double CLOUD_DETECTION_DELAY_S = 30;
+  private static final double ZONE_LOSS_START_SHARE = 0.3;
+  private static final double REGION_CUT_START_SHARE = 0.6;
+  private static final double REGION_CUT_DURATION_SHARE = 0.25;
+  private static final double RESTART_DELAY_S = 6;
 
   private final LoadOptions options;
   private final Timers timers;
   private final XnioExecutor thread;
-  private final HollowFleet fleet;
-  private final Outside outside;
+  private final SimulatedFleet fleet;
+  private final ExternalServices externalServices;
   private final RegionNetwork network;
   private final List<ControllerProcess> controllers;
   private final Random random;
-  private final List<HollowWorker> alive = new ArrayList<>();
-  private int lost;
+  private final List<SimulatedWorker> alive = new ArrayList<>();
+  private int machinesLost;
   private boolean stopped;
 
-  Troubles(Deployment deployment) {
+  LoadFaults(Deployment deployment) {
     this.options = deployment.options();
-    this.thread = deployment.thread();
-    this.timers = new XnioTimers(deployment.thread());
+    this.thread = deployment.userThread();
+    this.timers = new XnioTimers(deployment.userThread());
     this.fleet = deployment.fleet();
-    this.outside = deployment.outside();
+    this.externalServices = deployment.externalServices();
     this.network = deployment.network();
     this.controllers = deployment.controllers();
     this.random = new Random(options.seed());
   }
 
   /** Machines that have failed or were replaced so far, those of the lost zone included. */
-  int lost() {
-    return lost;
+  int machinesLost() {
+    return machinesLost;
   }
 
   void start() {
@@ -57,10 +57,11 @@
         () -> {
           alive.addAll(fleet.all());
           double spanS = options.measureS();
-          failNext(spanS / LOST_A_DAY);
-          timers.after(spanS * ZONE_LOST_AT, this::loseZone);
-          timers.after(spanS * REGION_CUT_AT, () -> network.cut(options.regions() - 1));
-          timers.after(spanS * (REGION_CUT_AT + CUT_FOR), network::heal);
+          failNext(spanS / MACHINES_LOST_PER_DAY);
+          timers.after(spanS * ZONE_LOSS_START_SHARE, this::loseZone);
+          timers.after(
+              spanS * REGION_CUT_START_SHARE, () -> network.isolate(options.regions() - 1));
+          timers.after(spanS * (REGION_CUT_START_SHARE + REGION_CUT_DURATION_SHARE), network::heal);
         });
   }
 
@@ -77,17 +78,17 @@
     timers.after(pauseS, () -> failNext(pauseS));
   }
 
-  private void fail(HollowWorker worker, boolean replaced) {
+  private void fail(SimulatedWorker worker, boolean replaced) {
     alive.remove(worker);
-    lost++;
+    machinesLost++;
     worker.thread().execute(worker::stop);
-    timers.after(NOTICED_S, () -> outside.fail(worker.host()));
+    timers.after(CLOUD_DETECTION_DELAY_S, () -> externalServices.markMachineFailed(worker.host()));
     if (replaced) {
       timers.after(
-          REPLACED_S,
+          REPLACEMENT_DELAY_S,
           () -> {
-            HollowWorker next = fleet.add(worker.zone());
-            outside.add(next.host(), next.zone());
+            SimulatedWorker next = fleet.add(worker.zone());
+            externalServices.addRunningMachine(next.host(), next.zone());
             alive.add(next);
           });
     }
@@ -96,7 +97,7 @@
   /** The zone of the second controller is gone with all that is in it; its controllers return. */
   private void loseZone() {
     String zone = options.zoneOfController(1);
-    for (HollowWorker worker : List.copyOf(alive)) {
+    for (SimulatedWorker worker : List.copyOf(alive)) {
       if (worker.zone().equals(zone)) {
         fail(worker, false);
       }
@@ -105,14 +106,14 @@
       if (options.zoneOfController(i).equals(zone)) {
         ControllerProcess controller = controllers.get(i);
         crash(controller);
-        timers.after(RESTART_S, () -> restart(controller));
+        timers.after(RESTART_DELAY_S, () -> restart(controller));
       }
     }
   }
 
   private static void crash(ControllerProcess controller) {
     try {
-      controller.crash();
+      controller.killAndKeepUsage();
     } catch (IOException e) {
       throw new IllegalStateException("a controller does not say what it has used", e);
     }
--- a/src/test/java/dev/dunefront/load/LoadOptions.java
+++ b/src/test/java/dev/dunefront/load/LoadOptions.java
@@ -56,14 +56,14 @@
     double cancelShare) {
 
   /** The size of the users' letter, without troubles. */
-  static final LoadOptions LETTER =
+  static final LoadOptions TARGET =
       new LoadOptions(
           14, 1800, 23, 7, 730, 4000, 950, 240, 0.5, 14, 0.25, 30, 30, false, 500, 90, 1, 4, 22, 0,
           0);
 
   /** Reads {@code name=value} arguments over the letter's values. */
   static LoadOptions parse(List<String> arguments) {
-    LoadOptions options = LETTER;
+    LoadOptions options = TARGET;
     for (String argument : arguments) {
       int at = argument.indexOf('=');
       if (at < 0) {
--- a/src/test/java/dev/dunefront/load/LoadRun.java
+++ b/src/test/java/dev/dunefront/load/LoadRun.java
@@ -18,16 +18,16 @@
   private static final String LOG_LEVEL = "error";
 
   /** How long jobs may take to end after the last submission of a run with troubles, in seconds. */
-  private static final double DRAIN_S = 180;
+  private static final double DRAIN_TIMEOUT_S = 180;
 
   private final LoadOptions options;
   private final Deployment deployment;
-  private final Troubles troubles;
+  private final LoadFaults faults;
 
   private LoadRun(LoadOptions options, Path directory) throws IOException {
     this.options = options;
     deployment = new Deployment(options, directory, LOG_LEVEL, options.troubles(), false);
-    troubles = new Troubles(deployment);
+    faults = new LoadFaults(deployment);
   }
 
   public static void main(String[] arguments) throws Exception {
@@ -40,7 +40,7 @@
         settings.add(argument);
       }
     }
-    Measurement result = play(LoadOptions.parse(settings));
+    Measurement result = run(LoadOptions.parse(settings));
     String line = new ObjectMapper().writeValueAsString(result);
     System.out.println(line);
     if (out != null) {
@@ -50,69 +50,69 @@
   }
 
   /** Plays one run in a directory of its own under {@code target}. */
-  static Measurement play(LoadOptions options) throws IOException, InterruptedException {
+  static Measurement run(LoadOptions options) throws IOException, InterruptedException {
     DisabledMBeanServerBuilder.install();
     Path directory = Files.createDirectories(Path.of("target", "load"));
     LoadRun run = new LoadRun(options, Files.createTempDirectory(directory, "run"));
     try {
-      return run.play();
+      return run.run();
     } finally {
       run.deployment.close();
     }
   }
 
-  private Measurement play() throws IOException, InterruptedException {
+  private Measurement run() throws IOException, InterruptedException {
     deployment.start();
     Thread.sleep(Math.round(options.warmS() * 1000));
     // The first look at the metrics of a process costs more than all later ones.
     sample();
-    deployment.log().count(true);
+    deployment.latencies().setCounting(true);
     Sample before = sample();
     if (options.troubles()) {
-      troubles.start();
+      faults.start();
     }
     Thread.sleep(Math.round(options.measureS() * 1000));
     Sample after = sample();
-    deployment.log().count(false);
+    deployment.latencies().setCounting(false);
     if (options.troubles()) {
-      troubles.stop();
-      deployment.drain(DRAIN_S);
+      faults.stop();
+      deployment.drain(DRAIN_TIMEOUT_S);
     }
-    return measured(before, after);
+    return measurement(before, after);
   }
 
   /** Everything that is counted, at one time. */
   private record Sample(
       double at,
       long starts,
-      ControllerProcess.Use controllers,
-      Outside.StateUse state,
-      FleetUse fleet,
+      ControllerProcess.ResourceUsage controllers,
+      ExternalServices.StateServiceUsage state,
+      WorkerTraffic fleet,
       double hollowCpuS) {}
 
   private Sample sample() throws IOException, InterruptedException {
-    ControllerProcess.Use sum = new ControllerProcess.Use(0, 0, 0, 0);
+    ControllerProcess.ResourceUsage sum = new ControllerProcess.ResourceUsage(0, 0, 0, 0);
     for (ControllerProcess controller : deployment.controllers()) {
-      sum = sum.plus(controller.use());
+      sum = sum.plus(controller.resourceUsage());
     }
     return new Sample(
         System.nanoTime() / 1e9,
-        deployment.log().starts(),
+        deployment.latencies().starts(),
         sum,
-        deployment.outside().use(),
-        deployment.fleet().use(),
-        ThreadUse.cpuS("hollow"));
+        deployment.externalServices().stateServiceUsage(),
+        deployment.fleet().traffic(),
+        CpuTime.threadCpuS("hollow"));
   }
 
-  private Measurement measured(Sample before, Sample after)
+  private Measurement measurement(Sample before, Sample after)
       throws IOException, InterruptedException {
     double spanS = after.at - before.at;
-    ControllerProcess.Use use = after.controllers.minus(before.controllers);
-    Outside.StateUse state = after.state.minus(before.state);
-    FleetUse said = after.fleet.minus(before.fleet);
+    ControllerProcess.ResourceUsage use = after.controllers.minus(before.controllers);
+    ExternalServices.StateServiceUsage state = after.state.minus(before.state);
+    WorkerTraffic said = after.fleet.minus(before.fleet);
     double resident = 0;
     int descriptors = 0;
-    int running = deployment.rules().running();
+    int running = deployment.invariants().running();
     for (ControllerProcess controller : deployment.controllers()) {
       resident = Math.max(resident, controller.residentMb());
       descriptors = Math.max(descriptors, controller.descriptors());
@@ -124,7 +124,7 @@
         spanS,
         after.starts - before.starts,
         running,
-        deployment.rules().mostRunning(),
+        deployment.invariants().mostRunning(),
         use.cpuS(),
         use.bytes(),
         use.peerRecords(),
@@ -137,20 +137,20 @@
         state.conflicts(),
         state.bytesIn(),
         state.bytesOut(),
-        deployment.outside().values(),
+        deployment.externalServices().storedValueSizes(),
         said.reports,
-        said.orders,
+        said.commandBatches,
         (said.bytesIn + said.bytesOut) / spanS / workers,
         (after.hollowCpuS - before.hollowCpuS) / spanS / workers,
         ControllerProcess.residentMb(Path.of("/proc/self/status")),
-        deployment.log().urgentS(50),
-        deployment.log().urgentS(90),
-        deployment.log().urgentS(99),
-        deployment.log().othersS(90),
-        deployment.log().submissionMs(95),
-        deployment.source().refused(),
-        troubles.lost(),
+        deployment.latencies().urgentWaitS(50),
+        deployment.latencies().urgentWaitS(90),
+        deployment.latencies().urgentWaitS(99),
+        deployment.latencies().otherWaitS(90),
+        deployment.latencies().submissionLatencyMs(95),
+        deployment.jobs().refused(),
+        faults.machinesLost(),
         options.troubles() ? deployment.openJobs() : 0,
-        deployment.rules().broken());
+        deployment.invariants().violations());
   }
 }
--- a/src/test/java/dev/dunefront/load/LoadSettings.java
+++ b/src/test/java/dev/dunefront/load/LoadSettings.java
@@ -8,7 +8,7 @@
   static final String URGENT_CLASS = "urgent";
 
   /** Within how many seconds urgent tasks are to start, of the users' letter. */
-  private static final double URGENT_S = 2.8;
+  private static final double URGENT_WAIT_S = 2.8;
 
   /**
    * Where everything listens: the outside systems, the state service at an address for each
@@ -31,7 +31,7 @@
    *
    * @param peerAddresses where this controller reaches each of the others, by number
    */
-  static String of(
+  static String settingsText(
       LoadOptions options, Addresses addresses, List<String> peerAddresses, String state, int own) {
     StringBuilder text = new StringBuilder();
     line(text, "host_name = \"%s\"", controller(own));
@@ -60,7 +60,7 @@
     line(text, "[[facts.objectives]]");
     line(text, "kind = \"wait\"");
     line(text, "class = \"%s\"", URGENT_CLASS);
-    line(text, "within_s = %.1f", URGENT_S);
+    line(text, "within_s = %.1f", URGENT_WAIT_S);
     line(text, "share = 0.9");
     line(text, "[facts.workers]");
     line(text, "report_s = %.1f", options.reportS());
--- a/src/test/java/dev/dunefront/load/MessageFaults.java
+++ b/src/test/java/dev/dunefront/load/MessageFaults.java
@@ -8,62 +8,62 @@
  */
 final class MessageFaults {
   /** What becomes of one message. */
-  enum Fate {
+  enum Delivery {
     ON_TIME,
     /** It never arrives. */
     LOST,
     /** It arrives, and its answer is lost. */
-    UNANSWERED,
+    RESPONSE_LOST,
     /** A command arrives late, unanswered; a report arrives on time and a copy of it late. */
-    LATE
+    DELAYED
   }
 
-  private static final double LEAST_LATE_S = 1;
-  private static final double LATE_SPREAD_S = 11;
+  private static final double MIN_DELAY_S = 1;
+  private static final double DELAY_SPREAD_S = 11;
 
-  private volatile double lostReports;
-  private volatile double lateReports;
-  private volatile double lostOrders;
-  private volatile double lateOrders;
+  private volatile double lostReportShare;
+  private volatile double duplicatedReportShare;
+  private volatile double lostCommandShare;
+  private volatile double delayedCommandShare;
 
   /** From now on this share of reports, and of their answers, is lost. */
   void loseReports(double share) {
-    lostReports = share;
+    lostReportShare = share;
   }
 
   /** From now on a copy of this share of reports arrives late. */
-  void repeatReports(double share) {
-    lateReports = share;
+  void duplicateReports(double share) {
+    duplicatedReportShare = share;
   }
 
   /** From now on this share of commands, and of their answers, is lost. */
-  void loseOrders(double share) {
-    lostOrders = share;
+  void loseCommands(double share) {
+    lostCommandShare = share;
   }
 
   /** From now on this share of commands arrives late. */
-  void delayOrders(double share) {
-    lateOrders = share;
+  void delayCommands(double share) {
+    delayedCommandShare = share;
   }
 
-  Fate report(Random random) {
-    return draw(random, lostReports, lateReports);
+  Delivery drawForReport(Random random) {
+    return draw(random, lostReportShare, duplicatedReportShare);
   }
 
-  Fate order(Random random) {
-    return draw(random, lostOrders, lateOrders);
+  Delivery drawForCommand(Random random) {
+    return draw(random, lostCommandShare, delayedCommandShare);
   }
 
   /** How late a late message is, in seconds. */
-  double lateS(Random random) {
-    return LEAST_LATE_S + LATE_SPREAD_S * random.nextDouble();
+  double drawDelayS(Random random) {
+    return MIN_DELAY_S + DELAY_SPREAD_S * random.nextDouble();
   }
 
-  private static Fate draw(Random random, double lost, double late) {
+  private static Delivery draw(Random random, double lost, double late) {
     double drawn = random.nextDouble();
     if (drawn < lost) {
-      return random.nextBoolean() ? Fate.LOST : Fate.UNANSWERED;
+      return random.nextBoolean() ? Delivery.LOST : Delivery.RESPONSE_LOST;
     }
-    return drawn < lost + late ? Fate.LATE : Fate.ON_TIME;
+    return drawn < lost + late ? Delivery.DELAYED : Delivery.ON_TIME;
   }
 }
--- a/src/test/java/dev/dunefront/load/RegionNetwork.java
+++ b/src/test/java/dev/dunefront/load/RegionNetwork.java
@@ -19,15 +19,15 @@
  */
 final class RegionNetwork implements Runnable {
   /** One way between neighbouring regions, and for each further one on the ring, in seconds. */
-  static final double NEXT_REGION_S = 0.010;
+  static final double ADJACENT_DELAY_S = 0.010;
 
-  static final double FURTHER_S = 0.005;
-  private static final int BUFFER = 64 * 1024;
-  private static final long TURN_MS = 1;
+  static final double ADDITIONAL_HOP_DELAY_S = 0.005;
+  private static final int BUFFER_BYTES = 64 * 1024;
+  private static final long SELECT_TIMEOUT_MS = 1;
 
   private final int regions;
   private final Selector selector = Selector.open();
-  private volatile int cutRegion = -1;
+  private volatile int isolatedRegion = -1;
   private volatile boolean closed;
 
   /** Whether the way from one region to another is blocked, at {@code from * regions + to}. */
@@ -42,7 +42,7 @@
   static double delayS(int from, int to, int regions) {
     int around = Math.abs(from - to);
     int distance = Math.min(around, regions - around);
-    return distance == 0 ? 0 : NEXT_REGION_S + FURTHER_S * (distance - 1);
+    return distance == 0 ? 0 : ADJACENT_DELAY_S + ADDITIONAL_HOP_DELAY_S * (distance - 1);
   }
 
   /** An address in one region at which a target in another is reached. */
@@ -55,18 +55,18 @@
   }
 
   /** Cuts a region off from all others; what is on its way is held. */
-  void cut(int region) {
-    cutRegion = region;
+  void isolate(int region) {
+    isolatedRegion = region;
   }
 
   /** Blocks the way from one region to another, or opens it: what was held arrives then. */
-  void block(int from, int to, boolean on) {
+  void setBlocked(int from, int to, boolean on) {
     blocked.set(from * regions + to, on ? 1 : 0);
   }
 
   /** Ends all cuts; what was held arrives. */
   void heal() {
-    cutRegion = -1;
+    isolatedRegion = -1;
     for (int way = 0; way < blocked.length(); way++) {
       blocked.set(way, 0);
     }
@@ -74,7 +74,7 @@
 
   /** Whether something from one region reaches another now. */
   boolean reaches(int from, int to) {
-    boolean cut = from == cutRegion || to == cutRegion;
+    boolean cut = from == isolatedRegion || to == isolatedRegion;
     return from == to || !cut && blocked.get(from * regions + to) == 0;
   }
 
@@ -94,7 +94,7 @@
     private final SocketChannel in;
     private final SocketChannel out;
     private final ArrayDeque<Chunk> chunks = new ArrayDeque<>();
-    private boolean ended;
+    private boolean inputEnded;
 
     Pipe(Route route, SocketChannel in, SocketChannel out) {
       this.route = route;
@@ -103,10 +103,10 @@
     }
 
     void read() throws IOException {
-      ByteBuffer bytes = ByteBuffer.allocate(BUFFER);
+      ByteBuffer bytes = ByteBuffer.allocate(BUFFER_BYTES);
       int n = in.read(bytes);
       if (n < 0) {
-        ended = true;
+        inputEnded = true;
       } else if (n > 0) {
         double delayS = delayS(route.from, route.to, regions);
         chunks.add(new Chunk(bytes.flip(), System.nanoTime() + Math.round(delayS * 1e9)));
@@ -124,7 +124,7 @@
         }
         chunks.poll();
       }
-      if (ended && chunks.isEmpty()) {
+      if (inputEnded && chunks.isEmpty()) {
         out.close();
         in.close();
       }
@@ -135,8 +135,8 @@
   public void run() {
     try {
       while (!closed) {
-        selector.select(TURN_MS);
-        turn();
+        selector.select(SELECT_TIMEOUT_MS);
+        forwardReadyBytes();
       }
       for (SelectionKey key : selector.keys()) {
         key.channel().close();
@@ -147,7 +147,7 @@
     }
   }
 
-  private void turn() throws IOException {
+  private void forwardReadyBytes() throws IOException {
     for (SelectionKey key : selector.selectedKeys()) {
       if (key.isValid() && key.isAcceptable()) {
         accept(key);
@@ -155,8 +155,8 @@
     }
     for (SelectionKey key : selector.selectedKeys()) {
       if (key.isValid() && key.attachment() instanceof Pipe pipe) {
-        guarded(pipe, pipe::read);
-        if (pipe.ended && key.isValid()) {
+        closeOnFailure(pipe, pipe::read);
+        if (pipe.inputEnded && key.isValid()) {
           key.interestOps(0);
         }
       }
@@ -165,7 +165,7 @@
     long nowNs = System.nanoTime();
     for (SelectionKey key : selector.keys()) {
       if (key.attachment() instanceof Pipe pipe) {
-        guarded(pipe, () -> pipe.write(nowNs));
+        closeOnFailure(pipe, () -> pipe.write(nowNs));
       }
     }
   }
@@ -174,7 +174,7 @@
     void run() throws IOException;
   }
 
-  private static void guarded(Pipe pipe, Step step) throws IOException {
+  private static void closeOnFailure(Pipe pipe, Step step) throws IOException {
     try {
       step.run();
     } catch (IOException | CancelledKeyException e) {
@@ -192,14 +192,14 @@
     }
     try {
       // On loopback this answers at once, be it with a refusal.
-      SocketChannel far = SocketChannel.open(Deployment.at(route.target));
-      join(route, near, far);
+      SocketChannel far = SocketChannel.open(Deployment.loopbackAddress(route.target));
+      connect(route, near, far);
     } catch (IOException e) {
       near.close();
     }
   }
 
-  private void join(Route route, SocketChannel near, SocketChannel far) throws IOException {
+  private void connect(Route route, SocketChannel near, SocketChannel far) throws IOException {
     near.configureBlocking(false);
     far.configureBlocking(false);
     near.setOption(StandardSocketOptions.TCP_NODELAY, true);
--- a/src/test/java/dev/dunefront/load/ScaleRun.java
+++ b/src/test/java/dev/dunefront/load/ScaleRun.java
@@ -10,15 +10,15 @@
  * Arguments are {@code name=value} of {@link LoadOptions}.
  */
 public final class ScaleRun {
-  private static final List<String> OPTIONS =
+  private static final List<String> DEFAULT_OPTIONS =
       List.of("warmS=40", "measureS=60", "taskCpus=0.33", "troubles=true");
 
   private ScaleRun() {}
 
   public static void main(String[] arguments) throws Exception {
-    List<String> options = new ArrayList<>(OPTIONS);
+    List<String> options = new ArrayList<>(DEFAULT_OPTIONS);
     options.addAll(List.of(arguments));
-    Measurement m = LoadRun.play(LoadOptions.parse(options));
+    Measurement m = LoadRun.run(LoadOptions.parse(options));
     print(m);
     boolean kept = m.broken().isEmpty() && m.unfinishedJobs() == 0;
     System.out.println(kept ? "rules kept, every job done" : "BROKEN " + m.broken());
@@ -37,28 +37,46 @@
         o.zones(),
         o.regions(),
         o.startsPerS());
-    figure("tasks started a second", m.starts() / s, Target.STARTS, false);
-    figure("most tasks at once", m.mostRunning(), Target.RUNNING, false);
-    figure("machines failed or replaced", m.machinesLost(), Troubles.LOST_A_DAY, false);
-    figure("urgent start, p50 s", m.urgentP50S(), Target.URGENT_S, true);
-    figure("urgent start, p90 s", m.urgentP90S(), Target.URGENT_S, true);
-    figure("submission, p95 ms", m.submitP95Ms(), 200, true);
-    figure(
-        "cores of each controller", m.cpuS() / s / o.controllers(), Target.CONTROLLER_CORE, true);
-    figure("memory of the largest controller, MB", m.residentMb(), Target.CONTROLLER_MB, true);
-    figure("sockets of a controller", m.descriptors(), Target.CONTROLLER_SOCKETS, true);
-    figure("state requests a second", m.stateRequests() / s, Target.STATE_REQUESTS, true);
-    figure("state changes a second", m.stateChanges() / s, Target.STATE_CHANGES, true);
+    printFigure("tasks started a second", m.starts() / s, TargetDeployment.STARTS_PER_S, false);
+    printFigure("most tasks at once", m.mostRunning(), TargetDeployment.RUNNING_TASKS, false);
+    printFigure(
+        "machines failed or replaced", m.machinesLost(), LoadFaults.MACHINES_LOST_PER_DAY, false);
+    printFigure("urgent start, p50 s", m.urgentP50S(), TargetDeployment.URGENT_WAIT_S, true);
+    printFigure("urgent start, p90 s", m.urgentP90S(), TargetDeployment.URGENT_WAIT_S, true);
+    printFigure("submission, p95 ms", m.submitP95Ms(), 200, true);
+    printFigure(
+        "cores of each controller",
+        m.cpuS() / s / o.controllers(),
+        TargetDeployment.CONTROLLER_CORES,
+        true);
+    printFigure(
+        "memory of the largest controller, MB",
+        m.residentMb(),
+        TargetDeployment.CONTROLLER_MB,
+        true);
+    printFigure(
+        "sockets of a controller", m.descriptors(), TargetDeployment.CONTROLLER_SOCKETS, true);
+    printFigure(
+        "state requests a second",
+        m.stateRequests() / s,
+        TargetDeployment.STATE_REQUESTS_PER_S,
+        true);
+    printFigure(
+        "state changes a second", m.stateChanges() / s, TargetDeployment.STATE_CHANGES_PER_S, true);
     double calls = (m.reports() + m.orders()) / s / o.workers();
-    double bytes = m.workerBytesPerS() + calls * Target.HEADER_BYTES;
-    figure("bytes a second of a worker", bytes, Target.WORKER_BYTES, true);
-    figure("part of a core of a worker", m.workerCpu(), Target.WORKER_CORE, true);
-    figure("memory of a worker, MB", m.hostResidentMb() / o.workers(), Target.WORKER_MB, true);
+    double bytes = m.workerBytesPerS() + calls * TargetDeployment.HEADER_BYTES;
+    printFigure("bytes a second of a worker", bytes, TargetDeployment.WORKER_BYTES_PER_S, true);
+    printFigure("part of a core of a worker", m.workerCpu(), TargetDeployment.WORKER_CORES, true);
+    printFigure(
+        "memory of a worker, MB",
+        m.hostResidentMb() / o.workers(),
+        TargetDeployment.WORKER_MB,
+        true);
     System.out.println("submissions and jobs: " + m.refused() + " tries without an answer of 200");
-    figure("jobs left unfinished", m.unfinishedJobs(), 0, true);
+    printFigure("jobs left unfinished", m.unfinishedJobs(), 0, true);
   }
 
-  private static void figure(String what, double value, double budget, boolean most) {
+  private static void printFigure(String what, double value, double budget, boolean most) {
     boolean met = most ? value <= budget : value >= budget;
     System.out.printf(
         Locale.ROOT,
--- a/src/test/java/dev/dunefront/load/HollowFleet.java
+++ b/src/test/java/dev/dunefront/load/SimulatedFleet.java
@@ -26,36 +26,36 @@
  * The hollow workers of a run: a few I/O threads for all of them, and one server that tells by the
  * request's host whom a direct command is meant for. Each worker has a loopback address of its own.
  */
-final class HollowFleet {
-  private static final int THREADS = 3;
-  private static final int NETWORK = 1 << 8;
+final class SimulatedFleet {
+  private static final int IO_THREADS = 3;
+  private static final int HOSTS_PER_SUBNET = 1 << 8;
 
   private final XnioWorker io;
   private final List<XnioIoThread> threads = new ArrayList<>();
   private final List<UndertowHttpCaller> callers = new ArrayList<>();
-  private final List<FleetUse> uses = new ArrayList<>();
-  private final Map<String, HollowWorker> byEndpoint = new ConcurrentHashMap<>();
-  private final HollowWorker.Common common;
+  private final List<WorkerTraffic> traffics = new ArrayList<>();
+  private final Map<String, SimulatedWorker> byEndpoint = new ConcurrentHashMap<>();
+  private final SimulatedWorker.SharedContext context;
   private final int port;
-  private int made;
+  private int created;
 
-  HollowFleet(HollowWorker.Common common, int port) throws java.io.IOException {
-    this.common = common;
+  SimulatedFleet(SimulatedWorker.SharedContext common, int port) throws java.io.IOException {
+    this.context = common;
     this.port = port;
     io =
         Xnio.getInstance()
             .createWorker(
                 OptionMap.builder()
                     .set(Options.WORKER_NAME, "hollow")
-                    .set(Options.WORKER_IO_THREADS, THREADS)
+                    .set(Options.WORKER_IO_THREADS, IO_THREADS)
                     .set(Options.TCP_NODELAY, true)
                     .getMap());
     DefaultByteBufferPool buffers = new DefaultByteBufferPool(false, 8192, 1024, 4);
-    for (int i = 0; i < THREADS; i++) {
+    for (int i = 0; i < IO_THREADS; i++) {
       XnioIoThread thread = io.getIoThread(i);
       threads.add(thread);
       callers.add(new UndertowHttpCaller(thread, buffers, new XnioTimers(thread)));
-      uses.add(new FleetUse());
+      traffics.add(new WorkerTraffic());
     }
     Undertow.builder()
         .setWorker(io)
@@ -67,21 +67,22 @@
   }
 
   /** Adds a worker in a zone and starts it. */
-  HollowWorker add(String zone) {
-    int number = made++;
-    String endpoint = "127.1." + number / NETWORK + "." + number % NETWORK + ":" + port;
+  SimulatedWorker add(String zone) {
+    int number = created++;
+    String endpoint =
+        "127.1." + number / HOSTS_PER_SUBNET + "." + number % HOSTS_PER_SUBNET + ":" + port;
     String host = String.format(Locale.ROOT, "host-%06d", number);
-    int place = number % THREADS;
+    int place = number % IO_THREADS;
     XnioIoThread thread = threads.get(place);
-    HollowWorker worker =
-        new HollowWorker(
+    SimulatedWorker worker =
+        new SimulatedWorker(
             new FakeWorker(host, endpoint, "small", zone),
-            common,
+            context,
             thread,
             callers.get(place),
             new XnioTimers(thread),
-            uses.get(place),
-            number % common.controllers().size(),
+            traffics.get(place),
+            number % context.controllers().size(),
             number);
     byEndpoint.put(endpoint, worker);
     thread.execute(worker::start);
@@ -89,22 +90,22 @@
   }
 
   /** All workers, those that have failed included. */
-  Collection<HollowWorker> all() {
+  Collection<SimulatedWorker> all() {
     return byEndpoint.values();
   }
 
   /** What all workers together have said and heard. */
-  FleetUse use() throws InterruptedException {
-    FleetUse sum = new FleetUse();
-    for (int i = 0; i < THREADS; i++) {
-      FleetUse one = uses.get(i);
-      sum = sum.plus(OnThread.get(threads.get(i), () -> one.plus(new FleetUse())));
+  WorkerTraffic traffic() throws InterruptedException {
+    WorkerTraffic sum = new WorkerTraffic();
+    for (int i = 0; i < IO_THREADS; i++) {
+      WorkerTraffic one = traffics.get(i);
+      sum = sum.plus(IoThreadCall.get(threads.get(i), () -> one.plus(new WorkerTraffic())));
     }
     return sum;
   }
 
   private void receive(HttpServerExchange exchange) {
-    HollowWorker worker = byEndpoint.get(exchange.getRequestHeaders().getFirst(Headers.HOST));
+    SimulatedWorker worker = byEndpoint.get(exchange.getRequestHeaders().getFirst(Headers.HOST));
     exchange
         .getRequestReceiver()
         .receiveFullBytes(
@@ -114,15 +115,15 @@
                     () -> worker.thread().execute(() -> serve(worker, ex, body))));
   }
 
-  private static void serve(HollowWorker worker, HttpServerExchange exchange, byte[] body) {
+  private static void serve(SimulatedWorker worker, HttpServerExchange exchange, byte[] body) {
     if (exchange.getRequestPath().equals("/status")) {
-      worker.status(reply -> answer(exchange, reply));
+      worker.handleStatusRequest(reply -> respond(exchange, reply));
     } else {
-      worker.orders(body, reply -> answer(exchange, reply));
+      worker.handleCommands(body, reply -> respond(exchange, reply));
     }
   }
 
-  private static void answer(HttpServerExchange exchange, Response reply) {
+  private static void respond(HttpServerExchange exchange, Response reply) {
     exchange
         .getIoThread()
         .execute(
@@ -137,8 +138,8 @@
 
   /** Ends all workers, and with them the threads. */
   void close() throws InterruptedException {
-    for (HollowWorker worker : byEndpoint.values()) {
-      OnThread.get(
+    for (SimulatedWorker worker : byEndpoint.values()) {
+      IoThreadCall.get(
           worker.thread(),
           () -> {
             worker.stop();
--- a/src/test/java/dev/dunefront/load/GrowSite.java
+++ b/src/test/java/dev/dunefront/load/SiteFileScaler.java
@@ -21,20 +21,20 @@
  * CLASS.run} (medians; the tails in proportion), {@code CLASS.cpus}. What is not named stays. Works
  * on lines, so comments and order stay as well.
  */
-public final class GrowSite {
+public final class SiteFileScaler {
   private static final Pattern FIELD = Pattern.compile("^(\\w+) = (-?[0-9.]+)$");
   private static final Pattern TEAMS = Pattern.compile("^teams = \\[(.*)]$");
   private static final Pattern ARRIVALS = Pattern.compile("^arrivals = \\{ rate = ([0-9.]+)(.*)$");
 
   private final Map<String, Double> factors;
   private final List<String> out = new ArrayList<>();
-  private final Map<String, List<String>> namesOfTeam = new LinkedHashMap<>();
+  private final Map<String, List<String>> teamNamesByOriginal = new LinkedHashMap<>();
   private String section = "";
 
   /** The class of jobs whose lines are being copied. */
   private String jobClass = "";
 
-  private GrowSite(Map<String, Double> factors) {
+  private SiteFileScaler(Map<String, Double> factors) {
     this.factors = factors;
   }
 
@@ -45,13 +45,13 @@
       factors.put(parts[0], Double.parseDouble(parts[1]));
     }
     List<String> lines = Files.readAllLines(Path.of(arguments[0]));
-    Files.write(Path.of(arguments[1]), grown(lines, factors));
+    Files.write(Path.of(arguments[1]), scaledLines(lines, factors));
   }
 
   /** The lines of the copy. */
-  static List<String> grown(List<String> lines, Map<String, Double> factors) {
-    GrowSite site = new GrowSite(factors);
-    site.nameTeams(lines);
+  static List<String> scaledLines(List<String> lines, Map<String, Double> factors) {
+    SiteFileScaler site = new SiteFileScaler(factors);
+    site.assignTeamNames(lines);
     int i = 0;
     while (i < lines.size()) {
       if (lines.get(i).equals("[[teams]]")) {
@@ -59,13 +59,13 @@
         while (end < lines.size() && !lines.get(end).startsWith("[")) {
           end++;
         }
-        site.team(lines.subList(i, end));
+        site.addTeams(lines.subList(i, end));
         i = end;
       } else {
         if (lines.get(i).equals("[[jobs]]")) {
-          site.jobClass = nameIn(lines.subList(i + 1, lines.size()));
+          site.jobClass = firstName(lines.subList(i + 1, lines.size()));
         }
-        site.line(lines.get(i));
+        site.addLine(lines.get(i));
         i++;
       }
     }
@@ -73,7 +73,7 @@
   }
 
   /** The first name in the lines. */
-  private static String nameIn(List<String> lines) {
+  private static String firstName(List<String> lines) {
     for (String line : lines) {
       if (line.startsWith("name = ")) {
         return line.replaceAll("^name = \"(.*)\"$", "$1");
@@ -82,7 +82,7 @@
     return "";
   }
 
-  private Double ofClass(String name) {
+  private Double classOverride(String name) {
     return section.equals("jobs") ? factors.get(jobClass + "." + name) : null;
   }
 
@@ -92,23 +92,23 @@
         Locale.ROOT,
         "{ median = %.1f, p95 = %.1f, max = %.1f }",
         median,
-        median * TAIL,
-        median * LONGEST);
+        median * P95_TO_MEDIAN,
+        median * MAX_TO_MEDIAN);
   }
 
-  private static final double TAIL = 1.5;
-  private static final double LONGEST = 2;
+  private static final double P95_TO_MEDIAN = 1.5;
+  private static final double MAX_TO_MEDIAN = 2;
 
   private double factor(String name) {
     return factors.getOrDefault(name, 1.0);
   }
 
   /** Shares the wanted number of teams out among the original ones. */
-  private void nameTeams(List<String> lines) {
+  private void assignTeamNames(List<String> lines) {
     List<String> originals = new ArrayList<>();
     for (int i = 0; i + 1 < lines.size(); i++) {
       if (lines.get(i).equals("[[teams]]")) {
-        originals.add(nameIn(lines.subList(i + 1, lines.size())));
+        originals.add(firstName(lines.subList(i + 1, lines.size())));
       }
     }
     int wanted = factors.getOrDefault("teams", (double) originals.size()).intValue();
@@ -117,12 +117,12 @@
       int number = i / originals.size();
       String name =
           number == 0 ? original : String.format(Locale.ROOT, "%s-%03d", original, number);
-      namesOfTeam.computeIfAbsent(original, o -> new ArrayList<>()).add(name);
+      teamNamesByOriginal.computeIfAbsent(original, o -> new ArrayList<>()).add(name);
     }
   }
 
-  private void team(List<String> block) {
-    List<String> names = namesOfTeam.get(nameIn(block));
+  private void addTeams(List<String> block) {
+    List<String> names = teamNamesByOriginal.get(firstName(block));
     for (String name : names) {
       for (String line : block) {
         Matcher field = FIELD.matcher(line);
@@ -131,7 +131,7 @@
         } else if (field.matches() && !field.group(1).equals("weight")) {
           double part = Double.parseDouble(field.group(2)) * factor("machines") / names.size();
           // No job may need more than its team may have, so shares are not cut below a good part.
-          double least = Math.min(Double.parseDouble(field.group(2)), LEAST_LIMIT);
+          double least = Math.min(Double.parseDouble(field.group(2)), MIN_TEAM_LIMIT_CPUS);
           out.add(field.group(1) + " = " + Math.max(part, least));
         } else {
           out.add(line);
@@ -141,30 +141,30 @@
   }
 
   /** CPUs that a team's limit is not cut below when it is shared out. */
-  private static final double LEAST_LIMIT = 500;
+  private static final double MIN_TEAM_LIMIT_CPUS = 500;
 
-  private void line(String line) {
+  private void addLine(String line) {
     if (line.startsWith("[")) {
       section = line.replaceAll("[\\[\\]]", "");
     }
     Matcher field = FIELD.matcher(line);
     Matcher teams = TEAMS.matcher(line);
     Matcher arrivals = ARRIVALS.matcher(line);
-    if (line.startsWith("tasks = {") && ofClass("tasks") != null) {
-      out.add("tasks = " + distribution(ofClass("tasks")));
-    } else if (line.startsWith("run_s = {") && ofClass("run") != null) {
-      out.add("run_s = " + distribution(ofClass("run")));
+    if (line.startsWith("tasks = {") && classOverride("tasks") != null) {
+      out.add("tasks = " + distribution(classOverride("tasks")));
+    } else if (line.startsWith("run_s = {") && classOverride("run") != null) {
+      out.add("run_s = " + distribution(classOverride("run")));
     } else if (field.matches()) {
-      out.add(field.group(1) + " = " + value(field.group(1), field.group(2)));
+      out.add(field.group(1) + " = " + scaledValue(field.group(1), field.group(2)));
     } else if (teams.matches() && section.equals("jobs")) {
       List<String> all = new ArrayList<>();
       for (String quoted : teams.group(1).split(", *")) {
         String original = quoted.replace("\"", "");
-        namesOfTeam.get(original).forEach(name -> all.add("\"" + name + "\""));
+        teamNamesByOriginal.get(original).forEach(name -> all.add("\"" + name + "\""));
       }
       out.add("teams = [" + String.join(", ", all) + "]");
     } else if (arrivals.matches()) {
-      Double named = ofClass("rate");
+      Double named = classOverride("rate");
       double rate = named != null ? named : Double.parseDouble(arrivals.group(1)) * factor("rates");
       out.add("arrivals = { rate = " + rate + arrivals.group(2));
     } else {
@@ -172,13 +172,13 @@
     }
   }
 
-  private String value(String name, String value) {
+  private String scaledValue(String name, String value) {
     boolean counts = section.equals("capacity") || section.equals("machines");
     if (counts && (name.equals("count") || name.equals("spot"))) {
       return Long.toString(Math.round(Double.parseDouble(value) * factor("machines")));
     }
-    if (name.equals("cpus") && ofClass("cpus") != null) {
-      return Double.toString(ofClass("cpus"));
+    if (name.equals("cpus") && classOverride("cpus") != null) {
+      return Double.toString(classOverride("cpus"));
     }
     if (section.equals("jobs") && name.equals("initial")) {
       return Long.toString(Math.round(Double.parseDouble(value) * factor("rates")));
--- a/src/test/java/dev/dunefront/load/Slopes.java
+++ b/src/test/java/dev/dunefront/load/Slopes.java
@@ -19,9 +19,10 @@
   /** Values of one option, everything else as at the common point. */
   private record Series(String name, String option, List<String> values, List<String> others) {}
 
-  private static final List<String> COMMON = List.of("startsPerS=400", "warmS=25", "measureS=15");
+  private static final List<String> COMMON_OPTIONS =
+      List.of("startsPerS=400", "warmS=25", "measureS=15");
 
-  private static final List<Series> ALL =
+  private static final List<Series> ALL_SERIES =
       List.of(
           new Series("common", "seed", List.of("1", "2", "3"), List.of()),
           new Series("idle", "workers", List.of("450", "900", "1800"), List.of("startsPerS=0.01")),
@@ -43,20 +44,20 @@
   public static void main(String[] arguments) throws Exception {
     Path file = Path.of(arguments[0]);
     List<String> wanted = List.of(arguments).subList(1, arguments.length);
-    for (Series series : ALL) {
+    for (Series series : ALL_SERIES) {
       if (wanted.isEmpty() || wanted.contains(series.name())) {
-        play(series, file);
+        run(series, file);
       }
     }
     System.exit(0);
   }
 
-  private static void play(Series series, Path file) throws Exception {
+  private static void run(Series series, Path file) throws Exception {
     for (String value : series.values()) {
-      List<String> options = new ArrayList<>(COMMON);
+      List<String> options = new ArrayList<>(COMMON_OPTIONS);
       options.addAll(series.others());
       options.add(series.option() + "=" + value);
-      Line line = new Line(series.name(), LoadRun.play(LoadOptions.parse(options)));
+      Line line = new Line(series.name(), LoadRun.run(LoadOptions.parse(options)));
       Files.writeString(
           file,
           new ObjectMapper().writeValueAsString(line) + "\n",
--- a/src/test/java/dev/dunefront/load/SoakFaults.java
+++ b/src/test/java/dev/dunefront/load/SoakFaults.java
@@ -19,47 +19,47 @@
  */
 final class SoakFaults {
   /** Another machine comes in the place of a deleted one after so long, in seconds. */
-  private static final double REPLACED_S = 1;
+  private static final double REPLACEMENT_DELAY_S = 1;
 
   private final Deployment deployment;
   private final List<SoakFault> schedule;
   private final Timers timers;
-  private final List<HollowWorker> workers = new ArrayList<>();
+  private final List<SimulatedWorker> workers = new ArrayList<>();
 
   /** The workers that a fault has met, for it has to end at the same. */
-  private final Map<SoakFault, List<HollowWorker>> struckBy = new HashMap<>();
+  private final Map<SoakFault, List<SimulatedWorker>> affectedWorkers = new HashMap<>();
 
-  private int deleted;
+  private int returnedMachines;
 
   SoakFaults(Deployment deployment, List<SoakFault> schedule) {
     this.deployment = deployment;
     this.schedule = schedule;
-    this.timers = new XnioTimers(deployment.thread());
+    this.timers = new XnioTimers(deployment.userThread());
   }
 
   void start() {
     deployment
-        .thread()
+        .userThread()
         .execute(
             () -> {
               workers.addAll(deployment.fleet().all());
-              workers.sort(Comparator.comparing(HollowWorker::host));
-              deployment.outside().endMachinesBy(this::delete);
+              workers.sort(Comparator.comparing(SimulatedWorker::host));
+              deployment.externalServices().setMachineTerminator(this::delete);
               for (SoakFault fault : schedule) {
-                timers.after(fault.atS(), () -> strike(fault, true));
-                timers.after(fault.endS(), () -> strike(fault, false));
+                timers.after(fault.startS(), () -> apply(fault, true));
+                timers.after(fault.endS(), () -> apply(fault, false));
               }
             });
   }
 
   /** Machines that controllers have returned so far. */
-  int deleted() {
-    return deleted;
+  int returnedMachines() {
+    return returnedMachines;
   }
 
   /** Machines are deleted: their workers end first, and others come in their places. */
   private void delete(List<String> hosts, Runnable then) {
-    deployment.thread().execute(() -> deleteNext(new ArrayDeque<>(hosts), then));
+    deployment.userThread().execute(() -> deleteNext(new ArrayDeque<>(hosts), then));
   }
 
   private void deleteNext(Deque<String> hosts, Runnable then) {
@@ -68,25 +68,25 @@
       then.run();
       return;
     }
-    HollowWorker worker = workerOf(host);
+    SimulatedWorker worker = workerOf(host);
     if (worker == null) {
       deleteNext(hosts, then);
       return;
     }
     workers.remove(worker);
-    deleted++;
-    timers.after(REPLACED_S, () -> replace(worker.zone()));
+    returnedMachines++;
+    timers.after(REPLACEMENT_DELAY_S, () -> replace(worker.zone()));
     worker
         .thread()
         .execute(
             () -> {
               worker.stop();
-              deployment.thread().execute(() -> deleteNext(hosts, then));
+              deployment.userThread().execute(() -> deleteNext(hosts, then));
             });
   }
 
-  private HollowWorker workerOf(String host) {
-    for (HollowWorker worker : workers) {
+  private SimulatedWorker workerOf(String host) {
+    for (SimulatedWorker worker : workers) {
       if (worker.host().equals(host)) {
         return worker;
       }
@@ -95,80 +95,81 @@
   }
 
   private void replace(String zone) {
-    HollowWorker next = deployment.fleet().add(zone);
-    deployment.outside().add(next.host(), zone);
+    SimulatedWorker next = deployment.fleet().add(zone);
+    deployment.externalServices().addRunningMachine(next.host(), zone);
     workers.add(next);
   }
 
   /** A fault begins or ends. */
-  private void strike(SoakFault fault, boolean on) {
+  private void apply(SoakFault fault, boolean on) {
     RegionNetwork network = deployment.network();
-    Outside outside = deployment.outside();
+    ExternalServices outside = deployment.externalServices();
     MessageFaults messages = deployment.messageFaults();
     double share = on ? fault.share() : 0;
     int state = deployment.options().stateRegion();
     switch (fault.kind()) {
-      case CONTROLLER_KILLED -> kill(fault.first(), on);
-      case CONTROLLER_PAUSED -> pause(fault.first(), on);
-      case LINK_CUT_ONE_WAY -> network.block(fault.first(), fault.second(), on);
-      case LINK_CUT -> cut(fault.first(), fault.second(), on);
-      case STATE_CUT -> cut(fault.first(), state, on);
-      case ZONE_CUT -> cutZone(fault.first(), on);
-      case STATE_REFUSES -> outside.refuse(fault.first(), on);
-      case STATE_OUT -> outside.outage(on);
-      case STATE_SLOW -> slowState(share);
+      case CONTROLLER_KILLED -> setKilled(fault.first(), on);
+      case CONTROLLER_PAUSED -> setPaused(fault.first(), on);
+      case LINK_CUT_ONE_WAY -> network.setBlocked(fault.first(), fault.second(), on);
+      case LINK_CUT -> cutLink(fault.first(), fault.second(), on);
+      case STATE_CUT -> cutLink(fault.first(), state, on);
+      case CONTROLLER_ISOLATED -> isolate(fault.first(), on);
+      case STATE_REFUSES -> outside.setStateRefused(fault.first(), on);
+      case STATE_OUTAGE -> outside.setStateOutage(on);
+      case STATE_SLOW -> setStateDelay(share);
       case WRITES_LOST -> outside.loseWrites(fault.first(), share / 2, share / 2);
       case REPORTS_LOST -> messages.loseReports(share);
-      case REPORTS_REPEATED -> messages.repeatReports(share);
-      case ORDERS_LOST -> messages.loseOrders(share);
-      case ORDERS_LATE -> messages.delayOrders(share);
-      case WORKERS_HANG -> each(fault, on, HollowWorker::hang);
-      case WORKERS_DEAF -> each(fault, on, HollowWorker::deafen);
-      case WORKERS_MUTE -> each(fault, on, HollowWorker::mute);
-      case WORKERS_BEGIN_ANEW -> each(fault, on, SoakFaults::beginAnew);
+      case REPORTS_DUPLICATED -> messages.duplicateReports(share);
+      case COMMANDS_LOST -> messages.loseCommands(share);
+      case COMMANDS_DELAYED -> messages.delayCommands(share);
+      case WORKERS_HANG -> applyToWorkers(fault, on, SimulatedWorker::setHanging);
+      case WORKERS_INBOUND_LOST -> applyToWorkers(fault, on, SimulatedWorker::setInboundLost);
+      case WORKERS_OUTBOUND_LOST -> applyToWorkers(fault, on, SimulatedWorker::outboundLost);
+      case WORKERS_RESTARTED -> applyToWorkers(fault, on, SoakFaults::restartWorker);
       default -> throw new IllegalStateException("unknown fault " + fault.kind());
     }
   }
 
-  private void slowState(double mostS) {
+  private void setStateDelay(double mostS) {
     for (int i = 0; i < deployment.options().controllers(); i++) {
-      deployment.outside().slow(i, mostS);
+      deployment.externalServices().setStateDelay(i, mostS);
     }
   }
 
-  private static void beginAnew(HollowWorker worker, boolean on) {
+  private static void restartWorker(SimulatedWorker worker, boolean on) {
     if (on) {
-      worker.beginAnew();
+      worker.restart();
     }
   }
 
-  private void each(SoakFault fault, boolean on, BiConsumer<HollowWorker, Boolean> what) {
+  private void applyToWorkers(
+      SoakFault fault, boolean on, BiConsumer<SimulatedWorker, Boolean> what) {
     if (on) {
-      List<HollowWorker> struck = new ArrayList<>();
+      List<SimulatedWorker> struck = new ArrayList<>();
       for (int i = 0; i < Math.min(fault.second(), workers.size()); i++) {
         struck.add(workers.get((fault.first() + i) % workers.size()));
       }
-      struckBy.put(fault, struck);
+      affectedWorkers.put(fault, struck);
     }
-    for (HollowWorker worker : struckBy.getOrDefault(fault, List.of())) {
+    for (SimulatedWorker worker : affectedWorkers.getOrDefault(fault, List.of())) {
       worker.thread().execute(() -> what.accept(worker, on));
     }
   }
 
-  private void cut(int one, int other, boolean on) {
-    deployment.network().block(one, other, on);
-    deployment.network().block(other, one, on);
+  private void cutLink(int one, int other, boolean on) {
+    deployment.network().setBlocked(one, other, on);
+    deployment.network().setBlocked(other, one, on);
   }
 
-  private void cutZone(int controller, boolean on) {
+  private void isolate(int controller, boolean on) {
     for (int region = 0; region < deployment.options().regions(); region++) {
       if (region != controller) {
-        cut(controller, region, on);
+        cutLink(controller, region, on);
       }
     }
   }
 
-  private void kill(int number, boolean on) {
+  private void setKilled(int number, boolean on) {
     ControllerProcess controller = deployment.controllers().get(number);
     try {
       if (on) {
@@ -181,9 +182,9 @@
     }
   }
 
-  private void pause(int number, boolean on) {
+  private void setPaused(int number, boolean on) {
     try {
-      deployment.controllers().get(number).pause(on);
+      deployment.controllers().get(number).setPaused(on);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
--- a/src/test/java/dev/dunefront/load/SoakRun.java
+++ b/src/test/java/dev/dunefront/load/SoakRun.java
@@ -17,22 +17,22 @@
  * this machine is too slow for a judgement, it says so; that is no result.
  */
 public final class SoakRun {
-  private static final double DRAIN_S = 100;
+  private static final double DRAIN_TIMEOUT_S = 100;
 
   /** Tasks a second for each worker: they fill most of the room of all machines. */
-  private static final double LOAD = 1.0;
+  private static final double STARTS_PER_WORKER_PER_S = 1.0;
 
   /** Timers and the start of a process are late by less than this, in seconds. */
-  private static final double SETTLED_S = 1;
+  private static final double FAULT_END_MARGIN_S = 1;
 
-  private static final int MOST_LINES = 25;
-  private static final String VIOLATED = "invariant violated";
-  private static final String FAILED = "error ";
+  private static final int MAX_LOG_LINES = 25;
+  private static final String VIOLATION_MARKER = "invariant violated";
+  private static final String ERROR_PREFIX = "error ";
 
   private final LoadOptions options;
   private final Path directory;
   private final List<SoakFault> schedule;
-  private final List<String> broken = new ArrayList<>();
+  private final List<String> failures = new ArrayList<>();
 
   private SoakRun(LoadOptions options, Path directory) {
     this.options = options;
@@ -51,7 +51,7 @@
             "stateRegion=" + controllers,
             "teams=3",
             "limitTasks=" + workers * 3,
-            "startsPerS=" + LOAD * workers,
+            "startsPerS=" + STARTS_PER_WORKER_PER_S * workers,
             "tasksPerJob=8",
             "taskCpus=1",
             "runS=5",
@@ -85,13 +85,13 @@
     DisabledMBeanServerBuilder.install();
     boolean kept = true;
     for (long s = seed; s < seed + seeds; s++) {
-      kept &= play(options(controllers, workers, seconds, s));
+      kept &= run(options(controllers, workers, seconds, s));
     }
     System.exit(kept ? 0 : 1);
   }
 
   /** Plays one seed; says whether nothing was broken. */
-  private static boolean play(LoadOptions options) throws IOException, InterruptedException {
+  private static boolean run(LoadOptions options) throws IOException, InterruptedException {
     Path parent = Files.createDirectories(Path.of("target", "soak"));
     Path directory = Files.createTempDirectory(parent, "seed" + options.seed() + "-");
     SoakRun run = new SoakRun(options, directory);
@@ -104,82 +104,83 @@
       return true;
     }
     try {
-      return run.play(deployment);
+      return run.run(deployment);
     } finally {
       deployment.close();
     }
   }
 
-  private boolean play(Deployment deployment) throws IOException, InterruptedException {
-    SlownessWatch watch = new SlownessWatch();
+  private boolean run(Deployment deployment) throws IOException, InterruptedException {
+    PauseMonitor watch = new PauseMonitor();
     SoakFaults faults = new SoakFaults(deployment, schedule);
     faults.start();
     Thread.sleep(Math.round(options.measureS() * 1000));
-    deployment.source().stop();
+    deployment.jobs().stop();
     // A controller that was killed late is only now started again; it has not ended by itself.
-    Thread.sleep(Math.round(leftS() * 1000));
-    int open = deployment.drain(DRAIN_S);
-    broken.addAll(deployment.rules().broken());
-    lookAtControllers(deployment);
-    if (open > 0 && !watch.slow()) {
-      broken.add(open + " accepted jobs are not over " + DRAIN_S + " s after the last fault");
+    Thread.sleep(Math.round(remainingFaultTimeS() * 1000));
+    int open = deployment.drain(DRAIN_TIMEOUT_S);
+    failures.addAll(deployment.invariants().violations());
+    checkControllers(deployment);
+    if (open > 0 && !watch.tooSlow()) {
+      failures.add(
+          open + " accepted jobs are not over " + DRAIN_TIMEOUT_S + " s after the last fault");
     }
     System.out.printf(
         "seed %d: %d faults, %d jobs accepted, %d tasks at once at the most, %d machines returned, %d left,"
             + " worst pause of this process %.2f s: %s%n",
         options.seed(),
         schedule.size(),
-        deployment.source().accepted(),
-        deployment.rules().mostRunning(),
-        faults.deleted(),
+        deployment.jobs().accepted(),
+        deployment.invariants().mostRunning(),
+        faults.returnedMachines(),
         open,
-        watch.worstS(),
+        watch.longestPauseS(),
         verdict(open));
-    if (!broken.isEmpty()) {
-      tell(deployment);
+    if (!failures.isEmpty()) {
+      printDiagnostics(deployment);
     }
-    return broken.isEmpty();
+    return failures.isEmpty();
   }
 
   /** How much longer than new jobs come the last fault lasts, in seconds. */
-  private double leftS() {
+  private double remainingFaultTimeS() {
     double lastS = schedule.stream().mapToDouble(SoakFault::endS).max().orElse(0);
-    return Math.max(0, lastS + SETTLED_S - options.measureS());
+    return Math.max(0, lastS + FAULT_END_MARGIN_S - options.measureS());
   }
 
   private String verdict(int open) {
-    if (!broken.isEmpty()) {
-      return "BROKEN " + broken;
+    if (!failures.isEmpty()) {
+      return "BROKEN " + failures;
     }
     return open > 0 ? "NOT JUDGED, this machine is too slow" : "kept";
   }
 
-  private void lookAtControllers(Deployment deployment) throws IOException {
+  private void checkControllers(Deployment deployment) throws IOException {
     for (int i = 0; i < options.controllers(); i++) {
       ControllerProcess controller = deployment.controllers().get(i);
       if (!controller.alive()) {
-        broken.add(LoadSettings.controller(i) + " has ended by itself");
+        failures.add(LoadSettings.controller(i) + " has ended by itself");
       }
       for (String line : controller.log()) {
-        if (line.contains(VIOLATED) || line.startsWith(FAILED)) {
-          broken.add(LoadSettings.controller(i) + ": " + line);
+        if (line.contains(VIOLATION_MARKER) || line.startsWith(ERROR_PREFIX)) {
+          failures.add(LoadSettings.controller(i) + ": " + line);
         }
       }
     }
   }
 
-  private void tell(Deployment deployment) throws IOException {
+  private void printDiagnostics(Deployment deployment) throws IOException {
     System.out.println("the schedule, from the first jobs on:");
     schedule.forEach(System.out::println);
     for (int i = 0; i < options.controllers(); i++) {
       List<String> lines = deployment.controllers().get(i).log();
       System.out.println("the last lines of " + LoadSettings.controller(i) + ":");
       lines
-          .subList(Math.max(0, lines.size() - MOST_LINES), lines.size())
+          .subList(Math.max(0, lines.size() - MAX_LOG_LINES), lines.size())
           .forEach(System.out::println);
     }
-    for (HollowWorker worker : deployment.fleet().all()) {
-      if (broken.stream().anyMatch(rule -> rule.contains(worker.host()))) {
+    for (SimulatedWorker worker : deployment.fleet().all()) {
+      if (failures.stream().anyMatch(rule -> rule.contains(worker.host()))) {
         System.out.println("the last events of " + worker.host() + ":");
         worker.events().all().forEach(System.out::println);
       }
--- a/src/test/java/dev/dunefront/load/WorkerEvents.java
+++ b/src/test/java/dev/dunefront/load/WorkerEvents.java
@@ -6,13 +6,13 @@
 
 /** The last events of one worker, for whoever looks into a broken rule. */
 final class WorkerEvents {
-  private static final int MOST = 500;
+  private static final int MAX_EVENTS = 500;
 
   private final ArrayDeque<String> events = new ArrayDeque<>();
 
   /** Notes an event at a time of the steady clock, in seconds. */
-  synchronized void note(double now, String event) {
-    if (events.size() == MOST) {
+  synchronized void add(double now, String event) {
+    if (events.size() == MAX_EVENTS) {
       events.poll();
     }
     events.add(String.format(Locale.ROOT, "%10.3f %s", now, event));
--- a/src/test/java/dev/dunefront/load/FleetUse.java
+++ b/src/test/java/dev/dunefront/load/WorkerTraffic.java
@@ -1,27 +1,27 @@
 package dev.dunefront.load;
 
 /** What the hollow workers of one I/O thread have said and heard; belongs to that thread. */
-final class FleetUse {
+final class WorkerTraffic {
   long reports;
-  long orders;
+  long commandBatches;
   long bytesIn;
   long bytesOut;
 
   /** The sum of this and another. */
-  FleetUse plus(FleetUse other) {
-    FleetUse sum = new FleetUse();
+  WorkerTraffic plus(WorkerTraffic other) {
+    WorkerTraffic sum = new WorkerTraffic();
     sum.reports = reports + other.reports;
-    sum.orders = orders + other.orders;
+    sum.commandBatches = commandBatches + other.commandBatches;
     sum.bytesIn = bytesIn + other.bytesIn;
     sum.bytesOut = bytesOut + other.bytesOut;
     return sum;
   }
 
   /** What was added since an earlier count. */
-  FleetUse minus(FleetUse earlier) {
-    FleetUse difference = new FleetUse();
+  WorkerTraffic minus(WorkerTraffic earlier) {
+    WorkerTraffic difference = new WorkerTraffic();
     difference.reports = reports - earlier.reports;
-    difference.orders = orders - earlier.orders;
+    difference.commandBatches = commandBatches - earlier.commandBatches;
     difference.bytesIn = bytesIn - earlier.bytesIn;
     difference.bytesOut = bytesOut - earlier.bytesOut;
     return difference;
