--- a/src/test/java/dev/dunefront/load/ControllerProcess.java
+++ b/src/test/java/dev/dunefront/load/ControllerProcess.java
@@ -81,7 +81,7 @@
   }
 
   /** Ends the process without a signal that it could hear. */
-  void kill() {
+  void killProcess() {
     if (process != null) {
       process.destroyForcibly();
       try {
@@ -111,7 +111,7 @@
   /** The same in the middle of a run; what it has used until now counts on. */
   void killAndKeepUsage() throws IOException {
     earlierUsage = resourceUsage();
-    kill();
+    killProcess();
   }
 
   boolean up() {
--- a/src/test/java/dev/dunefront/load/Deployment.java
+++ b/src/test/java/dev/dunefront/load/Deployment.java
@@ -40,7 +40,7 @@
   private final XnioWorker serviceThreads;
   private final List<ControllerProcess> controllers = new ArrayList<>();
   private final RegionNetwork network;
-  private final boolean relays;
+  private final boolean useRelays;
 
   /**
    * Makes everything; nothing runs yet.
@@ -54,7 +54,7 @@
       LoadOptions options, Path directory, String logLevel, boolean relays, boolean eventsKept)
       throws IOException {
     this.options = options;
-    this.relays = relays;
+    this.useRelays = relays;
     Runtime.getRuntime().addShutdownHook(new Thread(this::killControllers));
     int count = options.controllers();
     // Held until the relays have ports of their own, or those would be taken from among these.
@@ -66,8 +66,8 @@
             ports.get(3 * count),
             ports.subList(0, count),
             ports.subList(count, 2 * count));
-    serviceThreads = worker("services");
-    userThreads = worker("users");
+    serviceThreads = createThreads("services");
+    userThreads = createThreads("users");
     invariants = new InvariantChecker(options.limitTasks());
     network = new RegionNetwork(options.regions());
     Map<String, Integer> byName = new HashMap<>();
@@ -138,10 +138,10 @@
   }
 
   private String addressVia(int from, int to, String target) throws IOException {
-    return relays && from != to ? network.relay(from, to, target) : target;
+    return useRelays && from != to ? network.relay(from, to, target) : target;
   }
 
-  private static XnioWorker worker(String name) throws IOException {
+  private static XnioWorker createThreads(String name) throws IOException {
     return Xnio.getInstance()
         .createWorker(
             OptionMap.builder()
@@ -254,7 +254,7 @@
   }
 
   private void killControllers() {
-    controllers.forEach(ControllerProcess::kill);
+    controllers.forEach(ControllerProcess::killProcess);
   }
 
   /** Ends everything. */
--- a/src/test/java/dev/dunefront/load/ExternalServices.java
+++ b/src/test/java/dev/dunefront/load/ExternalServices.java
@@ -18,9 +18,12 @@
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 
-/** The stand-ins of the state service and the cloud on one I/O thread, and what they are asked. */
+/**
+ * Stand-ins of the state service and the cloud on one I/O thread, with fault injection and usage
+ * counters.
+ */
 final class ExternalServices {
-  /** What the state service has been asked so far. */
+  /** Requests, changes, conflicts and bytes that the state service has served so far. */
   record StateServiceUsage(
       long requests, long changes, long conflicts, long bytesIn, long bytesOut) {
     StateServiceUsage minus(StateServiceUsage earlier) {
@@ -34,8 +37,8 @@
   }
 
   /**
-   * Boot time that the catalog tells, in seconds: so long that idle machines are kept throughout,
-   * for what is measured is to be measured with as many workers as were asked for.
+   * Boot time in the catalog, in seconds: long enough that controllers keep idle machines for the
+   * whole run, so that it is measured with the configured number of workers.
    */
   private static final double BOOT_S = 600;
 
@@ -47,7 +50,7 @@
   private final XnioIoThread thread;
   private final XnioTimers timers;
   private final Random random;
-  private MachineTerminator machineTerminator = (hosts, then) -> then.run();
+  private MachineTerminator machineTerminator = (hosts, callback) -> callback.run();
   private final List<StateFaults> stateFaults = new ArrayList<>();
   private final FakeStateService state;
   private final FakeCloud cloud;
@@ -56,7 +59,7 @@
   private long bytesIn;
   private long bytesOut;
 
-  /** What the state service does to the requests of one controller. */
+  /** The faults that the state service injects into the requests of one controller. */
   private static final class StateFaults {
     private boolean refused;
     private double maxDelayS;
@@ -67,13 +70,13 @@
   /**
    * Starts the stand-ins.
    *
-   * @param statesAt an address of the state service for each controller, by which they are told
-   *     apart
+   * @param stateAddresses one address of the state service for each controller, which identifies
+   *     the controller
    */
   ExternalServices(
       XnioWorker worker,
-      List<InetSocketAddress> statesAt,
-      InetSocketAddress cloudAt,
+      List<InetSocketAddress> stateAddresses,
+      InetSocketAddress cloudAddress,
       List<String> zones,
       long seed) {
     thread = worker.getIoThread();
@@ -82,15 +85,17 @@
     state = new FakeStateService(timers);
     cloud = new FakeCloud(zones, BOOT_S);
     DefaultByteBufferPool buffers = new DefaultByteBufferPool(false, 8192, 256, 4);
-    for (InetSocketAddress at : statesAt) {
+    for (InetSocketAddress at : stateAddresses) {
       StateFaults faults = new StateFaults();
       stateFaults.add(faults);
-      HttpServer.start(worker, buffers, at, (request, answer) -> state(faults, request, answer));
+      HttpServer.start(
+          worker, buffers, at, (request, answer) -> delayAndServe(faults, request, answer));
     }
-    HttpServer.start(worker, buffers, cloudAt, this::cloud);
+    HttpServer.start(worker, buffers, cloudAddress, this::serveCloud);
   }
 
-  private void state(StateFaults faults, HttpServer.Request request, HttpServer.Responder answer) {
+  private void delayAndServe(
+      StateFaults faults, HttpServer.Request request, HttpServer.Responder answer) {
     if (faults.maxDelayS > 0) {
       timers.after(random.nextDouble() * faults.maxDelayS, () -> serve(faults, request, answer));
     } else {
@@ -112,25 +117,25 @@
         return;
       }
       if (drawn < faults.unansweredShare + faults.delayedShare) {
-        double lateS = MIN_DELAY_S + random.nextDouble() * DELAY_SPREAD_S;
-        timers.after(lateS, () -> handle(request, reply -> {}));
+        double delayS = MIN_DELAY_S + random.nextDouble() * DELAY_SPREAD_S;
+        timers.after(delayS, () -> handle(request, reply -> {}));
         return;
       }
     }
-    handle(request, reply -> answerUnlessRefused(faults, reply, answer));
+    handle(request, reply -> respondUnlessRefused(faults, reply, answer));
   }
 
-  /** A watch that was open when its controller began to be refused waits until that is over. */
-  private void answerUnlessRefused(
+  /** Holds the response of a watch that was open when its controller's refusal began. */
+  private void respondUnlessRefused(
       StateFaults faults, Response reply, HttpServer.Responder answer) {
     if (faults.refused) {
-      timers.after(REFUSED_CHECK_INTERVAL_S, () -> answerUnlessRefused(faults, reply, answer));
+      timers.after(REFUSED_CHECK_INTERVAL_S, () -> respondUnlessRefused(faults, reply, answer));
     } else {
       answer.send(reply.status(), reply.body());
     }
   }
 
-  private void handle(HttpServer.Request request, Consumer<Response> then) {
+  private void handle(HttpServer.Request request, Consumer<Response> callback) {
     state.handle(
         request.method(),
         pathAndQuery(request),
@@ -138,45 +143,50 @@
         reply -> {
           conflicts += reply.status() == 409 ? 1 : 0;
           bytesOut += reply.body().length;
-          then.accept(reply);
+          callback.accept(reply);
         });
   }
 
-  /** The state service refuses one controller while it serves the others, or serves it again. */
+  /** Sets whether the state service refuses one controller while it serves the others. */
   void setStateRefused(int controller, boolean on) {
     thread.execute(() -> stateFaults.get(controller).refused = on);
   }
 
-  /** The state service is out for all, or back. */
+  /** Sets whether the state service is unavailable to all controllers. */
   void setStateOutage(boolean on) {
     thread.execute(() -> state.outage(on));
   }
 
-  /** Requests of a controller take up to so many seconds longer. */
+  /** Delays each request of a controller by up to so many seconds. */
   void setStateDelay(int controller, double seconds) {
     thread.execute(() -> stateFaults.get(controller).maxDelayS = seconds);
   }
 
-  /** Such shares of a controller's transactions are carried out at once or late, unanswered. */
-  void loseWrites(int controller, double unansweredShare, double lateShare) {
+  /**
+   * Drops responses to a controller's transactions.
+   *
+   * @param unansweredShare share that is executed at once without a response
+   * @param delayedShare share that is executed late without a response
+   */
+  void setWriteFaults(int controller, double unansweredShare, double delayedShare) {
     thread.execute(
         () -> {
           stateFaults.get(controller).unansweredShare = unansweredShare;
-          stateFaults.get(controller).delayedShare = lateShare;
+          stateFaults.get(controller).delayedShare = delayedShare;
         });
   }
 
-  /** Ends machines; calls back once they and everything on them are gone. */
+  /** Terminates machines and calls back once they and their tasks have ended. */
   interface MachineTerminator {
-    void terminate(List<String> hosts, Runnable then);
+    void terminate(List<String> hosts, Runnable callback);
   }
 
-  /** From now on machines that the cloud deletes are ended so. */
+  /** Sets how machines that the cloud deletes are terminated. */
   void setMachineTerminator(MachineTerminator end) {
     thread.execute(() -> machineTerminator = end);
   }
 
-  private void cloud(HttpServer.Request request, HttpServer.Responder answer) {
+  private void serveCloud(HttpServer.Request request, HttpServer.Responder answer) {
     Response reply = cloud.handle(request.method(), pathAndQuery(request), request.body());
     Runnable send = () -> answer.send(reply.status(), reply.body());
     if (request.path().equals("/machines/delete") && reply.ok()) {
@@ -198,12 +208,12 @@
     return r.path() + (r.query().isEmpty() ? "" : "?" + r.query());
   }
 
-  /** Lists a machine that is up. */
+  /** Adds a running machine to the cloud's list. */
   void addRunningMachine(String host, String zone) {
     thread.execute(() -> cloud.addRunning(host, "small", zone));
   }
 
-  /** The cloud notices that a machine has stopped. */
+  /** Marks a machine as failed in the cloud's list. */
   void markMachineFailed(String host) {
     thread.execute(() -> cloud.markFailed(host));
   }
@@ -216,21 +226,24 @@
                 requests, state.writes("") + state.failedTxnOps(), conflicts, bytesIn, bytesOut));
   }
 
-  /** Mean encoded bytes of the stored values, and how many there are, by the key's first part. */
+  /**
+   * Number and mean encoded bytes of the stored values, by the first part of the key, or the first
+   * two for keys under {@code w/}.
+   */
   Map<String, double[]> storedValueSizes() throws InterruptedException {
     return IoThreadCall.get(
         thread,
         () -> {
-          Map<String, double[]> kinds = new TreeMap<>();
+          Map<String, double[]> byPrefix = new TreeMap<>();
           for (String key : state.keys("")) {
             String[] parts = key.split("/");
-            String kind = parts[0].equals("w") ? "w/" + parts[1] : parts[0];
-            double[] sum = kinds.computeIfAbsent(kind, k -> new double[2]);
+            String prefix = parts[0].equals("w") ? "w/" + parts[1] : parts[0];
+            double[] sum = byPrefix.computeIfAbsent(prefix, k -> new double[2]);
             sum[0]++;
             sum[1] += state.value(key).encode().length;
           }
-          kinds.values().forEach(sum -> sum[1] /= sum[0]);
-          return kinds;
+          byPrefix.values().forEach(sum -> sum[1] /= sum[0]);
+          return byPrefix;
         });
   }
 }
--- a/src/test/java/dev/dunefront/load/InvariantChecker.java
+++ b/src/test/java/dev/dunefront/load/InvariantChecker.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 
 /**
- * Checks the protocol's rules by what hollow workers and users see: no task on two machines, no
- * team above its limit, no job done before its tasks, none forgotten.
+ * Checks the protocol's invariants by what simulated workers and users observe: no task runs on two
+ * machines, no team exceeds its limit, no job is done before its tasks, no accepted job is lost.
  */
 final class InvariantChecker {
   static final String DONE = "done";
@@ -27,10 +27,10 @@
   private final Map<String, Set<String>> doneByJob = new HashMap<>();
   private final List<String> violations = new ArrayList<>();
 
-  /** When the lease of a worker ends if nothing renews it, by machine, in seconds. */
+  /** End of each machine's current lease, on the steady clock in seconds. */
   private final Map<String, Double> leaseEnds = new HashMap<>();
 
-  /** What users were told at the end of a job. */
+  /** The final status that users received, by job id. */
   private final Map<String, String> finalStatuses = new HashMap<>();
 
   private int mostRunning;
@@ -39,21 +39,21 @@
     this.limitTasks = limitTasks;
   }
 
-  synchronized void submitted(Job job) {
+  synchronized void jobSubmitted(Job job) {
     jobs.put(job.id(), job);
   }
 
-  /** The job of a task, or null if nobody has submitted it. */
+  /** Returns the job of a task, or null if it was never submitted. */
   synchronized Job jobOf(String task) {
     return jobs.get(jobIdOf(task));
   }
 
-  /** A worker's lease lasts until then unless it is renewed; its tasks end with it. */
+  /** Records that a worker's lease lasts until the given time; its tasks end with the lease. */
   synchronized void leaseRenewed(String host, double until) {
     leaseEnds.put(host, until);
   }
 
-  synchronized void started(String task, String host, double now) {
+  synchronized void taskStarted(String task, String host, double now) {
     Job job = jobOf(task);
     if (job == null) {
       addViolation("invented: " + task + " was never submitted");
@@ -70,7 +70,7 @@
       addViolation(
           String.format(
               Locale.ROOT,
-              "ran_twice: %s starts on %s at %.3f while it is on %s, whose lease lasts until %.3f",
+              "ran_twice: %s starts on %s at %.3f while it runs on %s, whose lease lasts until %.3f",
               task,
               host,
               now,
@@ -89,15 +89,18 @@
     return runningByTeam.getOrDefault(job.team(), 0) >= limitTasks;
   }
 
-  /** By their workers' leases these tasks are gone, although the workers' threads are late. */
+  /**
+   * Ends tasks whose workers' leases have expired, for workers whose thread is late and has not
+   * recorded it yet.
+   */
   private void endExpiredTasks(double now) {
-    Map<String, String> gone = new HashMap<>(runningOn);
-    gone.values().removeIf(h -> leaseEnds.getOrDefault(h, Double.POSITIVE_INFINITY) >= now);
-    gone.forEach((task, host) -> ended(task, host, false));
+    Map<String, String> expired = new HashMap<>(runningOn);
+    expired.values().removeIf(h -> leaseEnds.getOrDefault(h, Double.POSITIVE_INFINITY) >= now);
+    expired.forEach((task, host) -> taskEnded(task, host, false));
   }
 
-  /** A task has left its machine, done or not. */
-  synchronized void ended(String task, String host, boolean done) {
+  /** Records that a task no longer runs on a machine, whether done or not. */
+  synchronized void taskEnded(String task, String host, boolean done) {
     if (!runningOn.remove(task, host)) {
       return;
     }
@@ -117,15 +120,15 @@
   }
 
   /**
-   * A user was told how an accepted job stands.
+   * Records the status of an accepted job that a user received.
    *
-   * @param status of the protocol
-   * @param askedAfterEnd whether the user had been told of its end before asking
+   * @param status job status of the protocol
+   * @param askedAfterEnd whether the user had received a final status before sending the request
    */
   synchronized void statusReported(String id, String status, boolean askedAfterEnd) {
     String last = finalStatuses.get(id);
     if (askedAfterEnd && !status.equals(last)) {
-      addViolation("went_back: " + id + " was " + last + " and is called " + status);
+      addViolation("went_back: " + id + " was " + last + " and is now reported as " + status);
     }
     if (status.equals(DONE) || status.equals(CANCELLED)) {
       finalStatuses.putIfAbsent(id, status);
@@ -135,12 +138,12 @@
     }
   }
 
-  /** Whether the user has been told that the job is over. */
+  /** Whether a user has received a final status of the job. */
   synchronized boolean finished(String id) {
     return finalStatuses.containsKey(id);
   }
 
-  /** A user was told that an accepted job is not known. */
+  /** Records that a request for an accepted job was answered with 404. */
   synchronized void jobNotFound(String id) {
     addViolation("forgotten: " + id);
   }
@@ -157,9 +160,9 @@
     return List.copyOf(violations);
   }
 
-  private void addViolation(String rule) {
+  private void addViolation(String violation) {
     if (violations.size() < MAX_VIOLATIONS) {
-      violations.add(rule);
+      violations.add(violation);
     }
   }
 
--- a/src/test/java/dev/dunefront/load/JobGenerator.java
+++ b/src/test/java/dev/dunefront/load/JobGenerator.java
@@ -28,10 +28,10 @@
   private final LatencyRecorder latencies;
   private final Random random;
   private boolean stopped;
-  private int submitted;
-  private int accepted;
+  private int submittedJobs;
+  private int acceptedJobs;
   private int openJobs;
-  private int refused;
+  private int failedSubmissions;
 
   JobGenerator(
       LoadOptions options,
@@ -73,22 +73,22 @@
     return openJobs;
   }
 
-  int accepted() {
-    return accepted;
+  int acceptedJobs() {
+    return acceptedJobs;
   }
 
   /** Answers to submissions that asked for a retry. */
-  int refused() {
-    return refused;
+  int failedSubmissions() {
+    return failedSubmissions;
   }
 
   private void submit() {
-    String id = String.format(Locale.ROOT, "wk-%06d", ++submitted);
+    String id = String.format(Locale.ROOT, "wk-%06d", ++submittedJobs);
     boolean urgent = random.nextDouble() < options.urgentShare();
     String team = LoadSettings.team(random.nextInt(options.teams()));
     InvariantChecker.Job job =
         new InvariantChecker.Job(id, team, options.tasksPerJob(), urgent, timers.now());
-    invariants.submitted(job);
+    invariants.jobSubmitted(job);
     byte[] body =
         Document.create()
             .put("id", id)
@@ -109,7 +109,7 @@
             .put("snapshot_every_s", 0.0)
             .put("snapshot_s", 0.0)
             .encode();
-    post(job, body, submitted);
+    post(job, body, submittedJobs);
   }
 
   private void post(InvariantChecker.Job job, byte[] body, int attempt) {
@@ -122,8 +122,8 @@
         SUBMIT_TIMEOUT_S,
         reply -> {
           if (reply.status() == 201 || reply.ok()) {
-            latencies.accepted(timers.now() - job.submittedAt());
-            accepted++;
+            latencies.jobAccepted(timers.now() - job.submittedAt());
+            acceptedJobs++;
             openJobs++;
             timers.after(POLL_INTERVAL_S, () -> poll(job.id(), attempt));
             if (options.cancelShare() > 0 && random.nextDouble() < options.cancelShare()) {
@@ -131,7 +131,7 @@
               timers.after(afterS, () -> cancel(job.id(), attempt));
             }
           } else {
-            refused++;
+            failedSubmissions++;
             timers.after(
                 Math.max(MIN_RETRY_DELAY_S, reply.retryAfterS()),
                 () -> post(job, body, attempt + 1));
--- a/src/test/java/dev/dunefront/load/LatencyRecorder.java
+++ b/src/test/java/dev/dunefront/load/LatencyRecorder.java
@@ -7,7 +7,7 @@
   private static final long MAX_MS = 600_000;
 
   private final Histogram urgent = new Histogram(MAX_MS, 3);
-  private final Histogram others = new Histogram(MAX_MS, 3);
+  private final Histogram other = new Histogram(MAX_MS, 3);
   private final Histogram submissions = new Histogram(MAX_MS, 3);
   private boolean counting;
   private long starts;
@@ -16,14 +16,14 @@
     counting = on;
   }
 
-  synchronized void started(InvariantChecker.Job job, double now) {
+  synchronized void taskStarted(InvariantChecker.Job job, double now) {
     if (counting && job != null) {
       starts++;
-      (job.urgent() ? urgent : others).recordValue(millis(now - job.submittedAt()));
+      (job.urgent() ? urgent : other).recordValue(millis(now - job.submittedAt()));
     }
   }
 
-  synchronized void accepted(double tookS) {
+  synchronized void jobAccepted(double tookS) {
     if (counting) {
       submissions.recordValue(millis(tookS));
     }
@@ -38,7 +38,7 @@
   }
 
   synchronized double otherWaitS(double percentile) {
-    return others.getValueAtPercentile(percentile) / 1000.0;
+    return other.getValueAtPercentile(percentile) / 1000.0;
   }
 
   synchronized double submissionLatencyMs(double percentile) {
--- a/src/test/java/dev/dunefront/load/LoadFaults.java
+++ b/src/test/java/dev/dunefront/load/LoadFaults.java
@@ -81,7 +81,7 @@
   private void fail(SimulatedWorker worker, boolean replaced) {
     alive.remove(worker);
     machinesLost++;
-    worker.thread().execute(worker::stop);
+    worker.thread().execute(worker::fail);
     timers.after(CLOUD_DETECTION_DELAY_S, () -> externalServices.markMachineFailed(worker.host()));
     if (replaced) {
       timers.after(
--- a/src/test/java/dev/dunefront/load/LoadRun.java
+++ b/src/test/java/dev/dunefront/load/LoadRun.java
@@ -139,7 +139,7 @@
         state.bytesOut(),
         deployment.externalServices().storedValueSizes(),
         said.reports,
-        said.commandBatches,
+        said.commandRequests,
         (said.bytesIn + said.bytesOut) / spanS / workers,
         (after.hollowCpuS - before.hollowCpuS) / spanS / workers,
         ControllerProcess.residentMb(Path.of("/proc/self/status")),
@@ -148,7 +148,7 @@
         deployment.latencies().urgentWaitS(99),
         deployment.latencies().otherWaitS(90),
         deployment.latencies().submissionLatencyMs(95),
-        deployment.jobs().refused(),
+        deployment.jobs().failedSubmissions(),
         faults.machinesLost(),
         options.troubles() ? deployment.openJobs() : 0,
         deployment.invariants().violations());
--- a/src/test/java/dev/dunefront/load/RegionNetwork.java
+++ b/src/test/java/dev/dunefront/load/RegionNetwork.java
@@ -93,7 +93,7 @@
     private final Route route;
     private final SocketChannel in;
     private final SocketChannel out;
-    private final ArrayDeque<Chunk> chunks = new ArrayDeque<>();
+    private final ArrayDeque<Chunk> pendingChunks = new ArrayDeque<>();
     private boolean inputEnded;
 
     Pipe(Route route, SocketChannel in, SocketChannel out) {
@@ -109,7 +109,7 @@
         inputEnded = true;
       } else if (n > 0) {
         double delayS = delayS(route.from, route.to, regions);
-        chunks.add(new Chunk(bytes.flip(), System.nanoTime() + Math.round(delayS * 1e9)));
+        pendingChunks.add(new Chunk(bytes.flip(), System.nanoTime() + Math.round(delayS * 1e9)));
       }
     }
 
@@ -117,14 +117,14 @@
       if (!reaches(route.from, route.to)) {
         return;
       }
-      while (!chunks.isEmpty() && chunks.peek().dueNs <= nowNs) {
-        out.write(chunks.peek().bytes);
-        if (chunks.peek().bytes.hasRemaining()) {
+      while (!pendingChunks.isEmpty() && pendingChunks.peek().dueNs <= nowNs) {
+        out.write(pendingChunks.peek().bytes);
+        if (pendingChunks.peek().bytes.hasRemaining()) {
           return;
         }
-        chunks.poll();
+        pendingChunks.poll();
       }
-      if (inputEnded && chunks.isEmpty()) {
+      if (inputEnded && pendingChunks.isEmpty()) {
         out.close();
         in.close();
       }
--- a/src/test/java/dev/dunefront/load/SimulatedFleet.java
+++ b/src/test/java/dev/dunefront/load/SimulatedFleet.java
@@ -23,8 +23,8 @@
 import org.xnio.XnioWorker;
 
 /**
- * The hollow workers of a run: a few I/O threads for all of them, and one server that tells by the
- * request's host whom a direct command is meant for. Each worker has a loopback address of its own.
+ * The simulated workers of a run. They share a few I/O threads and traffic HTTP server, which
+ * routes direct commands by the request's Host header. Each worker has its own loopback address.
  */
 final class SimulatedFleet {
   private static final int IO_THREADS = 3;
@@ -72,16 +72,16 @@
     String endpoint =
         "127.1." + number / HOSTS_PER_SUBNET + "." + number % HOSTS_PER_SUBNET + ":" + port;
     String host = String.format(Locale.ROOT, "host-%06d", number);
-    int place = number % IO_THREADS;
-    XnioIoThread thread = threads.get(place);
+    int threadIndex = number % IO_THREADS;
+    XnioIoThread thread = threads.get(threadIndex);
     SimulatedWorker worker =
         new SimulatedWorker(
             new FakeWorker(host, endpoint, "small", zone),
             context,
             thread,
-            callers.get(place),
+            callers.get(threadIndex),
             new XnioTimers(thread),
-            traffics.get(place),
+            traffics.get(threadIndex),
             number % context.controllers().size(),
             number);
     byEndpoint.put(endpoint, worker);
@@ -89,17 +89,17 @@
     return worker;
   }
 
-  /** All workers, those that have failed included. */
+  /** All workers, including failed ones. */
   Collection<SimulatedWorker> all() {
     return byEndpoint.values();
   }
 
-  /** What all workers together have said and heard. */
+  /** Total traffic of all workers. */
   WorkerTraffic traffic() throws InterruptedException {
     WorkerTraffic sum = new WorkerTraffic();
     for (int i = 0; i < IO_THREADS; i++) {
-      WorkerTraffic one = traffics.get(i);
-      sum = sum.plus(IoThreadCall.get(threads.get(i), () -> one.plus(new WorkerTraffic())));
+      WorkerTraffic traffic = traffics.get(i);
+      sum = sum.plus(IoThreadCall.get(threads.get(i), () -> traffic.plus(new WorkerTraffic())));
     }
     return sum;
   }
@@ -136,13 +136,13 @@
             });
   }
 
-  /** Ends all workers, and with them the threads. */
+  /** Stops all workers and their threads. */
   void close() throws InterruptedException {
     for (SimulatedWorker worker : byEndpoint.values()) {
       IoThreadCall.get(
           worker.thread(),
           () -> {
-            worker.stop();
+            worker.fail();
             return worker;
           });
     }
--- a/src/test/java/dev/dunefront/load/SimulatedWorker.java
+++ b/src/test/java/dev/dunefront/load/SimulatedWorker.java
@@ -17,9 +17,9 @@
 import org.xnio.XnioIoThread;
 
 /**
- * A worker without tasks of its own: it reports, obeys and ends tasks after drawn run times, in the
- * rhythm of the protocol. All of it runs on one I/O thread, which it shares with hundreds of
- * others.
+ * A simulated worker, like a hollow node of Kubernetes' kubemark: it reports, executes commands and
+ * ends tasks after random run times with the timing of the protocol, but runs no real tasks.
+ * Everything runs on one I/O thread, which it shares with hundreds of other workers.
  */
 final class SimulatedWorker {
   private static final double MIN_REPORT_INTERVAL_S = 0.5;
@@ -27,18 +27,18 @@
   private static final double RESPONSE_TIMEOUT_S = 4;
   private static final double LEASE_CHECK_MARGIN_S = 0.002;
 
-  /** What all hollow workers have in common. */
+  /** State and settings shared by all simulated workers. */
   record SharedContext(
       List<String> controllers,
       Map<String, Integer> controllerByName,
-      InvariantChecker rules,
-      LatencyRecorder starts,
+      InvariantChecker invariants,
+      LatencyRecorder latencies,
       LoadOptions options,
       Reachability reachability,
       MessageFaults faults,
-      boolean eventsKept) {}
+      boolean recordEvents) {}
 
-  /** Whether a worker in a zone reaches a controller now. */
+  /** Tells whether a worker in a zone can currently reach a controller. */
   interface Reachability {
     boolean reaches(String zone, int controller);
   }
@@ -51,17 +51,20 @@
   private final Random random;
   private final WorkerTraffic traffic;
 
-  /** Attempts of the tasks that run here. */
+  /** The running attempt of each task on this worker. */
   private final Map<String, String> attempts = new HashMap<>();
 
   private int processedStarts;
   private int controller;
   private double lastReportAt = Double.NEGATIVE_INFINITY;
+
+  /** Send time of the last answered report, from which the lease counts. */
   private double leaseStartedAt;
+
   private boolean reportInFlight;
   private double nextReportAt = Double.POSITIVE_INFINITY;
   private boolean changedInFlight;
-  private boolean stopped;
+  private boolean failed;
   private int session = 1;
   private final WorkerEvents events = new WorkerEvents();
   private int restarts;
@@ -69,25 +72,25 @@
   private boolean inboundLost;
   private boolean outboundLost;
 
-  /** What has arrived while the machine hangs, in order. */
+  /** Events that arrived while the machine hangs, in order. */
   private final List<Runnable> deferred = new ArrayList<>();
 
   SimulatedWorker(
       FakeWorker worker,
-      SharedContext common,
+      SharedContext context,
       XnioIoThread thread,
       UndertowHttpCaller caller,
       Timers timers,
-      WorkerTraffic use,
-      int firstNode,
+      WorkerTraffic traffic,
+      int firstController,
       long seed) {
     this.worker = worker;
-    this.context = common;
+    this.context = context;
     this.thread = thread;
     this.caller = caller;
     this.timers = timers;
-    this.traffic = use;
-    this.controller = firstNode;
+    this.traffic = traffic;
+    this.controller = firstController;
     this.random = new Random(seed);
   }
 
@@ -109,15 +112,15 @@
     checkLease();
   }
 
-  /** The machine fails with all that is on it. */
-  void stop() {
-    stopped = true;
+  /** Fails the machine together with all its tasks. */
+  void fail() {
+    failed = true;
     endAllTasks();
   }
 
-  /** The machine hangs, or goes on; its tasks stand still meanwhile, its lease does not. */
+  /** Makes the machine hang or continue; its tasks pause meanwhile, its lease still expires. */
   void setHanging(boolean on) {
-    recordEvent(() -> "hangs " + on);
+    recordEvent(() -> "hanging: " + on);
     hanging = on;
     if (!on) {
       expireLeaseIfDue();
@@ -128,24 +131,24 @@
     }
   }
 
-  /** Nothing that is said to the worker arrives, or all does again. */
+  /** Drops all messages to the worker, or delivers them again. */
   void setInboundLost(boolean on) {
-    recordEvent(() -> "deaf " + on);
+    recordEvent(() -> "inbound lost: " + on);
     inboundLost = on;
   }
 
-  /** Nothing that the worker says arrives, or all does again. */
-  void outboundLost(boolean on) {
-    recordEvent(() -> "mute " + on);
+  /** Drops all messages from the worker, or delivers them again. */
+  void setOutboundLost(boolean on) {
+    recordEvent(() -> "outbound lost: " + on);
     outboundLost = on;
   }
 
   /**
-   * The worker is restarted and knows nothing any more. Its connections end with it, so nothing
-   * that was on its way to its former life arrives.
+   * Restarts the worker, which loses all state. Its connections close, so messages in flight to the
+   * previous incarnation do not arrive.
    */
   void restart() {
-    recordEvent(() -> "begins anew");
+    recordEvent(() -> "restarted");
     endAllTasks();
     restarts++;
     deferred.clear();
@@ -155,51 +158,53 @@
     scheduleReport(0);
   }
 
-  /** Answers a question; there is no answer to one that is lost. */
-  void handleStatusRequest(Consumer<Response> then) {
+  /** Answers a status request; sends no response if the request is lost. */
+  void handleStatusRequest(Consumer<Response> callback) {
     if (hanging) {
-      deferred.add(() -> handleStatusRequest(then));
-    } else if (stopped) {
-      then.accept(Response.NO_RESPONSE);
+      deferred.add(() -> handleStatusRequest(callback));
+    } else if (failed) {
+      callback.accept(Response.NO_RESPONSE);
     } else if (!inboundLost
         && context.faults().drawForCommand(random) == MessageFaults.Delivery.ON_TIME) {
       expireLeaseIfDue();
-      then.accept(new Response(200, worker.report(), 0));
+      callback.accept(new Response(200, worker.report(), 0));
     }
   }
 
-  /** Takes a direct command; there is no answer to one that is lost. */
-  void handleCommands(byte[] body, Consumer<Response> then) {
-    MessageFaults.Delivery fate = context.faults().drawForCommand(random);
-    if (stopped) {
-      then.accept(Response.NO_RESPONSE);
+  /** Receives direct commands; sends no response if the request is lost. */
+  void handleCommands(byte[] body, Consumer<Response> callback) {
+    MessageFaults.Delivery delivery = context.faults().drawForCommand(random);
+    if (failed) {
+      callback.accept(Response.NO_RESPONSE);
       return;
     }
-    if (inboundLost || fate == MessageFaults.Delivery.LOST) {
+    if (inboundLost || delivery == MessageFaults.Delivery.LOST) {
       return;
     }
-    if (fate == MessageFaults.Delivery.DELAYED) {
-      int inLife = restarts;
-      timers.after(context.faults().drawDelayS(random), () -> receiveDelayedCommands(body, inLife));
-    } else if (fate == MessageFaults.Delivery.RESPONSE_LOST) {
+    if (delivery == MessageFaults.Delivery.DELAYED) {
+      int restartsWhenSent = restarts;
+      timers.after(
+          context.faults().drawDelayS(random),
+          () -> receiveDelayedCommands(body, restartsWhenSent));
+    } else if (delivery == MessageFaults.Delivery.RESPONSE_LOST) {
       receiveCommands(body, reply -> {});
     } else {
-      receiveCommands(body, then);
+      receiveCommands(body, callback);
     }
   }
 
-  private void receiveDelayedCommands(byte[] body, int inLife) {
-    if (inLife == restarts) {
+  private void receiveDelayedCommands(byte[] body, int restartsWhenSent) {
+    if (restartsWhenSent == restarts) {
       receiveCommands(body, reply -> {});
     }
   }
 
-  private void receiveCommands(byte[] body, Consumer<Response> then) {
+  private void receiveCommands(byte[] body, Consumer<Response> callback) {
     if (hanging) {
-      deferred.add(() -> receiveCommands(body, then));
-    } else if (!stopped) {
+      deferred.add(() -> receiveCommands(body, callback));
+    } else if (!failed) {
       expireLeaseIfDue();
-      then.accept(executeCommands(body));
+      callback.accept(executeCommands(body));
     }
   }
 
@@ -207,7 +212,7 @@
     try {
       Response reply = worker.handleCommands(body);
       recordEvent(() -> "command: " + reply.status() + " " + text(body));
-      traffic.commandBatches++;
+      traffic.commandRequests++;
       traffic.bytesIn += body.length;
       traffic.bytesOut += reply.body().length;
       if (reply.ok()) {
@@ -221,7 +226,7 @@
 
   private void report() {
     nextReportAt = Double.POSITIVE_INFINITY;
-    if (stopped) {
+    if (failed) {
       return;
     }
     if (reportInFlight) {
@@ -236,63 +241,63 @@
     reportInFlight = true;
     changedInFlight = false;
     lastReportAt = timers.now();
-    double sent = lastReportAt;
-    int inSession = session;
+    double sentAt = lastReportAt;
+    int reportSession = session;
     byte[] body = worker.report();
     traffic.reports++;
     traffic.bytesOut += body.length;
-    MessageFaults.Delivery fate = context.faults().drawForReport(random);
-    recordEvent(() -> "report of session " + inSession + " to " + controller + ", " + fate);
-    boolean lost = outboundLost || fate == MessageFaults.Delivery.LOST;
+    MessageFaults.Delivery delivery = context.faults().drawForReport(random);
+    recordEvent(() -> "report of session " + reportSession + " to " + controller + ", " + delivery);
+    boolean lost = outboundLost || delivery == MessageFaults.Delivery.LOST;
     if (lost || !context.reachability().reaches(zone(), controller)) {
-      timers.after(RESPONSE_TIMEOUT_S, () -> reportFinished(Response.NO_RESPONSE, sent, inSession));
+      timers.after(
+          RESPONSE_TIMEOUT_S, () -> reportFinished(Response.NO_RESPONSE, sentAt, reportSession));
       return;
     }
-    if (fate == MessageFaults.Delivery.DELAYED) {
+    if (delivery == MessageFaults.Delivery.DELAYED) {
       sendDuplicateLater(body);
     }
-    boolean unanswered = fate == MessageFaults.Delivery.RESPONSE_LOST;
+    boolean responseLost = delivery == MessageFaults.Delivery.RESPONSE_LOST;
     postReport(
         controller,
         body,
         reply -> {
-          if (inboundLost || hanging || unanswered) {
-            // The answer is lost; the worker gives the report up when its time is over.
-            double leftS = Math.max(0, sent + RESPONSE_TIMEOUT_S - timers.now());
-            timers.after(leftS, () -> reportFinished(Response.NO_RESPONSE, sent, inSession));
+          if (inboundLost || hanging || responseLost) {
+            // The response is lost; the worker gives up on the report at its timeout.
+            double leftS = Math.max(0, sentAt + RESPONSE_TIMEOUT_S - timers.now());
+            timers.after(leftS, () -> reportFinished(Response.NO_RESPONSE, sentAt, reportSession));
           } else {
-            reportFinished(reply, sent, inSession);
+            reportFinished(reply, sentAt, reportSession);
           }
         });
   }
 
-  private void postReport(int controller, byte[] body, Consumer<Response> then) {
+  private void postReport(int target, byte[] body, Consumer<Response> callback) {
     caller.call(
-        context.controllers().get(controller), "POST", "/hello", body, RESPONSE_TIMEOUT_S, then);
+        context.controllers().get(target), "POST", "/hello", body, RESPONSE_TIMEOUT_S, callback);
   }
 
-  /** A copy of a report comes much later, at any controller; nobody waits for its answer. */
+  /** Sends a duplicate of a report late, to a random controller, and ignores the response. */
   private void sendDuplicateLater(byte[] body) {
-    int controller = random.nextInt(context.controllers().size());
-    timers.after(
-        context.faults().drawDelayS(random), () -> postReport(controller, body, reply -> {}));
+    int target = random.nextInt(context.controllers().size());
+    timers.after(context.faults().drawDelayS(random), () -> postReport(target, body, reply -> {}));
   }
 
-  private void reportFinished(Response reply, double sent, int inSession) {
+  private void reportFinished(Response reply, double sentAt, int reportSession) {
     reportInFlight = false;
     traffic.bytesIn += reply.body().length;
-    if (!stopped) {
-      recordEvent(() -> "answer " + reply.status());
+    if (!failed) {
+      recordEvent(() -> "response: " + reply.status());
       expireLeaseIfDue();
-      handleReportResponse(reply, sent, inSession);
+      handleReportResponse(reply, sentAt, reportSession);
     }
   }
 
-  private void handleReportResponse(Response reply, double sent, int inSession) {
+  private void handleReportResponse(Response reply, double sentAt, int reportSession) {
     try {
       if (reply.ok()) {
-        if (inSession == session && worker.handleReportResponse(reply.body())) {
-          leaseRenewed(sent);
+        if (reportSession == session && worker.handleReportResponse(reply.body())) {
+          leaseRenewed(sentAt);
           applyTaskChanges();
         }
         scheduleReport(context.options().reportS() * (0.75 + random.nextDouble() / 2));
@@ -301,20 +306,20 @@
         }
         return;
       }
-      Integer named = null;
+      Integer redirectTarget = null;
       if (reply.status() == 421 && reply.body().length > 0) {
-        named =
+        redirectTarget =
             context.controllerByName().get(Document.decode(reply.body()).textOr("overseer", ""));
       }
-      boolean elsewhere = named != null && named != controller;
-      controller = elsewhere ? named : (controller + 1) % context.controllers().size();
-      scheduleReport(elsewhere ? random.nextDouble() / 2 : FAILOVER_DELAY_S);
+      boolean redirected = redirectTarget != null && redirectTarget != controller;
+      controller = redirected ? redirectTarget : (controller + 1) % context.controllers().size();
+      scheduleReport(redirected ? random.nextDouble() / 2 : FAILOVER_DELAY_S);
     } catch (MalformedMessageException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  /** Plans the next report, in the place of one that was planned for later. */
+  /** Schedules the next report, replacing one that is scheduled for later. */
   private void scheduleReport(double seconds) {
     double at = timers.now() + seconds;
     if (at >= nextReportAt) {
@@ -330,9 +335,7 @@
         });
   }
 
-  /**
-   * Something has changed: a report goes out soon, though not more often than every half second.
-   */
+  /** Schedules a report after a change, at most one every {@link #MIN_REPORT_INTERVAL_S}. */
   private void reportSoon() {
     if (reportInFlight) {
       changedInFlight = true;
@@ -341,7 +344,7 @@
     }
   }
 
-  /** Takes up what commands have changed. */
+  /** Applies the starts and stops that commands or responses caused. */
   private void applyTaskChanges() {
     List<String> all = worker.starts();
     for (; processedStarts < all.size(); processedStarts++) {
@@ -351,7 +354,7 @@
     for (String task : List.copyOf(attempts.keySet())) {
       if (!running.contains(task)) {
         attempts.remove(task);
-        context.rules().ended(task, host(), false);
+        context.invariants().taskEnded(task, host(), false);
         reportSoon();
       }
     }
@@ -360,8 +363,8 @@
   private void startAttempt(String attempt) {
     String task = attempt.substring(0, attempt.lastIndexOf('#'));
     attempts.put(task, attempt);
-    context.rules().started(task, host(), timers.now());
-    context.starts().started(context.rules().jobOf(task), timers.now());
+    context.invariants().taskStarted(task, host(), timers.now());
+    context.latencies().taskStarted(context.invariants().jobOf(task), timers.now());
     double runS = context.options().runS() * (0.5 + random.nextDouble());
     timers.after(runS, () -> endAttempt(task, attempt));
     reportSoon();
@@ -370,21 +373,24 @@
   private void endAttempt(String task, String attempt) {
     if (hanging) {
       deferred.add(() -> endAttempt(task, attempt));
-    } else if (!stopped && attempts.remove(task, attempt)) {
+    } else if (!failed && attempts.remove(task, attempt)) {
       worker.exit(task, "done");
-      context.rules().ended(task, host(), true);
+      context.invariants().taskEnded(task, host(), true);
       reportSoon();
     }
   }
 
-  /** What has happened here lately. */
+  /** The latest events of this worker. */
   WorkerEvents events() {
     return events;
   }
 
-  /** Notes an event; load runs, which measure what workers use, keep none and build no text. */
+  /**
+   * Records an event. Load runs, which measure the workers' resource traffic, record none and build
+   * no text.
+   */
   private void recordEvent(Supplier<String> event) {
-    if (context.eventsKept()) {
+    if (context.recordEvents()) {
       events.add(timers.now(), event.get());
     }
   }
@@ -397,14 +403,14 @@
     }
   }
 
-  private void leaseRenewed(double sent) {
-    recordEvent(() -> String.format(Locale.ROOT, "lease renewed from %.3f", sent));
-    leaseStartedAt = sent;
-    context.rules().leaseRenewed(host(), sent + context.options().leaseS());
+  private void leaseRenewed(double sentAt) {
+    recordEvent(() -> String.format(Locale.ROOT, "lease renewed from %.3f", sentAt));
+    leaseStartedAt = sentAt;
+    context.invariants().leaseRenewed(host(), sentAt + context.options().leaseS());
   }
 
   private void checkLease() {
-    if (stopped) {
+    if (failed) {
       return;
     }
     expireLeaseIfDue();
@@ -412,10 +418,12 @@
     timers.after(Math.max(0, endsAt - timers.now()) + LEASE_CHECK_MARGIN_S, this::checkLease);
   }
 
-  /** By its own clock alone the worker kills its tasks, before anything else reaches it. */
+  /**
+   * Ends all tasks once the lease has expired by the worker's own clock, before any other event.
+   */
   private void expireLeaseIfDue() {
-    if (!stopped && timers.now() - leaseStartedAt > context.options().leaseS()) {
-      recordEvent(() -> "lease is over");
+    if (!failed && timers.now() - leaseStartedAt > context.options().leaseS()) {
+      recordEvent(() -> "lease expired");
       endAllTasks();
       worker.newSession();
       session++;
@@ -424,7 +432,7 @@
   }
 
   private void endAllTasks() {
-    attempts.keySet().forEach(task -> context.rules().ended(task, host(), false));
+    attempts.keySet().forEach(task -> context.invariants().taskEnded(task, host(), false));
     attempts.clear();
   }
 }
--- a/src/test/java/dev/dunefront/load/SoakFault.java
+++ b/src/test/java/dev/dunefront/load/SoakFault.java
@@ -5,46 +5,47 @@
 /**
  * One fault of a soak run.
  *
- * @param startS when it begins, in seconds after the first jobs
- * @param kind what happens
- * @param durationS how long it lasts
- * @param first the controller that it meets, or the first worker
- * @param second the other controller of a link, or how many workers it meets
- * @param share part of the messages that it meets
+ * @param startS when it starts, in seconds after the first submission
+ * @param kind kind of fault
+ * @param durationS how long it lasts, in seconds
+ * @param first index of the affected controller, or of the first affected worker
+ * @param second index of the other controller of a link, or the number of affected workers
+ * @param share share of the messages that it affects; for {@code STATE_SLOW} the maximum delay in
+ *     seconds
  */
 record SoakFault(double startS, Kind kind, double durationS, int first, int second, double share) {
-  /** What happens. */
+  /** Kinds of faults. */
   enum Kind {
-    /** A controller is killed, and started again at the end. */
+    /** A controller is killed, and started again when the fault ends. */
     CONTROLLER_KILLED,
-    /** A controller's process stands still. */
+    /** A controller's process is stopped with SIGSTOP. */
     CONTROLLER_PAUSED,
-    /** Nothing from one controller reaches another. */
+    /** Packets from one controller to another are held back. */
     LINK_CUT_ONE_WAY,
-    /** Nothing between two controllers arrives. */
+    /** Packets between two controllers are held back in both directions. */
     LINK_CUT,
-    /** A controller does not reach the state service. */
+    /** A controller is partitioned from the state service. */
     STATE_CUT,
-    /** A controller is alone with the workers of its zone. */
+    /** A controller reaches nothing but the workers of its own zone. */
     CONTROLLER_ISOLATED,
-    /** The state service refuses one controller. */
+    /** The state service refuses the requests of one controller. */
     STATE_REFUSES,
-    /** The state service refuses everybody. */
+    /** The state service refuses all requests. */
     STATE_OUTAGE,
-    /** The state service answers everybody late; the share is the most that it is late, in s. */
+    /** The state service delays all requests, by up to {@code share} seconds. */
     STATE_SLOW,
-    /** Transactions of a controller have no answer; some are carried out late. */
+    /** Transactions of a controller get no response; some are executed late. */
     WRITES_LOST,
     REPORTS_LOST,
-    /** Copies of reports arrive late. */
+    /** Duplicates of reports arrive late. */
     REPORTS_DUPLICATED,
     COMMANDS_LOST,
     COMMANDS_DELAYED,
-    /** Workers hang for about as long as their lease lasts. */
+    /** Workers hang, mostly for about the duration of their lease. */
     WORKERS_HANG,
     WORKERS_INBOUND_LOST,
     WORKERS_OUTBOUND_LOST,
-    /** Workers are restarted and know nothing any more. */
+    /** Workers are restarted and lose all state. */
     WORKERS_RESTARTED
   }
 
--- a/src/test/java/dev/dunefront/load/SoakFaults.java
+++ b/src/test/java/dev/dunefront/load/SoakFaults.java
@@ -14,11 +14,11 @@
 import java.util.function.BiConsumer;
 
 /**
- * Brings about the faults of a soak run, and ends them. Where two of one kind meet the same target
- * the first that ends, ends both. All of it runs on one thread.
+ * Injects the faults of a soak run and ends them. If two faults of first kind overlap on the same
+ * target, the first to end ends both. Everything runs on first thread.
  */
 final class SoakFaults {
-  /** Another machine comes in the place of a deleted one after so long, in seconds. */
+  /** Seconds until a replacement for a deleted machine is running. */
   private static final double REPLACEMENT_DELAY_S = 1;
 
   private final Deployment deployment;
@@ -26,7 +26,7 @@
   private final Timers timers;
   private final List<SimulatedWorker> workers = new ArrayList<>();
 
-  /** The workers that a fault has met, for it has to end at the same. */
+  /** The workers that each fault was applied to; it has to end on the same ones. */
   private final Map<SoakFault, List<SimulatedWorker>> affectedWorkers = new HashMap<>();
 
   private int returnedMachines;
@@ -52,25 +52,28 @@
             });
   }
 
-  /** Machines that controllers have returned so far. */
+  /** Number of machines that controllers have returned so far. */
   int returnedMachines() {
     return returnedMachines;
   }
 
-  /** Machines are deleted: their workers end first, and others come in their places. */
-  private void delete(List<String> hosts, Runnable then) {
-    deployment.userThread().execute(() -> deleteNext(new ArrayDeque<>(hosts), then));
+  /**
+   * Deletes machines: stops their workers, schedules replacements and calls back once all workers
+   * have stopped.
+   */
+  private void delete(List<String> hosts, Runnable whenDeleted) {
+    deployment.userThread().execute(() -> deleteNext(new ArrayDeque<>(hosts), whenDeleted));
   }
 
-  private void deleteNext(Deque<String> hosts, Runnable then) {
+  private void deleteNext(Deque<String> hosts, Runnable whenDeleted) {
     String host = hosts.poll();
     if (host == null) {
-      then.run();
+      whenDeleted.run();
       return;
     }
     SimulatedWorker worker = workerOf(host);
     if (worker == null) {
-      deleteNext(hosts, then);
+      deleteNext(hosts, whenDeleted);
       return;
     }
     workers.remove(worker);
@@ -80,8 +83,8 @@
         .thread()
         .execute(
             () -> {
-              worker.stop();
-              deployment.userThread().execute(() -> deleteNext(hosts, then));
+              worker.fail();
+              deployment.userThread().execute(() -> deleteNext(hosts, whenDeleted));
             });
   }
 
@@ -95,15 +98,15 @@
   }
 
   private void replace(String zone) {
-    SimulatedWorker next = deployment.fleet().add(zone);
-    deployment.externalServices().addRunningMachine(next.host(), zone);
-    workers.add(next);
+    SimulatedWorker replacement = deployment.fleet().add(zone);
+    deployment.externalServices().addRunningMachine(replacement.host(), zone);
+    workers.add(replacement);
   }
 
-  /** A fault begins or ends. */
+  /** Starts a fault, or ends it if {@code on} is false. */
   private void apply(SoakFault fault, boolean on) {
     RegionNetwork network = deployment.network();
-    ExternalServices outside = deployment.externalServices();
+    ExternalServices services = deployment.externalServices();
     MessageFaults messages = deployment.messageFaults();
     double share = on ? fault.share() : 0;
     int state = deployment.options().stateRegion();
@@ -114,25 +117,25 @@
       case LINK_CUT -> cutLink(fault.first(), fault.second(), on);
       case STATE_CUT -> cutLink(fault.first(), state, on);
       case CONTROLLER_ISOLATED -> isolate(fault.first(), on);
-      case STATE_REFUSES -> outside.setStateRefused(fault.first(), on);
-      case STATE_OUTAGE -> outside.setStateOutage(on);
+      case STATE_REFUSES -> services.setStateRefused(fault.first(), on);
+      case STATE_OUTAGE -> services.setStateOutage(on);
       case STATE_SLOW -> setStateDelay(share);
-      case WRITES_LOST -> outside.loseWrites(fault.first(), share / 2, share / 2);
+      case WRITES_LOST -> services.setWriteFaults(fault.first(), share / 2, share / 2);
       case REPORTS_LOST -> messages.loseReports(share);
       case REPORTS_DUPLICATED -> messages.duplicateReports(share);
       case COMMANDS_LOST -> messages.loseCommands(share);
       case COMMANDS_DELAYED -> messages.delayCommands(share);
       case WORKERS_HANG -> applyToWorkers(fault, on, SimulatedWorker::setHanging);
       case WORKERS_INBOUND_LOST -> applyToWorkers(fault, on, SimulatedWorker::setInboundLost);
-      case WORKERS_OUTBOUND_LOST -> applyToWorkers(fault, on, SimulatedWorker::outboundLost);
+      case WORKERS_OUTBOUND_LOST -> applyToWorkers(fault, on, SimulatedWorker::setOutboundLost);
       case WORKERS_RESTARTED -> applyToWorkers(fault, on, SoakFaults::restartWorker);
-      default -> throw new IllegalStateException("unknown fault " + fault.kind());
+      default -> throw new IllegalStateException("unknown fault kind " + fault.kind());
     }
   }
 
-  private void setStateDelay(double mostS) {
+  private void setStateDelay(double maxDelayS) {
     for (int i = 0; i < deployment.options().controllers(); i++) {
-      deployment.externalServices().setStateDelay(i, mostS);
+      deployment.externalServices().setStateDelay(i, maxDelayS);
     }
   }
 
@@ -143,22 +146,22 @@
   }
 
   private void applyToWorkers(
-      SoakFault fault, boolean on, BiConsumer<SimulatedWorker, Boolean> what) {
+      SoakFault fault, boolean on, BiConsumer<SimulatedWorker, Boolean> action) {
     if (on) {
-      List<SimulatedWorker> struck = new ArrayList<>();
+      List<SimulatedWorker> affected = new ArrayList<>();
       for (int i = 0; i < Math.min(fault.second(), workers.size()); i++) {
-        struck.add(workers.get((fault.first() + i) % workers.size()));
+        affected.add(workers.get((fault.first() + i) % workers.size()));
       }
-      affectedWorkers.put(fault, struck);
+      affectedWorkers.put(fault, affected);
     }
     for (SimulatedWorker worker : affectedWorkers.getOrDefault(fault, List.of())) {
-      worker.thread().execute(() -> what.accept(worker, on));
+      worker.thread().execute(() -> action.accept(worker, on));
     }
   }
 
-  private void cutLink(int one, int other, boolean on) {
-    deployment.network().setBlocked(one, other, on);
-    deployment.network().setBlocked(other, one, on);
+  private void cutLink(int first, int second, boolean on) {
+    deployment.network().setBlocked(first, second, on);
+    deployment.network().setBlocked(second, first, on);
   }
 
   private void isolate(int controller, boolean on) {
@@ -173,7 +176,7 @@
     ControllerProcess controller = deployment.controllers().get(number);
     try {
       if (on) {
-        controller.kill();
+        controller.killProcess();
       } else if (!controller.alive()) {
         controller.start();
       }
--- a/src/test/java/dev/dunefront/load/SoakRun.java
+++ b/src/test/java/dev/dunefront/load/SoakRun.java
@@ -8,21 +8,23 @@
 import java.util.List;
 
 /**
- * The soak run: real controllers on loopback, jobs that come, end and are cancelled, and faults at
- * random moments, drawn from a seed. Judges by what workers and users saw, by the controllers' own
- * invariants, and by whether all that was accepted comes to its end once the faults are over.
+ * The soak run: real controller processes on loopback, jobs that are submitted, finish and are
+ * cancelled, and faults injected at random times drawn from a seed. A run passes if workers and
+ * users observed no violation, the controllers logged no violated invariant and no error, and every
+ * accepted job finishes once the faults are over.
  *
- * <p>Arguments are {@code seed=}, {@code seeds=} (how many runs, each with the next seed), {@code
- * seconds=}, {@code workers=}, {@code controllers=}. Ends with 1 where something is broken. Where
- * this machine is too slow for a judgement, it says so; that is no result.
+ * <p>Arguments are {@code seed=}, {@code seeds=} (number of runs, each with the next seed), {@code
+ * seconds=}, {@code workers=}, {@code controllers=}. Exits with 1 if a run fails. A run that cannot
+ * be judged, because the deployment did not start or this machine was too slow, prints NOT JUDGED
+ * and counts neither as passed nor as failed.
  */
 public final class SoakRun {
   private static final double DRAIN_TIMEOUT_S = 100;
 
-  /** Tasks a second for each worker: they fill most of the room of all machines. */
+  /** Task starts per second and worker, enough to fill most of the machines' capacity. */
   private static final double STARTS_PER_WORKER_PER_S = 1.0;
 
-  /** Timers and the start of a process are late by less than this, in seconds. */
+  /** Upper bound of timer delay plus process startup, in seconds. */
   private static final double FAULT_END_MARGIN_S = 1;
 
   private static final int MAX_LOG_LINES = 25;
@@ -40,7 +42,7 @@
     this.schedule = SoakSchedule.of(options);
   }
 
-  /** What a run asks for, of the load tools' options. */
+  /** The load options of a soak run. */
   private static LoadOptions options(int controllers, int workers, double seconds, long seed) {
     return LoadOptions.parse(
         List.of(
@@ -83,14 +85,14 @@
       }
     }
     DisabledMBeanServerBuilder.install();
-    boolean kept = true;
+    boolean passed = true;
     for (long s = seed; s < seed + seeds; s++) {
-      kept &= run(options(controllers, workers, seconds, s));
+      passed &= run(options(controllers, workers, seconds, s));
     }
-    System.exit(kept ? 0 : 1);
+    System.exit(passed ? 0 : 1);
   }
 
-  /** Plays one seed; says whether nothing was broken. */
+  /** Runs one seed. Returns false if the run failed. */
   private static boolean run(LoadOptions options) throws IOException, InterruptedException {
     Path parent = Files.createDirectories(Path.of("target", "soak"));
     Path directory = Files.createTempDirectory(parent, "seed" + options.seed() + "-");
@@ -111,30 +113,30 @@
   }
 
   private boolean run(Deployment deployment) throws IOException, InterruptedException {
-    PauseMonitor watch = new PauseMonitor();
+    PauseMonitor pauses = new PauseMonitor();
     SoakFaults faults = new SoakFaults(deployment, schedule);
     faults.start();
     Thread.sleep(Math.round(options.measureS() * 1000));
     deployment.jobs().stop();
-    // A controller that was killed late is only now started again; it has not ended by itself.
+    // Waits for the restart of controllers killed late, which checkControllers would report dead.
     Thread.sleep(Math.round(remainingFaultTimeS() * 1000));
     int open = deployment.drain(DRAIN_TIMEOUT_S);
     failures.addAll(deployment.invariants().violations());
     checkControllers(deployment);
-    if (open > 0 && !watch.tooSlow()) {
+    if (open > 0 && !pauses.tooSlow()) {
       failures.add(
-          open + " accepted jobs are not over " + DRAIN_TIMEOUT_S + " s after the last fault");
+          open + " accepted jobs have not finished " + DRAIN_TIMEOUT_S + " s after the last fault");
     }
     System.out.printf(
-        "seed %d: %d faults, %d jobs accepted, %d tasks at once at the most, %d machines returned, %d left,"
-            + " worst pause of this process %.2f s: %s%n",
+        "seed %d: %d faults, %d jobs accepted, at most %d tasks at once, %d machines returned, %d jobs left,"
+            + " longest pause of this process %.2f s: %s%n",
         options.seed(),
         schedule.size(),
-        deployment.jobs().accepted(),
+        deployment.jobs().acceptedJobs(),
         deployment.invariants().mostRunning(),
         faults.returnedMachines(),
         open,
-        watch.longestPauseS(),
+        pauses.longestPauseS(),
         verdict(open));
     if (!failures.isEmpty()) {
       printDiagnostics(deployment);
@@ -142,24 +144,24 @@
     return failures.isEmpty();
   }
 
-  /** How much longer than new jobs come the last fault lasts, in seconds. */
+  /** Seconds from the last submission until the last fault has ended. */
   private double remainingFaultTimeS() {
-    double lastS = schedule.stream().mapToDouble(SoakFault::endS).max().orElse(0);
-    return Math.max(0, lastS + FAULT_END_MARGIN_S - options.measureS());
+    double lastEndS = schedule.stream().mapToDouble(SoakFault::endS).max().orElse(0);
+    return Math.max(0, lastEndS + FAULT_END_MARGIN_S - options.measureS());
   }
 
   private String verdict(int open) {
     if (!failures.isEmpty()) {
-      return "BROKEN " + failures;
+      return "FAILED " + failures;
     }
-    return open > 0 ? "NOT JUDGED, this machine is too slow" : "kept";
+    return open > 0 ? "NOT JUDGED, this machine is too slow" : "passed";
   }
 
   private void checkControllers(Deployment deployment) throws IOException {
     for (int i = 0; i < options.controllers(); i++) {
       ControllerProcess controller = deployment.controllers().get(i);
       if (!controller.alive()) {
-        failures.add(LoadSettings.controller(i) + " has ended by itself");
+        failures.add(LoadSettings.controller(i) + " exited unexpectedly");
       }
       for (String line : controller.log()) {
         if (line.contains(VIOLATION_MARKER) || line.startsWith(ERROR_PREFIX)) {
@@ -170,21 +172,21 @@
   }
 
   private void printDiagnostics(Deployment deployment) throws IOException {
-    System.out.println("the schedule, from the first jobs on:");
+    System.out.println("fault schedule, in seconds after the first submission:");
     schedule.forEach(System.out::println);
     for (int i = 0; i < options.controllers(); i++) {
       List<String> lines = deployment.controllers().get(i).log();
-      System.out.println("the last lines of " + LoadSettings.controller(i) + ":");
+      System.out.println("last log lines of " + LoadSettings.controller(i) + ":");
       lines
           .subList(Math.max(0, lines.size() - MAX_LOG_LINES), lines.size())
           .forEach(System.out::println);
     }
     for (SimulatedWorker worker : deployment.fleet().all()) {
-      if (failures.stream().anyMatch(rule -> rule.contains(worker.host()))) {
-        System.out.println("the last events of " + worker.host() + ":");
+      if (failures.stream().anyMatch(failure -> failure.contains(worker.host()))) {
+        System.out.println("last events of " + worker.host() + ":");
         worker.events().all().forEach(System.out::println);
       }
     }
-    System.out.println("all of it is in " + directory);
+    System.out.println("settings and full logs are in " + directory);
   }
 }
--- a/src/test/java/dev/dunefront/load/SoakSchedule.java
+++ b/src/test/java/dev/dunefront/load/SoakSchedule.java
@@ -6,26 +6,30 @@
 
 /** Draws the faults of a soak run from its seed. */
 final class SoakSchedule {
-  /** A new fault begins after so many seconds on average. */
+  /** Mean interval between the starts of two faults, in seconds. */
   private static final double MEAN_INTERVAL_S = 0.8;
 
-  /** So long before the end of the run no fault begins any more, in seconds. */
+  /** No fault starts within this time before the end of the run, in seconds. */
   private static final double QUIET_TAIL_S = 2;
 
   private static final double MAX_RESTART_S = 5;
   private static final double MAX_PAUSE_S = 9;
   private static final double MAX_PARTITION_S = 8;
 
-  /** How much less, and how much more, than a lease a worker hangs, in seconds. */
+  /** How far a hang may fall short of the lease, and how far it may exceed it, in seconds. */
   private static final double HANG_BELOW_LEASE_S = 0.5;
 
   private static final double HANG_ABOVE_LEASE_S = 1.2;
 
-  /** Hangs for a lease's length are what the service met; every other fault is one. */
+  /**
+   * Share of faults that are hangs of about a lease's duration, the failure that the service met in
+   * operation.
+   */
   private static final double HANG_SHARE = 0.5;
 
   /**
-   * While the state service is slow, what a claimant knows is older, and its writes take longer.
+   * Share of faults that slow down the state service: a claiming controller then acts on older data
+   * and its writes take longer.
    */
   private static final double SLOW_STATE_SHARE = 0.1;
 
@@ -39,54 +43,56 @@
     this.random = new Random(options.seed());
   }
 
-  /** The faults of a run, in the order in which they begin. */
+  /** Returns the faults of a run, ordered by start time. */
   static List<SoakFault> of(LoadOptions options) {
     SoakSchedule schedule = new SoakSchedule(options);
     List<SoakFault> faults = new ArrayList<>();
-    double atS = 0;
+    double startS = 0;
     while (true) {
-      atS += 2 * MEAN_INTERVAL_S * schedule.random.nextDouble();
-      if (atS > options.measureS() - QUIET_TAIL_S) {
+      startS += 2 * MEAN_INTERVAL_S * schedule.random.nextDouble();
+      if (startS > options.measureS() - QUIET_TAIL_S) {
         return faults;
       }
-      faults.add(schedule.next(atS));
+      faults.add(schedule.next(startS));
     }
   }
 
-  private SoakFault next(double atS) {
+  private SoakFault next(double startS) {
     double drawn = random.nextDouble();
     if (drawn < HANG_SHARE) {
-      double forS =
+      double durationS =
           options.leaseS()
               - HANG_BELOW_LEASE_S
               + (HANG_BELOW_LEASE_S + HANG_ABOVE_LEASE_S) * random.nextDouble();
-      return workerFault(atS, SoakFault.Kind.WORKERS_HANG, forS);
+      return workerFault(startS, SoakFault.Kind.WORKERS_HANG, durationS);
     }
     SoakFault.Kind[] kinds = SoakFault.Kind.values();
     SoakFault.Kind kind =
         drawn < HANG_SHARE + SLOW_STATE_SHARE
             ? SoakFault.Kind.STATE_SLOW
             : kinds[random.nextInt(kinds.length)];
-    double cutS = MAX_PARTITION_S * random.nextDouble();
+    double partitionS = MAX_PARTITION_S * random.nextDouble();
     return switch (kind) {
-      case CONTROLLER_KILLED -> controllerFault(atS, kind, MAX_RESTART_S * random.nextDouble(), 0);
-      case CONTROLLER_PAUSED -> controllerFault(atS, kind, MAX_PAUSE_S * random.nextDouble(), 0);
-      case STATE_SLOW -> controllerFault(atS, kind, cutS, random.nextDouble());
+      case CONTROLLER_KILLED ->
+          controllerFault(startS, kind, MAX_RESTART_S * random.nextDouble(), 0);
+      case CONTROLLER_PAUSED -> controllerFault(startS, kind, MAX_PAUSE_S * random.nextDouble(), 0);
+      case STATE_SLOW -> controllerFault(startS, kind, partitionS, random.nextDouble());
       case WORKERS_HANG, WORKERS_INBOUND_LOST, WORKERS_OUTBOUND_LOST, WORKERS_RESTARTED ->
-          workerFault(atS, kind, cutS);
-      default -> controllerFault(atS, kind, cutS, MAX_FAULT_SHARE * random.nextDouble());
+          workerFault(startS, kind, partitionS);
+      default -> controllerFault(startS, kind, partitionS, MAX_FAULT_SHARE * random.nextDouble());
     };
   }
 
-  private SoakFault controllerFault(double atS, SoakFault.Kind kind, double forS, double share) {
+  private SoakFault controllerFault(
+      double startS, SoakFault.Kind kind, double durationS, double share) {
     int first = random.nextInt(options.controllers());
     int others = Math.max(1, options.controllers() - 1);
     int second = (first + 1 + random.nextInt(others)) % options.controllers();
-    return new SoakFault(atS, kind, forS, first, second, share);
+    return new SoakFault(startS, kind, durationS, first, second, share);
   }
 
-  private SoakFault workerFault(double atS, SoakFault.Kind kind, double forS) {
+  private SoakFault workerFault(double startS, SoakFault.Kind kind, double durationS) {
     int count = 1 + random.nextInt(Math.max(1, options.workers() / 4));
-    return new SoakFault(atS, kind, forS, random.nextInt(options.workers()), count, 0);
+    return new SoakFault(startS, kind, durationS, random.nextInt(options.workers()), count, 0);
   }
 }
--- a/src/test/java/dev/dunefront/load/WorkerTraffic.java
+++ b/src/test/java/dev/dunefront/load/WorkerTraffic.java
@@ -3,7 +3,7 @@
 /** What the hollow workers of one I/O thread have said and heard; belongs to that thread. */
 final class WorkerTraffic {
   long reports;
-  long commandBatches;
+  long commandRequests;
   long bytesIn;
   long bytesOut;
 
@@ -11,7 +11,7 @@
   WorkerTraffic plus(WorkerTraffic other) {
     WorkerTraffic sum = new WorkerTraffic();
     sum.reports = reports + other.reports;
-    sum.commandBatches = commandBatches + other.commandBatches;
+    sum.commandRequests = commandRequests + other.commandRequests;
     sum.bytesIn = bytesIn + other.bytesIn;
     sum.bytesOut = bytesOut + other.bytesOut;
     return sum;
@@ -21,7 +21,7 @@
   WorkerTraffic minus(WorkerTraffic earlier) {
     WorkerTraffic difference = new WorkerTraffic();
     difference.reports = reports - earlier.reports;
-    difference.commandBatches = commandBatches - earlier.commandBatches;
+    difference.commandRequests = commandRequests - earlier.commandRequests;
     difference.bytesIn = bytesIn - earlier.bytesIn;
     difference.bytesOut = bytesOut - earlier.bytesOut;
     return difference;
