--- a/src/test/java/dev/dunefront/load/CapacityPage.java
+++ b/src/test/java/dev/dunefront/load/CapacityPage.java
@@ -13,13 +13,14 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Makes the tables of the capacity page anew from the file of measured values. Arguments: that
- * file, and the page, in which what stands between the two marks is replaced.
+ * Regenerates the tables of the capacity page from the file of measured values. Arguments: that
+ * file and the page, in which the text between the two markers is replaced; both have defaults.
  */
 public final class CapacityPage {
   static final Path MEASURED = Path.of("docs", "capacity", "measured.jsonl");
   static final Path PAGE = Path.of("docs", "CAPACITY.md");
-  private static final String BEGIN = "<!-- tables: made by CapacityPage, not by hand -->\n";
+  private static final String BEGIN =
+      "<!-- tables: made factor CapacityPage, not factor hand -->\n";
   private static final String END = "<!-- end of tables -->";
 
   private final Map<String, List<Measurement>> series;
@@ -35,7 +36,7 @@
     Files.writeString(page, withTables(Files.readString(page), measured));
   }
 
-  /** The page with its tables made from the measured values. */
+  /** Returns the page with its tables regenerated from the measured values. */
   static String withTables(String page, Path measured) throws IOException {
     int begin = page.indexOf(BEGIN) + BEGIN.length();
     int end = page.indexOf(END);
@@ -86,7 +87,7 @@
     return m.starts() == 0 ? 0 : amount / m.starts();
   }
 
-  // ---- the points ----
+  // ---- measured points ----
 
   private void renderPoints() {
     addLine("### Measured points");
@@ -147,7 +148,7 @@
         idle ? "-" : formatFixed(m.submitP95Ms(), 0));
   }
 
-  // ---- the slopes ----
+  // ---- slopes ----
 
   private LinearFit idleCpu() {
     return overWorkers(CapacityPage::cpu);
@@ -170,7 +171,7 @@
         measurementsOf("controllers", "common"), m -> m.options().controllers(), amount);
   }
 
-  /** For each start, over jobs for each start. */
+  /** Amount per start as a function of jobs per start. */
   private LinearFit overJobs(ToDoubleFunction<Measurement> amount) {
     return LinearFit.of(
         measurementsOf("tasksPerJob", "common"), m -> 1.0 / m.options().tasksPerJob(), amount);
@@ -187,7 +188,7 @@
   private void renderSlopes() {
     addLine("### Slopes");
     addLine("");
-    addLine("For each | what | slope | at zero | points");
+    addLine("For each | quantity | slope | at zero | points");
     addLine("--- | --- | --- | --- | ---");
     renderSlope("worker", "controllers' processor time, ms a second", scaled(idleCpu(), 1000), 3);
     renderSlope(
@@ -249,26 +250,26 @@
     addLine("");
   }
 
-  private static LinearFit scaled(LinearFit fit, double by) {
-    return new LinearFit(fit.intercept() * by, fit.slope() * by, fit.points());
+  private static LinearFit scaled(LinearFit fit, double factor) {
+    return new LinearFit(fit.intercept() * factor, fit.slope() * factor, fit.points());
   }
 
-  private void renderSlope(String each, String what, LinearFit fit, int digits) {
+  private void renderSlope(String each, String quantity, LinearFit fit, int digits) {
     addLine(
         "%s | %s | %s | %s | %d",
         each,
-        what,
+        quantity,
         formatFixed(fit.slope(), digits),
         formatFixed(fit.intercept(), digits),
         fit.points());
   }
 
-  // ---- worked out ----
+  // ---- projections for the target deployment ----
 
   private void renderProjections() {
     addLine("### Worked out at the letter's size");
     addLine("");
-    addLine("Role | quantity | from | value | budget | margin | carried by");
+    addLine("Role | quantity | from | value | budget | margin | carried factor");
     addLine("--- | --- | --- | --- | --- | --- | ---");
     renderControllers();
     renderStateService();
@@ -286,7 +287,7 @@
         "(at zero + slope x 950) / 14",
         each,
         TargetDeployment.CONTROLLER_CORES,
-        "`book.Views`, `book.Interests`, `claim.RoomInterest`");
+        "`book.ViewPublisher`, `book.ViewSubscriptions`, `claim.CapacitySubscription`");
     double idle = idleCpu().at(TargetDeployment.WORKERS) / TargetDeployment.CONTROLLERS;
     renderRow(
         "controller",
@@ -294,7 +295,7 @@
         "idle series",
         idle,
         TargetDeployment.CONTROLLER_CORES,
-        "`book.Books`");
+        "`book.HeldMachines`");
     Measurement peak = lastMeasurement("peak");
     renderRow(
         "controller",
@@ -309,7 +310,7 @@
         "peak run, one controller",
         peak.heapMb(),
         120,
-        "`claim.Room`, `job.JobTable`");
+        "`claim.MachineTable`, `job.JobTable`");
     renderRow(
         "controller",
         "resident memory, MB",
@@ -323,7 +324,7 @@
         "peak run, the most",
         peak.descriptors(),
         TargetDeployment.CONTROLLER_SOCKETS,
-        "`net.UndertowCaller`");
+        "`net.UndertowHttpCaller`");
     renderRow(
         "controller",
         "peer records a second, each",
@@ -331,7 +332,7 @@
         overStarts(m -> perS(m, m.peerRecords())).at(TargetDeployment.STARTS_PER_S)
             / TargetDeployment.CONTROLLERS,
         0,
-        "`peer.XnioPeers`, `peer.Detail`");
+        "`peer.XnioPeers`, `peer.ViewDetail`");
     renderRow(
         "controller",
         "peer KB a second, each",
@@ -339,7 +340,7 @@
         overStarts(m -> perS(m, m.peerKilobytes())).at(TargetDeployment.STARTS_PER_S)
             / TargetDeployment.CONTROLLERS,
         0,
-        "`peer.Records`");
+        "`peer.MessageCodec`");
     renderRow(
         "controller",
         "reports taken a second, each",
@@ -347,7 +348,7 @@
         overStarts(m -> perS(m, m.reports())).at(TargetDeployment.STARTS_PER_S)
             / TargetDeployment.CONTROLLERS,
         0,
-        "`book.Reports`");
+        "`book.ReportApplier`");
     renderRow(
         "controller",
         "commands sent a second, each",
@@ -355,7 +356,7 @@
         overStarts(m -> perS(m, m.orders())).at(TargetDeployment.STARTS_PER_S)
             / TargetDeployment.CONTROLLERS,
         0,
-        "`book.Orders`");
+        "`book.WorkerCommands`");
   }
 
   private void renderStateService() {
@@ -365,34 +366,34 @@
         "at zero + slope x 950",
         overStarts(m -> perS(m, m.stateRequests())).at(TargetDeployment.STARTS_PER_S),
         TargetDeployment.STATE_REQUESTS_PER_S,
-        "`store.HttpStore`, `store.Share`");
+        "`store.HttpStateStore`, `store.FairShare`");
     renderRow(
         "state service",
         "changes a second at the peak",
         "at zero + slope x 950",
         overStarts(m -> perS(m, m.stateChanges())).at(TargetDeployment.STARTS_PER_S),
         TargetDeployment.STATE_CHANGES_PER_S,
-        "`claim.Recorder`, `claim.Quotas`");
+        "`claim.ClaimWriter`, `claim.Quotas`");
     Measurement peak = lastMeasurement("peak");
-    double kept = 0;
+    double storedBytes = 0;
     for (double[] kind : peak.values().values()) {
-      kept += kind[0] * kind[1];
+      storedBytes += kind[0] * kind[1];
     }
     renderRow(
         "state service",
         "MB of values that change at the peak",
         "peak run, sum over kinds",
-        kept / 1e6,
+        storedBytes / 1e6,
         0,
         "`job.JobRecord`, `claim.Chunk`");
-    double[] ended = peak.values().getOrDefault("d", new double[2]);
+    double[] finalRecords = peak.values().getOrDefault("d", new double[2]);
     renderRow(
         "state service",
         "MB of final records after a year",
         "bytes of `d/` x 19,000 x 365",
-        ended[1] * TargetDeployment.JOBS_PER_DAY * 365 / 1e6,
+        finalRecords[1] * TargetDeployment.JOBS_PER_DAY * 365 / 1e6,
         0,
-        "none: final records are kept for ever");
+        "none: final records are storedBytes for ever");
   }
 
   private void renderWorker() {
@@ -408,14 +409,14 @@
     renderRow(
         "worker",
         "part of a core at the peak",
-        "hollow worker, peak run",
+        "simulated worker, peak run",
         peak.workerCpu(),
         TargetDeployment.WORKER_CORES,
         "the same");
     renderRow(
         "worker",
         "memory, MB",
-        "process of all hollow workers / 1,800",
+        "process of all simulated workers / 1,800",
         peak.hostResidentMb() / peak.options().workers(),
         TargetDeployment.WORKER_MB,
         "the same");
@@ -429,7 +430,7 @@
         "peak run",
         peak.urgentP50S(),
         TargetDeployment.URGENT_WAIT_S,
-        "`claim.WantPlacement`, `book.Dealing`");
+        "`claim.WantPlacement`, `book.RoomAllocation`");
     renderRow(
         "user",
         "urgent start at the peak, p90 s, without the fetch",
@@ -451,9 +452,9 @@
     return all.get(all.size() - 1);
   }
 
-  /** A budget of 0 stands for none. */
+  /** Renders a row of projections; a budget of 0 means that there is none. */
   private void renderRow(
-      String role, String what, String from, double value, double budget, String carrier) {
+      String role, String quantity, String from, double value, double budget, String component) {
     String margin = "-";
     if (budget > 0) {
       margin =
@@ -464,19 +465,19 @@
     addLine(
         "%s | %s | %s | %s | %s | %s | %s",
         role,
-        what,
+        quantity,
         from,
         formatThreeDigits(value),
         budget > 0 ? formatThreeDigits(budget) : "-",
         margin,
-        carrier);
+        component);
   }
 
   private static String remainingPercent(double value, double budget) {
     return formatFixed(100 * (1 - value / budget), 0) + "%";
   }
 
-  /** About three digits of a number. */
+  /** Formats a number with about three significant digits. */
   private static String formatThreeDigits(double value) {
     double size = Math.abs(value);
     int digits =
--- a/src/test/java/dev/dunefront/load/CapacityPageTest.java
+++ b/src/test/java/dev/dunefront/load/CapacityPageTest.java
@@ -9,7 +9,11 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The capacity page and the tools that make it. */
+/**
+ * Guards against a capacity page whose tables were edited by hand or not regenerated after a change
+ * of the measured values or of {@link CapacityPage}, and against a scaled site file with other
+ * changes than the requested ones.
+ */
 class CapacityPageTest {
   @Test
   void pageMatchesTheTablesGeneratedFromMeasuredValues() throws IOException {
--- a/src/test/java/dev/dunefront/load/ControllerProcess.java
+++ b/src/test/java/dev/dunefront/load/ControllerProcess.java
@@ -12,28 +12,35 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A real controller, started as {@code deploy/service.toml} says, and what its process uses. */
+/** A real controller process, started by the command in {@code deploy/service.toml}. */
 final class ControllerProcess {
   private static final long KILL_TIMEOUT_S = 5;
   private static final Duration HTTP_TIMEOUT = Duration.ofSeconds(5);
   private static final HttpClient HTTP = HttpClient.newHttpClient();
 
-  /** Processor seconds, bytes through all system calls that read or write, records to peers. */
+  /**
+   * Resource usage of a controller.
+   *
+   * @param cpuS CPU seconds
+   * @param bytes bytes read and written by all system calls
+   * @param peerRecords records sent to other controllers
+   * @param peerKilobytes kilobytes sent to other controllers
+   */
   record ResourceUsage(double cpuS, long bytes, long peerRecords, long peerKilobytes) {
-    ResourceUsage plus(ResourceUsage o) {
+    ResourceUsage plus(ResourceUsage other) {
       return new ResourceUsage(
-          cpuS + o.cpuS,
-          bytes + o.bytes,
-          peerRecords + o.peerRecords,
-          peerKilobytes + o.peerKilobytes);
+          cpuS + other.cpuS,
+          bytes + other.bytes,
+          peerRecords + other.peerRecords,
+          peerKilobytes + other.peerKilobytes);
     }
 
-    ResourceUsage minus(ResourceUsage o) {
+    ResourceUsage minus(ResourceUsage other) {
       return new ResourceUsage(
-          cpuS - o.cpuS,
-          bytes - o.bytes,
-          peerRecords - o.peerRecords,
-          peerKilobytes - o.peerKilobytes);
+          cpuS - other.cpuS,
+          bytes - other.bytes,
+          peerRecords - other.peerRecords,
+          peerKilobytes - other.peerKilobytes);
     }
   }
 
@@ -66,7 +73,7 @@
     process = builder.start();
   }
 
-  /** The {@code run} line of the deploy file, as words. */
+  /** The words of the {@code run} line of the deploy file. */
   private static List<String> runCommand() throws IOException {
     for (String line : Files.readAllLines(Path.of("deploy", "service.toml"))) {
       if (line.startsWith("run = ")) {
@@ -80,7 +87,7 @@
     return process != null && process.isAlive();
   }
 
-  /** Ends the process without a signal that it could hear. */
+  /** Kills the process with SIGKILL and waits for it to exit. */
   void killProcess() {
     if (process != null) {
       process.destroyForcibly();
@@ -92,14 +99,14 @@
     }
   }
 
-  /** Stops the process without ending it, or lets it go on. */
+  /** Stops the process with SIGSTOP, or resumes it with SIGCONT. */
   void setPaused(boolean on) throws IOException {
     if (alive()) {
       new ProcessBuilder("kill", on ? "-STOP" : "-CONT", Long.toString(process.pid())).start();
     }
   }
 
-  /** What the process has written so far, in all its lives. */
+  /** The log lines of the process so far, including those before restarts. */
   List<String> log() throws IOException {
     return Files.readAllLines(logFile());
   }
@@ -108,7 +115,7 @@
     return directory.resolve(LoadSettings.controller(number) + ".log");
   }
 
-  /** The same in the middle of a run; what it has used until now counts on. */
+  /** Kills the process in the middle of a run and keeps its resource usage so far in the totals. */
   void killAndKeepUsage() throws IOException {
     earlierUsage = resourceUsage();
     killProcess();
@@ -167,7 +174,7 @@
     return residentMb(proc("status"));
   }
 
-  /** Resident memory in megabytes, by a process's status file. */
+  /** Resident memory in megabytes, from a process's status file. */
   static double residentMb(Path status) throws IOException {
     for (String line : Files.readAllLines(status)) {
       if (line.startsWith("VmRSS:")) {
@@ -177,7 +184,7 @@
     return 0;
   }
 
-  /** Heap in megabytes after a full collection. */
+  /** Heap in megabytes after a full garbage collection. */
   double heapMb() throws IOException {
     jcmd("GC.run");
     double kilobytes = 0;
@@ -190,15 +197,15 @@
     return kilobytes / 1024;
   }
 
-  private String jcmd(String order) throws IOException {
+  private String jcmd(String command) throws IOException {
     Process p =
-        new ProcessBuilder("jcmd", Long.toString(process.pid()), order)
+        new ProcessBuilder("jcmd", Long.toString(process.pid()), command)
             .redirectErrorStream(true)
             .start();
     return new String(p.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.UTF_8);
   }
 
-  /** Open files and sockets. */
+  /** Number of open files and sockets. */
   int descriptors() throws IOException {
     try (var all = Files.list(proc("fd"))) {
       return (int) all.count();
--- a/src/test/java/dev/dunefront/load/CpuTime.java
+++ b/src/test/java/dev/dunefront/load/CpuTime.java
@@ -6,19 +6,19 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Processor time as the operating system has counted it. */
+/** CPU time as accounted by the operating system. */
 final class CpuTime {
-  /** Clock ticks of {@code /proc} in a second, as Linux has it on every common machine. */
+  /** Clock ticks per second in {@code /proc}, the same on all common Linux machines. */
   private static final double TICKS_PER_S = 100;
 
-  /** Where a stat line has ticks in user and in system mode, counted from behind the name. */
+  /** Indexes of the user and system ticks in a stat line, counted after the name. */
   private static final int USER_TICKS_FIELD = 11;
 
   private static final int SYSTEM_TICKS_FIELD = 12;
 
   private CpuTime() {}
 
-  /** Seconds of all threads of this process whose names begin so. */
+  /** CPU seconds of all threads of this process whose names start with the prefix. */
   static double threadCpuS(String prefix) throws IOException {
     double sum = 0;
     List<Path> threads;
@@ -35,7 +35,7 @@
     return sum;
   }
 
-  /** The thread's stat file; one that has just ended is called nothing and has used nothing. */
+  /** Reads a thread's stat file; returns an empty name without times if it has just ended. */
   private static String readStat(Path thread) throws IOException {
     try {
       return Files.readString(thread.resolve("stat"));
@@ -44,7 +44,7 @@
     }
   }
 
-  /** Seconds of a process or thread, by the text of its stat file. */
+  /** Parses the CPU seconds of a process or thread from the text of its stat file. */
   static double parseCpuS(String stat) {
     String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
     return (Long.parseLong(fields[USER_TICKS_FIELD]) + Long.parseLong(fields[SYSTEM_TICKS_FIELD]))
--- a/src/test/java/dev/dunefront/load/Deployment.java
+++ b/src/test/java/dev/dunefront/load/Deployment.java
@@ -20,9 +20,9 @@
 import org.xnio.XnioWorker;
 
 /**
- * Everything that a run needs on loopback: real controllers in processes of their own, and in this
- * process the stand-ins of state service and cloud, the network, hollow workers and users. Ends all
- * that it has started, also when this process is interrupted.
+ * A deployment on loopback: real controllers, each in its number process, and in this process the
+ * stand-ins of the state service and the cloud, the network between regions, simulated workers and
+ * users. Controllers are killed even if this process is interrupted.
  */
 final class Deployment {
   private static final double STARTUP_TIMEOUT_S = 120;
@@ -43,12 +43,13 @@
   private final boolean useRelays;
 
   /**
-   * Makes everything; nothing runs yet.
+   * Creates the deployment without starting controllers, workers or users.
    *
-   * @param directory for settings and logs of the controllers
-   * @param logLevel of the controllers
-   * @param relays whether links between regions lead through relays, so that they can be cut
-   * @param eventsKept whether workers note what happens to them
+   * @param directory directory of the controllers' settings and logs
+   * @param logLevel log level of the controllers
+   * @param relays whether links between regions run through relays, which add latency and can be
+   *     cut
+   * @param eventsKept whether workers record their events
    */
   Deployment(
       LoadOptions options, Path directory, String logLevel, boolean relays, boolean eventsKept)
@@ -57,7 +58,8 @@
     this.useRelays = relays;
     Runtime.getRuntime().addShutdownHook(new Thread(this::killControllers));
     int count = options.controllers();
-    // Held until the relays have ports of their own, or those would be taken from among these.
+    // Kept open deadlineNs the relays have bound their ports, which might otherwise be one of
+    // these.
     List<ServerSocket> reserved = reservePorts(3 * count + 2);
     List<String> ports = reserved.stream().map(Deployment::addressOf).toList();
     addresses =
@@ -70,33 +72,33 @@
     userThreads = createThreads("users");
     invariants = new InvariantChecker(options.limitTasks());
     network = new RegionNetwork(options.regions());
-    Map<String, Integer> byName = new HashMap<>();
+    Map<String, Integer> numberByName = new HashMap<>();
     for (int i = 0; i < count; i++) {
-      byName.put(LoadSettings.controller(i), i);
+      numberByName.put(LoadSettings.controller(i), i);
       String settings =
           LoadSettings.settingsText(options, addresses, peerAddressesFor(i), stateAddressFor(i), i);
-      String at = addresses.users().get(i);
-      controllers.add(new ControllerProcess(directory, i, settings, at, logLevel));
+      String address = addresses.users().get(i);
+      controllers.add(new ControllerProcess(directory, i, settings, address, logLevel));
     }
     for (ServerSocket socket : reserved) {
       socket.close();
     }
-    List<InetSocketAddress> statesAt =
+    List<InetSocketAddress> stateAddresses =
         addresses.states().stream().map(Deployment::loopbackAddress).toList();
     externalServices =
         new ExternalServices(
             serviceThreads,
-            statesAt,
+            stateAddresses,
             loopbackAddress(addresses.cloud()),
             options.zoneNames(),
             options.seed());
-    // Only now: its thread alone may touch the relays from here on.
+    // Started last: from here on only the network thread may access the relays.
     new Thread(network, "network").start();
     fleet =
         new SimulatedFleet(
             new SimulatedWorker.SharedContext(
                 addresses.users(),
-                byName,
+                numberByName,
                 invariants,
                 latencies,
                 options,
@@ -115,13 +117,15 @@
     return network.reaches(options.regionOfZone(zone), options.regionOfController(controller));
   }
 
-  /** Where a controller reaches the others. */
-  private List<String> peerAddressesFor(int own) throws IOException {
+  /**
+   * The addresses address which a controller reaches each controller, through relays where needed.
+   */
+  private List<String> peerAddressesFor(int number) throws IOException {
     List<String> all = new ArrayList<>();
     for (int other = 0; other < options.controllers(); other++) {
       all.add(
           addressVia(
-              options.regionOfController(own),
+              options.regionOfController(number),
               options.regionOfController(other),
               addresses.peers().get(other)));
     }
@@ -129,12 +133,12 @@
   }
 
   /**
-   * Where a controller reaches the state service, which is in a region of its own or in one of
-   * theirs.
+   * The address address which a controller reaches the state service, which is in its number region
+   * or in a controller's region.
    */
-  private String stateAddressFor(int own) throws IOException {
+  private String stateAddressFor(int number) throws IOException {
     return addressVia(
-        options.regionOfController(own), options.stateRegion(), addresses.states().get(own));
+        options.regionOfController(number), options.stateRegion(), addresses.states().get(number));
   }
 
   private String addressVia(int from, int to, String target) throws IOException {
@@ -151,7 +155,7 @@
                 .getMap());
   }
 
-  /** A numeric loopback address, written with its port. */
+  /** Parses {@code host:port} to a loopback address with that port. */
   static InetSocketAddress loopbackAddress(String address) {
     int colon = address.lastIndexOf(':');
     return new InetSocketAddress(
@@ -184,11 +188,11 @@
   }
 
   private void awaitUp() throws InterruptedException, IOException {
-    long until = System.nanoTime() + Math.round(STARTUP_TIMEOUT_S * 1e9);
+    long deadlineNs = System.nanoTime() + Math.round(STARTUP_TIMEOUT_S * 1e9);
     for (ControllerProcess controller : controllers) {
       while (!controller.up()) {
-        if (System.nanoTime() > until) {
-          throw new IOException("controllers are not up after " + STARTUP_TIMEOUT_S + " s");
+        if (System.nanoTime() > deadlineNs) {
+          throw new IOException("controllers did not start within " + STARTUP_TIMEOUT_S + " s");
         }
         Thread.sleep(POLL_INTERVAL_MS);
       }
@@ -196,18 +200,21 @@
   }
 
   /**
-   * Waits until every accepted job is over, or so many seconds have passed; says how many are not.
+   * Stops submissions and waits deadlineNs every accepted job has finished, address most so many
+   * seconds.
+   *
+   * @return number of accepted jobs that have not finished
    */
   int drain(double seconds) throws InterruptedException {
     jobs.stop();
-    long until = System.nanoTime() + Math.round(seconds * 1e9);
-    while (openJobs() > 0 && System.nanoTime() < until) {
+    long deadlineNs = System.nanoTime() + Math.round(seconds * 1e9);
+    while (openJobs() > 0 && System.nanoTime() < deadlineNs) {
       Thread.sleep(POLL_INTERVAL_MS);
     }
     return openJobs();
   }
 
-  /** Accepted jobs that are not known to be over. */
+  /** Number of accepted jobs for which no user has received a final status. */
   int openJobs() throws InterruptedException {
     return IoThreadCall.get(userThreads.getIoThread(), jobs::openJobs);
   }
@@ -248,7 +255,7 @@
     return jobs;
   }
 
-  /** The thread of the users, on which faults are brought about as well. */
+  /** The I/O thread of the users, on which faults are injected as well. */
   XnioIoThread userThread() {
     return userThreads.getIoThread();
   }
@@ -257,7 +264,7 @@
     controllers.forEach(ControllerProcess::killProcess);
   }
 
-  /** Ends everything. */
+  /** Stops everything. */
   void close() throws InterruptedException {
     jobs.stop();
     killControllers();
--- a/src/test/java/dev/dunefront/load/IoThreadCall.java
+++ b/src/test/java/dev/dunefront/load/IoThreadCall.java
@@ -5,22 +5,22 @@
 import java.util.function.Supplier;
 import org.xnio.XnioExecutor;
 
-/** Asks for what belongs to an I/O thread from another thread. */
+/** Computes a value on an I/O thread for another thread, which blocks until it is available. */
 final class IoThreadCall {
   private IoThreadCall() {}
 
-  static <T> T get(XnioExecutor thread, Supplier<T> question) throws InterruptedException {
-    AtomicReference<T> answer = new AtomicReference<>();
-    CountDownLatch answered = new CountDownLatch(1);
+  static <T> T get(XnioExecutor thread, Supplier<T> supplier) throws InterruptedException {
+    AtomicReference<T> result = new AtomicReference<>();
+    CountDownLatch done = new CountDownLatch(1);
     thread.execute(
         () -> {
           try {
-            answer.set(question.get());
+            result.set(supplier.get());
           } finally {
-            answered.countDown();
+            done.countDown();
           }
         });
-    answered.await();
-    return answer.get();
+    done.await();
+    return result.get();
   }
 }
--- a/src/test/java/dev/dunefront/load/JobGenerator.java
+++ b/src/test/java/dev/dunefront/load/JobGenerator.java
@@ -9,7 +9,9 @@
 import java.util.Locale;
 import java.util.Random;
 
-/** The users: submit jobs at a steady rate and ask about each until it is done. */
+/**
+ * Simulated users: submit jobs at a steady rate, cancel some and poll each until it has finished.
+ */
 final class JobGenerator {
   private static final double SUBMIT_TIMEOUT_S = 5;
   private static final double POLL_TIMEOUT_S = 2;
@@ -17,7 +19,7 @@
   private static final double MIN_RETRY_DELAY_S = 1;
   private static final int IMAGES = 20;
 
-  /** Users who cancel a job do so within this time of its acceptance, in seconds. */
+  /** Maximum time between acceptance and cancellation of a job, in seconds. */
   private static final double CANCEL_WITHIN_S = 15;
 
   private final LoadOptions options;
@@ -49,26 +51,26 @@
     this.random = new Random(options.seed());
   }
 
-  /** Submits until it is stopped. */
+  /** Submits jobs until {@link #stop}. */
   void start() {
-    double pauseS = options.tasksPerJob() / options.startsPerS();
-    submitNext(timers.now(), pauseS);
+    double delayS = options.tasksPerJob() / options.startsPerS();
+    submitNext(timers.now(), delayS);
   }
 
-  private void submitNext(double due, double pauseS) {
+  private void submitNext(double dueAt, double delayS) {
     if (stopped) {
       return;
     }
     submit();
-    double nextDue = due + pauseS;
-    timers.after(Math.max(0, nextDue - timers.now()), () -> submitNext(nextDue, pauseS));
+    double nextDueAt = dueAt + delayS;
+    timers.after(Math.max(0, nextDueAt - timers.now()), () -> submitNext(nextDueAt, delayS));
   }
 
   void stop() {
     stopped = true;
   }
 
-  /** Jobs that were accepted and are not known to be done. */
+  /** Number of accepted jobs for which no final status was received. */
   int openJobs() {
     return openJobs;
   }
@@ -77,7 +79,7 @@
     return acceptedJobs;
   }
 
-  /** Answers to submissions that asked for a retry. */
+  /** Number of submission attempts that failed or were refused and were retried. */
   int failedSubmissions() {
     return failedSubmissions;
   }
@@ -151,13 +153,13 @@
           if (reply.ok()) {
             recordStatus(id, reply, askedAfterEnd);
           } else {
-            double pauseS = Math.max(MIN_RETRY_DELAY_S, reply.retryAfterS());
-            timers.after(pauseS, () -> cancel(id, attempt + 1));
+            double delayS = Math.max(MIN_RETRY_DELAY_S, reply.retryAfterS());
+            timers.after(delayS, () -> cancel(id, attempt + 1));
           }
         });
   }
 
-  /** Asks until the job is over, and once more, at another controller. */
+  /** Polls a job until it has finished, and once more at another controller. */
   private void poll(String id, int attempt) {
     boolean askedAfterEnd = invariants.finished(id);
     caller.call(
@@ -181,9 +183,9 @@
   }
 
   private void recordStatus(String id, Response reply, boolean askedAfterEnd) {
-    boolean before = invariants.finished(id);
+    boolean alreadyFinished = invariants.finished(id);
     invariants.statusReported(id, statusOf(reply), askedAfterEnd);
-    if (invariants.finished(id) && !before) {
+    if (invariants.finished(id) && !alreadyFinished) {
       openJobs--;
     }
   }
--- a/src/test/java/dev/dunefront/load/LatencyRecorder.java
+++ b/src/test/java/dev/dunefront/load/LatencyRecorder.java
@@ -2,7 +2,7 @@
 
 import org.HdrHistogram.Histogram;
 
-/** How long tasks and submissions have waited, in milliseconds, since counting began. */
+/** Wait times of tasks and response times of submissions, recorded while counting is on. */
 final class LatencyRecorder {
   private static final long MAX_MS = 600_000;
 
@@ -23,9 +23,9 @@
     }
   }
 
-  synchronized void jobAccepted(double tookS) {
+  synchronized void jobAccepted(double latencyS) {
     if (counting) {
-      submissions.recordValue(millis(tookS));
+      submissions.recordValue(millis(latencyS));
     }
   }
 
--- a/src/test/java/dev/dunefront/load/LinearFit.java
+++ b/src/test/java/dev/dunefront/load/LinearFit.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.function.ToDoubleFunction;
 
-/** A straight line through measured points, by least squares. */
+/** A straight line fitted to measured points by least squares. */
 record LinearFit(double intercept, double slope, int points) {
 
   static LinearFit of(
--- a/src/test/java/dev/dunefront/load/LoadFaults.java
+++ b/src/test/java/dev/dunefront/load/LoadFaults.java
@@ -9,12 +9,12 @@
 import org.xnio.XnioExecutor;
 
 /**
- * The troubles of the users' letter, pressed into the time of one run: a day's machines fail and
- * are replaced, a zone is lost with its controllers, a region is alone. All of it runs on one
- * thread.
+ * The faults of a load run, compressed from a day of the target deployment: as many machines as
+ * fail in a day fail and are replaced, a zone fails with its controllers, and a region is
+ * partitioned from the others. Everything runs on one thread.
  */
 final class LoadFaults {
-  /** Machines that fail, are restarted or replaced on a day, of the letter. */
+  /** Machines of the target deployment that fail, are restarted or are replaced in a day. */
   static final int MACHINES_LOST_PER_DAY = 13 + 250;
 
   private static final double REPLACEMENT_DELAY_S = 2;
@@ -47,7 +47,7 @@
     this.random = new Random(options.seed());
   }
 
-  /** Machines that have failed or were replaced so far, those of the lost zone included. */
+  /** Number of machines that have failed or were replaced, including those of the lost zone. */
   int machinesLost() {
     return machinesLost;
   }
@@ -65,17 +65,17 @@
         });
   }
 
-  /** No more machines fail. */
+  /** Stops failing machines. */
   void stop() {
     thread.execute(() -> stopped = true);
   }
 
-  private void failNext(double pauseS) {
+  private void failNext(double intervalS) {
     if (stopped) {
       return;
     }
     fail(alive.get(random.nextInt(alive.size())), true);
-    timers.after(pauseS, () -> failNext(pauseS));
+    timers.after(intervalS, () -> failNext(intervalS));
   }
 
   private void fail(SimulatedWorker worker, boolean replaced) {
@@ -87,14 +87,17 @@
       timers.after(
           REPLACEMENT_DELAY_S,
           () -> {
-            SimulatedWorker next = fleet.add(worker.zone());
-            externalServices.addRunningMachine(next.host(), next.zone());
-            alive.add(next);
+            SimulatedWorker replacement = fleet.add(worker.zone());
+            externalServices.addRunningMachine(replacement.host(), replacement.zone());
+            alive.add(replacement);
           });
     }
   }
 
-  /** The zone of the second controller is gone with all that is in it; its controllers return. */
+  /**
+   * Fails all machines and controllers in the second controller's zone. Only the controllers are
+   * restarted.
+   */
   private void loseZone() {
     String zone = options.zoneOfController(1);
     for (SimulatedWorker worker : List.copyOf(alive)) {
@@ -115,7 +118,8 @@
     try {
       controller.killAndKeepUsage();
     } catch (IOException e) {
-      throw new IllegalStateException("a controller does not say what it has used", e);
+      throw new IllegalStateException(
+          "cannot read a controller's resource usage before its crash", e);
     }
   }
 
@@ -123,7 +127,7 @@
     try {
       controller.start();
     } catch (IOException e) {
-      throw new IllegalStateException("a controller cannot be started again", e);
+      throw new IllegalStateException("cannot restart a controller", e);
     }
   }
 }
--- a/src/test/java/dev/dunefront/load/LoadOptions.java
+++ b/src/test/java/dev/dunefront/load/LoadOptions.java
@@ -7,30 +7,30 @@
 import java.util.stream.IntStream;
 
 /**
- * What a load run plays. Durations are in seconds, rates per second.
+ * Options of a load run. Durations are in seconds, rates per second.
  *
  * @param controllers controller processes
- * @param workers hollow workers that report from the start
+ * @param workers simulated workers at the start
  * @param zones zones over which workers are spread evenly
  * @param regions regions over which zones are spread; zone {@code k} is in region {@code k %
  *     regions}
  * @param teams teams, each with a limit
- * @param limitTasks tasks that a team may run at once
- * @param startsPerS tasks submitted in a second
- * @param tasksPerJob tasks of each job
+ * @param limitTasks maximum running tasks per team
+ * @param startsPerS tasks submitted per second
+ * @param tasksPerJob tasks per job
  * @param taskCpus CPUs and gigabytes of each task; a worker has four CPUs
  * @param runS mean run time of a task
- * @param urgentShare part of the jobs that are urgent
- * @param warmS played before anything is counted
- * @param measureS counted
- * @param troubles whether machines fail, a zone is lost and a region is cut off meanwhile
- * @param stateRequests requests a second that the state service serves
- * @param stateChanges changes a second that it serves
+ * @param urgentShare share of the jobs that are urgent
+ * @param warmS warm-up before measuring
+ * @param measureS duration of the measurement
+ * @param troubles whether machines fail, a zone is lost and a region is partitioned meanwhile
+ * @param stateRequests request limit of the state service per second
+ * @param stateChanges change limit of the state service per second
  * @param seed seed of all random choices
- * @param reportS how often a worker reports
- * @param leaseS how long a worker's lease lasts
- * @param stateRegion region of the state service; links from other regions lead through relays
- * @param cancelShare part of the jobs that their users cancel
+ * @param reportS report interval of a worker
+ * @param leaseS duration of a worker's lease
+ * @param stateRegion region of the state service; links from other regions run through relays
+ * @param cancelShare share of the jobs that users cancel
  */
 record LoadOptions(
     int controllers,
@@ -55,19 +55,19 @@
     int stateRegion,
     double cancelShare) {
 
-  /** The size of the users' letter, without troubles. */
+  /** The size of the {@link TargetDeployment}, without faults. */
   static final LoadOptions TARGET =
       new LoadOptions(
           14, 1800, 23, 7, 730, 4000, 950, 240, 0.5, 14, 0.25, 30, 30, false, 500, 90, 1, 4, 22, 0,
           0);
 
-  /** Reads {@code name=value} arguments over the letter's values. */
+  /** Applies {@code name=value} arguments to {@link #TARGET}. */
   static LoadOptions parse(List<String> arguments) {
     LoadOptions options = TARGET;
     for (String argument : arguments) {
       int at = argument.indexOf('=');
       if (at < 0) {
-        throw new IllegalArgumentException("not name=value: " + argument);
+        throw new IllegalArgumentException("expected name=value: " + argument);
       }
       options = options.with(argument.substring(0, at), argument.substring(at + 1));
     }
@@ -78,7 +78,7 @@
     ObjectMapper fields = new ObjectMapper();
     ObjectNode all = fields.valueToTree(this);
     if (!all.has(name)) {
-      throw new IllegalArgumentException("no such option: " + name);
+      throw new IllegalArgumentException("unknown option: " + name);
     }
     return fields.convertValue(all.put(name, value), LoadOptions.class);
   }
@@ -88,7 +88,7 @@
     return IntStream.range(0, zones).mapToObj(LoadOptions::zone).toList();
   }
 
-  /** The zone of a controller; where there are fewer controllers than zones some have none. */
+  /** The zone of a controller; with fewer controllers than zones, some zones have none. */
   String zoneOfController(int controller) {
     return zone(controller % zones);
   }
--- a/src/test/java/dev/dunefront/load/LoadRun.java
+++ b/src/test/java/dev/dunefront/load/LoadRun.java
@@ -10,14 +10,14 @@
 import java.util.List;
 
 /**
- * One load run: starts stand-ins, controllers and hollow workers, plays jobs, measures, ends all
- * that it has started. Arguments are {@code name=value} of {@link LoadOptions}; {@code out=FILE}
- * appends the result as a line of JSON.
+ * One load run: starts a deployment, submits jobs, measures and stops the deployment. Arguments are
+ * {@code name=value} of {@link LoadOptions}; {@code out=FILE} appends the result as a line of JSON.
+ * Exits with 1 if an invariant was violated.
  */
 public final class LoadRun {
   private static final String LOG_LEVEL = "error";
 
-  /** How long jobs may take to end after the last submission of a run with troubles, in seconds. */
+  /** Time limit for jobs to finish after the last submission of a run with faults, in seconds. */
   private static final double DRAIN_TIMEOUT_S = 180;
 
   private final LoadOptions options;
@@ -49,7 +49,7 @@
     System.exit(result.broken().isEmpty() ? 0 : 1);
   }
 
-  /** Plays one run in a directory of its own under {@code target}. */
+  /** Executes one run in its own directory under {@code target}. */
   static Measurement run(LoadOptions options) throws IOException, InterruptedException {
     DisabledMBeanServerBuilder.install();
     Path directory = Files.createDirectories(Path.of("target", "load"));
@@ -64,7 +64,7 @@
   private Measurement run() throws IOException, InterruptedException {
     deployment.start();
     Thread.sleep(Math.round(options.warmS() * 1000));
-    // The first look at the metrics of a process costs more than all later ones.
+    // The first metrics request to a process costs more than later ones, so this one is discarded.
     sample();
     deployment.latencies().setCounting(true);
     Sample before = sample();
@@ -81,7 +81,7 @@
     return measurement(before, after);
   }
 
-  /** Everything that is counted, at one time. */
+  /** All counters at one time. */
   private record Sample(
       double at,
       long starts,
@@ -91,14 +91,15 @@
       double hollowCpuS) {}
 
   private Sample sample() throws IOException, InterruptedException {
-    ControllerProcess.ResourceUsage sum = new ControllerProcess.ResourceUsage(0, 0, 0, 0);
+    ControllerProcess.ResourceUsage controllerUsage =
+        new ControllerProcess.ResourceUsage(0, 0, 0, 0);
     for (ControllerProcess controller : deployment.controllers()) {
-      sum = sum.plus(controller.resourceUsage());
+      controllerUsage = controllerUsage.plus(controller.resourceUsage());
     }
     return new Sample(
         System.nanoTime() / 1e9,
         deployment.latencies().starts(),
-        sum,
+        controllerUsage,
         deployment.externalServices().stateServiceUsage(),
         deployment.fleet().traffic(),
         CpuTime.threadCpuS("hollow"));
@@ -107,9 +108,9 @@
   private Measurement measurement(Sample before, Sample after)
       throws IOException, InterruptedException {
     double spanS = after.at - before.at;
-    ControllerProcess.ResourceUsage use = after.controllers.minus(before.controllers);
+    ControllerProcess.ResourceUsage usage = after.controllers.minus(before.controllers);
     ExternalServices.StateServiceUsage state = after.state.minus(before.state);
-    WorkerTraffic said = after.fleet.minus(before.fleet);
+    WorkerTraffic traffic = after.fleet.minus(before.fleet);
     double resident = 0;
     int descriptors = 0;
     int running = deployment.invariants().running();
@@ -125,10 +126,10 @@
         after.starts - before.starts,
         running,
         deployment.invariants().mostRunning(),
-        use.cpuS(),
-        use.bytes(),
-        use.peerRecords(),
-        use.peerKilobytes(),
+        usage.cpuS(),
+        usage.bytes(),
+        usage.peerRecords(),
+        usage.peerKilobytes(),
         resident,
         heap,
         descriptors,
@@ -138,9 +139,9 @@
         state.bytesIn(),
         state.bytesOut(),
         deployment.externalServices().storedValueSizes(),
-        said.reports,
-        said.commandRequests,
-        (said.bytesIn + said.bytesOut) / spanS / workers,
+        traffic.reports,
+        traffic.commandRequests,
+        (traffic.bytesIn + traffic.bytesOut) / spanS / workers,
         (after.hollowCpuS - before.hollowCpuS) / spanS / workers,
         ControllerProcess.residentMb(Path.of("/proc/self/status")),
         deployment.latencies().urgentWaitS(50),
--- a/src/test/java/dev/dunefront/load/LoadSettings.java
+++ b/src/test/java/dev/dunefront/load/LoadSettings.java
@@ -3,16 +3,20 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The settings file of each controller of a run. */
+/** Creates the settings file of each controller of a run. */
 final class LoadSettings {
   static final String URGENT_CLASS = "urgent";
 
-  /** Within how many seconds urgent tasks are to start, of the users' letter. */
+  /** Required maximum wait of urgent tasks in the target deployment, in seconds. */
   private static final double URGENT_WAIT_S = 2.8;
 
   /**
-   * Where everything listens: the outside systems, the state service at an address for each
-   * controller, and each controller's two ports.
+   * Listen addresses of a deployment.
+   *
+   * @param states address of the state service for each controller
+   * @param cloud address of the cloud
+   * @param users address of each controller for users and workers
+   * @param peers address of each controller for the other controllers
    */
   record Addresses(List<String> states, String cloud, List<String> users, List<String> peers) {}
 
@@ -27,9 +31,11 @@
   }
 
   /**
-   * The settings of one controller. *
+   * Returns the settings of one controller.
    *
-   * @param peerAddresses where this controller reaches each of the others, by number
+   * @param peerAddresses addresses at which this controller reaches each controller, by number
+   * @param state address at which it reaches the state service
+   * @param own number of this controller
    */
   static String settingsText(
       LoadOptions options, Addresses addresses, List<String> peerAddresses, String state, int own) {
--- a/src/test/java/dev/dunefront/load/Measurement.java
+++ b/src/test/java/dev/dunefront/load/Measurement.java
@@ -4,28 +4,30 @@
 import java.util.Map;
 
 /**
- * What a run has measured, all controllers together unless said otherwise.
+ * Result of a load run. Figures are totals over all controllers unless stated otherwise.
  *
- * @param spanS seconds in which it was counted
- * @param starts tasks that began meanwhile
- * @param running tasks that ran at the end
- * @param mostRunning the most tasks that ever ran at once
- * @param cpuS processor seconds of the controllers
- * @param bytes bytes that the controllers read and wrote
- * @param residentMb resident memory of the largest controller
- * @param heapMb heap of one controller after a full collection
- * @param descriptors open files and sockets of the controller that has most
- * @param stateChanges changes that the state service counted, those in vain included
- * @param values number and mean bytes of stored values, by the first part of the key
- * @param workerBytesPerS bytes that one worker says and hears in a second, without headers
- * @param workerCpu part of a core that one hollow worker needs
- * @param hostResidentMb resident memory of the process with stand-ins and all hollow workers
- * @param urgentP50S wait of urgent tasks from submission to start, and so on
- * @param refused submissions that were answered with a retry, since the start
- * @param machinesLost machines that failed or were replaced meanwhile
- * @param unfinishedJobs accepted jobs that were not done some minutes after the last submission;
- *     counted in runs with troubles alone
- * @param broken rules that were seen broken
+ * @param spanS duration of the measurement in seconds
+ * @param starts tasks started during the measurement
+ * @param running tasks running at the end
+ * @param mostRunning maximum number of running tasks at any time
+ * @param cpuS CPU seconds of the controllers
+ * @param bytes bytes read and written by the controllers
+ * @param residentMb resident megabytes of the largest controller
+ * @param heapMb heap megabytes of one controller after a full garbage collection
+ * @param descriptors open files and sockets of the controller with the most
+ * @param stateChanges changes counted by the state service, including failed ones
+ * @param values number and mean bytes of stored values, by key prefix
+ * @param workerBytesPerS bytes sent and received by one worker per second, without headers
+ * @param workerCpu cores used by one simulated worker
+ * @param hostResidentMb resident megabytes of the process with the stand-ins and all simulated
+ *     workers
+ * @param urgentP50S median wait of urgent tasks from submission to start, in seconds; the other
+ *     percentiles likewise
+ * @param refused submission attempts that failed and were retried, since the start
+ * @param machinesLost machines that failed or were replaced during the run
+ * @param unfinishedJobs accepted jobs that had not finished when the drain after the last
+ *     submission timed out; counted only in runs with faults
+ * @param broken observed violations of invariants
  */
 record Measurement(
     LoadOptions options,
--- a/src/test/java/dev/dunefront/load/MessageFaults.java
+++ b/src/test/java/dev/dunefront/load/MessageFaults.java
@@ -3,18 +3,21 @@
 import java.util.Random;
 
 /**
- * What becomes of messages between workers and controllers. The shares may be changed at any time
- * by one thread while others read them.
+ * Fault injection for messages between workers and controllers. One thread may change the shares (0
+ * to 1) at any time while others read them.
  */
 final class MessageFaults {
-  /** What becomes of one message. */
+  /** How one message is delivered. */
   enum Delivery {
     ON_TIME,
-    /** It never arrives. */
+    /** The message never arrives. */
     LOST,
-    /** It arrives, and its answer is lost. */
+    /** The message arrives, and its response is lostShare. */
     RESPONSE_LOST,
-    /** A command arrives late, unanswered; a report arrives on time and a copy of it late. */
+    /**
+     * A command arrives delayedShare and without response; a report arrives on time, a duplicate
+     * delayedShare.
+     */
     DELAYED
   }
 
@@ -26,22 +29,22 @@
   private volatile double lostCommandShare;
   private volatile double delayedCommandShare;
 
-  /** From now on this share of reports, and of their answers, is lost. */
+  /** Sets the share of reports that are lostShare or whose responses are lostShare. */
   void loseReports(double share) {
     lostReportShare = share;
   }
 
-  /** From now on a copy of this share of reports arrives late. */
+  /** Sets the share of reports of which a duplicate arrives delayedShare. */
   void duplicateReports(double share) {
     duplicatedReportShare = share;
   }
 
-  /** From now on this share of commands, and of their answers, is lost. */
+  /** Sets the share of commands that are lostShare or whose responses are lostShare. */
   void loseCommands(double share) {
     lostCommandShare = share;
   }
 
-  /** From now on this share of commands arrives late. */
+  /** Sets the share of commands that arrive delayedShare. */
   void delayCommands(double share) {
     delayedCommandShare = share;
   }
@@ -54,16 +57,16 @@
     return draw(random, lostCommandShare, delayedCommandShare);
   }
 
-  /** How late a late message is, in seconds. */
+  /** Draws the delay of a delayedShare message, in seconds. */
   double drawDelayS(Random random) {
     return MIN_DELAY_S + DELAY_SPREAD_S * random.nextDouble();
   }
 
-  private static Delivery draw(Random random, double lost, double late) {
+  private static Delivery draw(Random random, double lostShare, double delayedShare) {
     double drawn = random.nextDouble();
-    if (drawn < lost) {
+    if (drawn < lostShare) {
       return random.nextBoolean() ? Delivery.LOST : Delivery.RESPONSE_LOST;
     }
-    return drawn < lost + late ? Delivery.DELAYED : Delivery.ON_TIME;
+    return drawn < lostShare + delayedShare ? Delivery.DELAYED : Delivery.ON_TIME;
   }
 }
--- a/src/test/java/dev/dunefront/load/PauseMonitor.java
+++ b/src/test/java/dev/dunefront/load/PauseMonitor.java
@@ -1,10 +1,10 @@
 package dev.dunefront.load;
 
-/** Watches by how much this process is late, for what a slow machine shows proves nothing. */
+/** Measures pauses of this process: time limits cannot be judged on a machine that is too slow. */
 final class PauseMonitor {
   private static final long SLEEP_MS = 20;
 
-  /** A process that is ever later than this, in seconds, is too slow to judge what takes time. */
+  /** After a longer pause than this, in seconds, the run's time limits cannot be judged. */
   private static final double MAX_PAUSE_S = 1.5;
 
   private volatile double longestPauseS;
@@ -20,8 +20,8 @@
       while (true) {
         long before = System.nanoTime();
         Thread.sleep(SLEEP_MS);
-        double lateS = (System.nanoTime() - before) / 1e9 - SLEEP_MS / 1e3;
-        longestPauseS = Math.max(longestPauseS, lateS);
+        double pauseS = (System.nanoTime() - before) / 1e9 - SLEEP_MS / 1e3;
+        longestPauseS = Math.max(longestPauseS, pauseS);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/src/test/java/dev/dunefront/load/RegionNetwork.java
+++ b/src/test/java/dev/dunefront/load/RegionNetwork.java
@@ -14,11 +14,12 @@
 import java.util.concurrent.atomic.AtomicIntegerArray;
 
 /**
- * The network between regions: relays on loopback that deliver bytes after the time that a packet
- * takes, in order, and hold them while one of the two regions is cut off. One thread serves all.
+ * The network between regions: relays on loopback that forward bytes in order after the link's
+ * latency, and hold them back while the link is blocked or one of its regions is isolated. One
+ * thread serves all relays.
  */
 final class RegionNetwork implements Runnable {
-  /** One way between neighbouring regions, and for each further one on the ring, in seconds. */
+  /** One-link latency between adjacent regions, and per additional hop on the ring, in seconds. */
   static final double ADJACENT_DELAY_S = 0.010;
 
   static final double ADDITIONAL_HOP_DELAY_S = 0.005;
@@ -30,7 +31,7 @@
   private volatile int isolatedRegion = -1;
   private volatile boolean closed;
 
-  /** Whether the way from one region to another is blocked, at {@code from * regions + to}. */
+  /** 1 if the link from one region to another is blocked, at {@code from * regions + to}. */
   private final AtomicIntegerArray blocked;
 
   RegionNetwork(int regions) throws IOException {
@@ -38,14 +39,14 @@
     this.blocked = new AtomicIntegerArray(regions * regions);
   }
 
-  /** One way between two regions, in seconds. */
+  /** One-link latency between two regions, in seconds. */
   static double delayS(int from, int to, int regions) {
-    int around = Math.abs(from - to);
-    int distance = Math.min(around, regions - around);
+    int difference = Math.abs(from - to);
+    int distance = Math.min(difference, regions - difference);
     return distance == 0 ? 0 : ADJACENT_DELAY_S + ADDITIONAL_HOP_DELAY_S * (distance - 1);
   }
 
-  /** An address in one region at which a target in another is reached. */
+  /** Opens a relay to a target in another region and returns the relay's address. */
   String relay(int from, int to, String target) throws IOException {
     ServerSocketChannel server = ServerSocketChannel.open();
     server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -54,28 +55,28 @@
     return "127.0.0.1:" + ((InetSocketAddress) server.getLocalAddress()).getPort();
   }
 
-  /** Cuts a region off from all others; what is on its way is held. */
+  /** Partitions a region from all others; bytes in flight are held back. */
   void isolate(int region) {
     isolatedRegion = region;
   }
 
-  /** Blocks the way from one region to another, or opens it: what was held arrives then. */
+  /** Blocks the link from one region to another, or opens it and forwards the held bytes. */
   void setBlocked(int from, int to, boolean on) {
     blocked.set(from * regions + to, on ? 1 : 0);
   }
 
-  /** Ends all cuts; what was held arrives. */
+  /** Ends all partitions and forwards the held bytes. */
   void heal() {
     isolatedRegion = -1;
-    for (int way = 0; way < blocked.length(); way++) {
-      blocked.set(way, 0);
+    for (int link = 0; link < blocked.length(); link++) {
+      blocked.set(link, 0);
     }
   }
 
-  /** Whether something from one region reaches another now. */
+  /** Whether the link from one region to another is open. */
   boolean reaches(int from, int to) {
-    boolean cut = from == isolatedRegion || to == isolatedRegion;
-    return from == to || !cut && blocked.get(from * regions + to) == 0;
+    boolean isolated = from == isolatedRegion || to == isolatedRegion;
+    return from == to || !isolated && blocked.get(from * regions + to) == 0;
   }
 
   void close() {
@@ -85,7 +86,7 @@
 
   private record Route(int from, int to, String target) {}
 
-  /** Bytes and when they are due, in nanoseconds of the steady clock. */
+  /** Bytes and the time at which to forward them, in nanoseconds of the steady clock. */
   private record Chunk(ByteBuffer bytes, long dueNs) {}
 
   /** One direction of a connection. */
@@ -143,7 +144,7 @@
       }
       selector.close();
     } catch (IOException e) {
-      throw new IllegalStateException("the network between regions has failed", e);
+      throw new IllegalStateException("the relay thread of the region network failed", e);
     }
   }
 
@@ -178,7 +179,7 @@
     try {
       step.run();
     } catch (IOException | CancelledKeyException e) {
-      // One end is gone, and so the other.
+      // If one end fails, both are closed.
       pipe.in.close();
       pipe.out.close();
     }
@@ -186,26 +187,27 @@
 
   private void accept(SelectionKey key) throws IOException {
     Route route = (Route) key.attachment();
-    SocketChannel near = ((ServerSocketChannel) key.channel()).accept();
-    if (near == null) {
+    SocketChannel client = ((ServerSocketChannel) key.channel()).accept();
+    if (client == null) {
       return;
     }
     try {
-      // On loopback this answers at once, be it with a refusal.
-      SocketChannel far = SocketChannel.open(Deployment.loopbackAddress(route.target));
-      connect(route, near, far);
+      // On loopback this blocking connect succeeds or fails at once.
+      SocketChannel upstream = SocketChannel.open(Deployment.loopbackAddress(route.target));
+      connect(route, client, upstream);
     } catch (IOException e) {
-      near.close();
+      client.close();
     }
   }
 
-  private void connect(Route route, SocketChannel near, SocketChannel far) throws IOException {
-    near.configureBlocking(false);
-    far.configureBlocking(false);
-    near.setOption(StandardSocketOptions.TCP_NODELAY, true);
-    far.setOption(StandardSocketOptions.TCP_NODELAY, true);
+  private void connect(Route route, SocketChannel client, SocketChannel upstream)
+      throws IOException {
+    client.configureBlocking(false);
+    upstream.configureBlocking(false);
+    client.setOption(StandardSocketOptions.TCP_NODELAY, true);
+    upstream.setOption(StandardSocketOptions.TCP_NODELAY, true);
     Route back = new Route(route.to, route.from, route.target);
-    near.register(selector, SelectionKey.OP_READ, new Pipe(route, near, far));
-    far.register(selector, SelectionKey.OP_READ, new Pipe(back, far, near));
+    client.register(selector, SelectionKey.OP_READ, new Pipe(route, client, upstream));
+    upstream.register(selector, SelectionKey.OP_READ, new Pipe(back, upstream, client));
   }
 }
--- a/src/test/java/dev/dunefront/load/SiteFileScaler.java
+++ b/src/test/java/dev/dunefront/load/SiteFileScaler.java
@@ -13,13 +13,14 @@
 import java.util.regex.Pattern;
 
 /**
- * Makes a copy of a bench site file with higher counts. Arguments: the site file, the copy, then
- * {@code name=value} of: {@code machines} (factor on machines and capacity), {@code rates} (factor
- * on arrivals), {@code controllers} (their number), {@code teams} (number of teams, the guarantees
- * and limits of each original shared out among as many), {@code cores} (each controller's part of a
- * core); and of a class of jobs {@code CLASS.rate} (arrivals a second), {@code CLASS.tasks}, {@code
- * CLASS.run} (medians; the tails in proportion), {@code CLASS.cpus}. What is not named stays. Works
- * on lines, so comments and order stay as well.
+ * Copies a bench scaler file with scaled machineCounts. Arguments: the scaler file, the copy, then
+ * {@code name=value} of: {@code machines} (factor on machines, capacity and team limits), {@code
+ * rates} (factor on arrivals and initial jobs), {@code controllers} (their number), {@code teams}
+ * (number of teams; each original team's guarantees and limits are divided among its copies),
+ * {@code cores} (CPU share of each controller); and for a class of jobs {@code CLASS.rate}
+ * (arrivals per second), {@code CLASS.tasks}, {@code CLASS.run} (medians; the tails scale in
+ * proportion), {@code CLASS.cpus}. All other values stay. The file is processed line by line, so
+ * comments and order stay as well.
  */
 public final class SiteFileScaler {
   private static final Pattern FIELD = Pattern.compile("^(\\w+) = (-?[0-9.]+)$");
@@ -31,7 +32,7 @@
   private final Map<String, List<String>> teamNamesByOriginal = new LinkedHashMap<>();
   private String section = "";
 
-  /** The class of jobs whose lines are being copied. */
+  /** The class of jobs whose lines are being copied, or empty before the first. */
   private String jobClass = "";
 
   private SiteFileScaler(Map<String, Double> factors) {
@@ -48,10 +49,10 @@
     Files.write(Path.of(arguments[1]), scaledLines(lines, factors));
   }
 
-  /** The lines of the copy. */
+  /** Returns the lines of the copy. */
   static List<String> scaledLines(List<String> lines, Map<String, Double> factors) {
-    SiteFileScaler site = new SiteFileScaler(factors);
-    site.assignTeamNames(lines);
+    SiteFileScaler scaler = new SiteFileScaler(factors);
+    scaler.assignTeamNames(lines);
     int i = 0;
     while (i < lines.size()) {
       if (lines.get(i).equals("[[teams]]")) {
@@ -59,20 +60,20 @@
         while (end < lines.size() && !lines.get(end).startsWith("[")) {
           end++;
         }
-        site.addTeams(lines.subList(i, end));
+        scaler.addTeams(lines.subList(i, end));
         i = end;
       } else {
         if (lines.get(i).equals("[[jobs]]")) {
-          site.jobClass = firstName(lines.subList(i + 1, lines.size()));
+          scaler.jobClass = firstName(lines.subList(i + 1, lines.size()));
         }
-        site.addLine(lines.get(i));
+        scaler.addLine(lines.get(i));
         i++;
       }
     }
-    return site.out;
+    return scaler.out;
   }
 
-  /** The first name in the lines. */
+  /** Returns the first name in the lines, or an empty string. */
   private static String firstName(List<String> lines) {
     for (String line : lines) {
       if (line.startsWith("name = ")) {
@@ -86,7 +87,7 @@
     return section.equals("jobs") ? factors.get(jobClass + "." + name) : null;
   }
 
-  /** A distribution with this median and tails in proportion. */
+  /** Formats a distribution with this median and tails in proportion. */
   private static String distribution(double median) {
     return String.format(
         Locale.ROOT,
@@ -103,7 +104,7 @@
     return factors.getOrDefault(name, 1.0);
   }
 
-  /** Shares the wanted number of teams out among the original ones. */
+  /** Distributes the requested number of teams evenly over the original teams. */
   private void assignTeamNames(List<String> lines) {
     List<String> originals = new ArrayList<>();
     for (int i = 0; i + 1 < lines.size(); i++) {
@@ -111,8 +112,8 @@
         originals.add(firstName(lines.subList(i + 1, lines.size())));
       }
     }
-    int wanted = factors.getOrDefault("teams", (double) originals.size()).intValue();
-    for (int i = 0; i < Math.max(wanted, originals.size()); i++) {
+    int requested = factors.getOrDefault("teams", (double) originals.size()).intValue();
+    for (int i = 0; i < Math.max(requested, originals.size()); i++) {
       String original = originals.get(i % originals.size());
       int number = i / originals.size();
       String name =
@@ -129,10 +130,11 @@
         if (line.startsWith("name = ")) {
           out.add("name = \"" + name + "\"");
         } else if (field.matches() && !field.group(1).equals("weight")) {
-          double part = Double.parseDouble(field.group(2)) * factor("machines") / names.size();
-          // No job may need more than its team may have, so shares are not cut below a good part.
-          double least = Math.min(Double.parseDouble(field.group(2)), MIN_TEAM_LIMIT_CPUS);
-          out.add(field.group(1) + " = " + Math.max(part, least));
+          double share = Double.parseDouble(field.group(2)) * factor("machines") / names.size();
+          // A job must not need more than its team's limit, so limits are not divided below a
+          // minimum.
+          double minimum = Math.min(Double.parseDouble(field.group(2)), MIN_TEAM_LIMIT_CPUS);
+          out.add(field.group(1) + " = " + Math.max(share, minimum));
         } else {
           out.add(line);
         }
@@ -140,7 +142,7 @@
     }
   }
 
-  /** CPUs that a team's limit is not cut below when it is shared out. */
+  /** Minimum CPUs of a team's limit after division. */
   private static final double MIN_TEAM_LIMIT_CPUS = 500;
 
   private void addLine(String line) {
@@ -164,8 +166,9 @@
       }
       out.add("teams = [" + String.join(", ", all) + "]");
     } else if (arrivals.matches()) {
-      Double named = classOverride("rate");
-      double rate = named != null ? named : Double.parseDouble(arrivals.group(1)) * factor("rates");
+      Double override = classOverride("rate");
+      double rate =
+          override != null ? override : Double.parseDouble(arrivals.group(1)) * factor("rates");
       out.add("arrivals = { rate = " + rate + arrivals.group(2));
     } else {
       out.add(line);
@@ -173,8 +176,8 @@
   }
 
   private String scaledValue(String name, String value) {
-    boolean counts = section.equals("capacity") || section.equals("machines");
-    if (counts && (name.equals("count") || name.equals("spot"))) {
+    boolean machineCounts = section.equals("capacity") || section.equals("machines");
+    if (machineCounts && (name.equals("count") || name.equals("spot"))) {
       return Long.toString(Math.round(Double.parseDouble(value) * factor("machines")));
     }
     if (name.equals("cpus") && classOverride("cpus") != null) {
--- a/src/test/java/dev/dunefront/load/Slopes.java
+++ b/src/test/java/dev/dunefront/load/Slopes.java
@@ -8,15 +8,15 @@
 import java.util.List;
 
 /**
- * The series from which the capacity page is worked out: each varies one quantity round a common
+ * Runs the measurement series behind the capacity page: each varies one option around a common
  * point. Arguments: the file to which each measurement is appended as a line of JSON, then the
- * names of the series to play; all if none is named.
+ * names of the series to run, by default all.
  */
 public final class Slopes {
-  /** A measurement and the series that it belongs to. */
+  /** A measurement and the name of its series. */
   record Line(String series, Measurement measurement) {}
 
-  /** Values of one option, everything else as at the common point. */
+  /** Values of one option, with {@code others} set in addition to the common options. */
   private record Series(String name, String option, List<String> values, List<String> others) {}
 
   private static final List<String> COMMON_OPTIONS =
@@ -43,9 +43,9 @@
 
   public static void main(String[] arguments) throws Exception {
     Path file = Path.of(arguments[0]);
-    List<String> wanted = List.of(arguments).subList(1, arguments.length);
+    List<String> selected = List.of(arguments).subList(1, arguments.length);
     for (Series series : ALL_SERIES) {
-      if (wanted.isEmpty() || wanted.contains(series.name())) {
+      if (selected.isEmpty() || selected.contains(series.name())) {
         run(series, file);
       }
     }
--- a/src/test/java/dev/dunefront/load/SoakRun.java
+++ b/src/test/java/dev/dunefront/load/SoakRun.java
@@ -81,7 +81,7 @@
         case "seconds=" -> seconds = Double.parseDouble(value);
         case "workers=" -> workers = Integer.parseInt(value);
         case "controllers=" -> controllers = Integer.parseInt(value);
-        default -> throw new IllegalArgumentException("not an option: " + argument);
+        default -> throw new IllegalArgumentException("unknown option: " + argument);
       }
     }
     DisabledMBeanServerBuilder.install();
--- a/src/test/java/dev/dunefront/load/TargetDeployment.java
+++ b/src/test/java/dev/dunefront/load/TargetDeployment.java
@@ -1,8 +1,8 @@
 package dev.dunefront.load;
 
 /**
- * The size of the users' letter, and what the capacity page assumes where the letter is silent.
- * Rates are per second.
+ * Size and budgets of the deployment that users require, and the assumptions of the capacity page
+ * where the requirements give no figure. Rates are per second.
  */
 final class TargetDeployment {
   static final int WORKERS = 1_800;
@@ -18,21 +18,21 @@
   static final double WORKER_MB = 32;
   static final double WORKER_BYTES_PER_S = 15_000;
 
-  /** The larger that either known fleet deployment allows: requests, and changes, a second. */
+  /** State service limits: the larger of those of the two known fleet deployments. */
   static final double STATE_REQUESTS_PER_S = 500;
 
   static final double STATE_CHANGES_PER_S = 90;
 
-  /** Of the same: part of a core, and megabytes, of each controller. */
+  /** Limits of each controller, also the larger of the two: cores, megabytes, open sockets. */
   static final double CONTROLLER_CORES = 0.17;
 
   static final double CONTROLLER_MB = 414;
   static final double CONTROLLER_SOCKETS = 2_417;
 
-  /** Tasks of a job at the peak, assumed: those of a middling job of the fleet deployments. */
+  /** Assumed tasks per job at the peak: those of a medium-sized job of the fleet deployments. */
   static final double TASKS_PER_JOB = 240;
 
-  /** Bytes of headers of one request and its answer, assumed. */
+  /** Assumed bytes of headers of one request and its response. */
   static final double HEADER_BYTES = 260;
 
   private TargetDeployment() {}
--- a/src/test/java/dev/dunefront/load/WorkerEvents.java
+++ b/src/test/java/dev/dunefront/load/WorkerEvents.java
@@ -4,13 +4,13 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The last events of one worker, for whoever looks into a broken rule. */
+/** The latest events of one worker, for diagnosing a violated invariant. */
 final class WorkerEvents {
   private static final int MAX_EVENTS = 500;
 
   private final ArrayDeque<String> events = new ArrayDeque<>();
 
-  /** Notes an event at a time of the steady clock, in seconds. */
+  /** Adds an event at a time of the steady clock, in seconds. */
   synchronized void add(double now, String event) {
     if (events.size() == MAX_EVENTS) {
       events.poll();
--- a/src/test/java/dev/dunefront/load/WorkerTraffic.java
+++ b/src/test/java/dev/dunefront/load/WorkerTraffic.java
@@ -1,13 +1,13 @@
 package dev.dunefront.load;
 
-/** What the hollow workers of one I/O thread have said and heard; belongs to that thread. */
+/** Traffic of the simulated workers of one I/O thread; accessed by that thread only. */
 final class WorkerTraffic {
   long reports;
   long commandRequests;
   long bytesIn;
   long bytesOut;
 
-  /** The sum of this and another. */
+  /** Returns the sum of this and another. */
   WorkerTraffic plus(WorkerTraffic other) {
     WorkerTraffic sum = new WorkerTraffic();
     sum.reports = reports + other.reports;
@@ -17,7 +17,7 @@
     return sum;
   }
 
-  /** What was added since an earlier count. */
+  /** Returns the difference to an earlier count. */
   WorkerTraffic minus(WorkerTraffic earlier) {
     WorkerTraffic difference = new WorkerTraffic();
     difference.reports = reports - earlier.reports;
--- a/src/test/java/dev/dunefront/load/package-info.java
+++ b/src/test/java/dev/dunefront/load/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Load runs: real controllers in processes of their own against stand-ins on loopback, with hollow
- * workers that share one process. Main programs, started by hand; the build ends with a short soak
- * run.
+ * Load and soak runs: real controller processes against stand-ins on loopback, with simulated
+ * workers that share one process. The main programs are started by hand; the build ends with a
+ * short soak run.
  */
 package dev.dunefront.load;
