--- a/src/test/java/dev/dunefront/load/CapacityPage.java
+++ b/src/test/java/dev/dunefront/load/CapacityPage.java
@@ -19,8 +19,7 @@
 public final class CapacityPage {
   static final Path MEASURED = Path.of("docs", "capacity", "measured.jsonl");
   static final Path PAGE = Path.of("docs", "CAPACITY.md");
-  private static final String BEGIN =
-      "<!-- tables: made factor CapacityPage, not factor hand -->\n";
+  private static final String BEGIN = "<!-- tables: made by CapacityPage, not by hand -->\n";
   private static final String END = "<!-- end of tables -->";
 
   private final Map<String, List<Measurement>> series;
@@ -188,7 +187,7 @@
   private void renderSlopes() {
     addLine("### Slopes");
     addLine("");
-    addLine("For each | quantity | slope | at zero | points");
+    addLine("For each | what | slope | at zero | points");
     addLine("--- | --- | --- | --- | ---");
     renderSlope("worker", "controllers' processor time, ms a second", scaled(idleCpu(), 1000), 3);
     renderSlope(
@@ -269,7 +268,7 @@
   private void renderProjections() {
     addLine("### Worked out at the letter's size");
     addLine("");
-    addLine("Role | quantity | from | value | budget | margin | carried factor");
+    addLine("Role | quantity | from | value | budget | margin | carried by");
     addLine("--- | --- | --- | --- | --- | --- | ---");
     renderControllers();
     renderStateService();
@@ -393,7 +392,7 @@
         "bytes of `d/` x 19,000 x 365",
         finalRecords[1] * TargetDeployment.JOBS_PER_DAY * 365 / 1e6,
         0,
-        "none: final records are storedBytes for ever");
+        "none: final records are kept for ever");
   }
 
   private void renderWorker() {
--- a/src/test/java/dev/dunefront/load/Deployment.java
+++ b/src/test/java/dev/dunefront/load/Deployment.java
@@ -20,7 +20,7 @@
 import org.xnio.XnioWorker;
 
 /**
- * A deployment on loopback: real controllers, each in its number process, and in this process the
+ * A deployment on loopback: real controllers, each in its own process, and in this process the
  * stand-ins of the state service and the cloud, the network between regions, simulated workers and
  * users. Controllers are killed even if this process is interrupted.
  */
@@ -47,19 +47,18 @@
    *
    * @param directory directory of the controllers' settings and logs
    * @param logLevel log level of the controllers
-   * @param relays whether links between regions run through relays, which add latency and can be
+   * @param useRelays whether links between regions run through relays, which add latency and can be
    *     cut
-   * @param eventsKept whether workers record their events
+   * @param recordEvents whether workers record their events
    */
   Deployment(
-      LoadOptions options, Path directory, String logLevel, boolean relays, boolean eventsKept)
+      LoadOptions options, Path directory, String logLevel, boolean useRelays, boolean recordEvents)
       throws IOException {
     this.options = options;
-    this.useRelays = relays;
+    this.useRelays = useRelays;
     Runtime.getRuntime().addShutdownHook(new Thread(this::killControllers));
     int count = options.controllers();
-    // Kept open deadlineNs the relays have bound their ports, which might otherwise be one of
-    // these.
+    // Kept open until the relays have bound their ports, which might otherwise be one of these.
     List<ServerSocket> reserved = reservePorts(3 * count + 2);
     List<String> ports = reserved.stream().map(Deployment::addressOf).toList();
     addresses =
@@ -104,7 +103,7 @@
                 options,
                 this::reachable,
                 messageFaults,
-                eventsKept),
+                recordEvents),
             loopbackAddress(ports.get(3 * count + 1)).getPort());
     Timers timers = new XnioTimers(userThreads.getIoThread());
     UndertowHttpCaller caller =
@@ -117,9 +116,7 @@
     return network.reaches(options.regionOfZone(zone), options.regionOfController(controller));
   }
 
-  /**
-   * The addresses address which a controller reaches each controller, through relays where needed.
-   */
+  /** The addresses at which a controller reaches each controller, through relays if needed. */
   private List<String> peerAddressesFor(int number) throws IOException {
     List<String> all = new ArrayList<>();
     for (int other = 0; other < options.controllers(); other++) {
@@ -133,8 +130,8 @@
   }
 
   /**
-   * The address address which a controller reaches the state service, which is in its number region
-   * or in a controller's region.
+   * The address at which a controller reaches the state service, which is in its own region or in a
+   * controller's region.
    */
   private String stateAddressFor(int number) throws IOException {
     return addressVia(
@@ -200,8 +197,7 @@
   }
 
   /**
-   * Stops submissions and waits deadlineNs every accepted job has finished, address most so many
-   * seconds.
+   * Stops submissions and waits until every accepted job has finished, at most so many seconds.
    *
    * @return number of accepted jobs that have not finished
    */
--- a/src/test/java/dev/dunefront/load/ExternalServices.java
+++ b/src/test/java/dev/dunefront/load/ExternalServices.java
@@ -63,7 +63,7 @@
   private static final class StateFaults {
     private boolean refused;
     private double maxDelayS;
-    private double unansweredShare;
+    private double responseLostShare;
     private double delayedShare;
   }
 
@@ -89,49 +89,50 @@
       StateFaults faults = new StateFaults();
       stateFaults.add(faults);
       HttpServer.start(
-          worker, buffers, at, (request, answer) -> delayAndServe(faults, request, answer));
+          worker, buffers, at, (request, responder) -> delayAndServe(faults, request, responder));
     }
     HttpServer.start(worker, buffers, cloudAddress, this::serveCloud);
   }
 
   private void delayAndServe(
-      StateFaults faults, HttpServer.Request request, HttpServer.Responder answer) {
+      StateFaults faults, HttpServer.Request request, HttpServer.Responder responder) {
     if (faults.maxDelayS > 0) {
-      timers.after(random.nextDouble() * faults.maxDelayS, () -> serve(faults, request, answer));
+      timers.after(random.nextDouble() * faults.maxDelayS, () -> serve(faults, request, responder));
     } else {
-      serve(faults, request, answer);
+      serve(faults, request, responder);
     }
   }
 
-  private void serve(StateFaults faults, HttpServer.Request request, HttpServer.Responder answer) {
+  private void serve(
+      StateFaults faults, HttpServer.Request request, HttpServer.Responder responder) {
     requests++;
     bytesIn += request.body().length;
     if (faults.refused) {
-      answer.send(REFUSED_STATUS, null);
+      responder.send(REFUSED_STATUS, null);
       return;
     }
     if (request.path().equals("/txn")) {
       double drawn = random.nextDouble();
-      if (drawn < faults.unansweredShare) {
+      if (drawn < faults.responseLostShare) {
         handle(request, reply -> {});
         return;
       }
-      if (drawn < faults.unansweredShare + faults.delayedShare) {
+      if (drawn < faults.responseLostShare + faults.delayedShare) {
         double delayS = MIN_DELAY_S + random.nextDouble() * DELAY_SPREAD_S;
         timers.after(delayS, () -> handle(request, reply -> {}));
         return;
       }
     }
-    handle(request, reply -> respondUnlessRefused(faults, reply, answer));
+    handle(request, reply -> respondUnlessRefused(faults, reply, responder));
   }
 
   /** Holds the response of a watch that was open when its controller's refusal began. */
   private void respondUnlessRefused(
-      StateFaults faults, Response reply, HttpServer.Responder answer) {
+      StateFaults faults, Response reply, HttpServer.Responder responder) {
     if (faults.refused) {
-      timers.after(REFUSED_CHECK_INTERVAL_S, () -> respondUnlessRefused(faults, reply, answer));
+      timers.after(REFUSED_CHECK_INTERVAL_S, () -> respondUnlessRefused(faults, reply, responder));
     } else {
-      answer.send(reply.status(), reply.body());
+      responder.send(reply.status(), reply.body());
     }
   }
 
@@ -165,13 +166,13 @@
   /**
    * Drops responses to a controller's transactions.
    *
-   * @param unansweredShare share that is executed at once without a response
+   * @param responseLostShare share that is executed at once without a response
    * @param delayedShare share that is executed late without a response
    */
-  void setWriteFaults(int controller, double unansweredShare, double delayedShare) {
+  void setWriteFaults(int controller, double responseLostShare, double delayedShare) {
     thread.execute(
         () -> {
-          stateFaults.get(controller).unansweredShare = unansweredShare;
+          stateFaults.get(controller).responseLostShare = responseLostShare;
           stateFaults.get(controller).delayedShare = delayedShare;
         });
   }
@@ -186,9 +187,9 @@
     thread.execute(() -> machineTerminator = end);
   }
 
-  private void serveCloud(HttpServer.Request request, HttpServer.Responder answer) {
+  private void serveCloud(HttpServer.Request request, HttpServer.Responder responder) {
     Response reply = cloud.handle(request.method(), pathAndQuery(request), request.body());
-    Runnable send = () -> answer.send(reply.status(), reply.body());
+    Runnable send = () -> responder.send(reply.status(), reply.body());
     if (request.path().equals("/machines/delete") && reply.ok()) {
       machineTerminator.terminate(hostsOf(request.body()), send);
     } else {
--- a/src/test/java/dev/dunefront/load/JobGenerator.java
+++ b/src/test/java/dev/dunefront/load/JobGenerator.java
@@ -40,30 +40,30 @@
       List<String> controllers,
       HttpCaller caller,
       Timers timers,
-      InvariantChecker rules,
-      LatencyRecorder log) {
+      InvariantChecker invariants,
+      LatencyRecorder latencies) {
     this.options = options;
     this.controllers = controllers;
     this.caller = caller;
     this.timers = timers;
-    this.invariants = rules;
-    this.latencies = log;
+    this.invariants = invariants;
+    this.latencies = latencies;
     this.random = new Random(options.seed());
   }
 
   /** Submits jobs until {@link #stop}. */
   void start() {
-    double delayS = options.tasksPerJob() / options.startsPerS();
-    submitNext(timers.now(), delayS);
+    double intervalS = options.tasksPerJob() / options.startsPerS();
+    submitNext(timers.now(), intervalS);
   }
 
-  private void submitNext(double dueAt, double delayS) {
+  private void submitNext(double dueAt, double intervalS) {
     if (stopped) {
       return;
     }
     submit();
-    double nextDueAt = dueAt + delayS;
-    timers.after(Math.max(0, nextDueAt - timers.now()), () -> submitNext(nextDueAt, delayS));
+    double nextDueAt = dueAt + intervalS;
+    timers.after(Math.max(0, nextDueAt - timers.now()), () -> submitNext(nextDueAt, intervalS));
   }
 
   void stop() {
--- a/src/test/java/dev/dunefront/load/LoadRun.java
+++ b/src/test/java/dev/dunefront/load/LoadRun.java
@@ -88,7 +88,7 @@
       ControllerProcess.ResourceUsage controllers,
       ExternalServices.StateServiceUsage state,
       WorkerTraffic fleet,
-      double hollowCpuS) {}
+      double workerCpuS) {}
 
   private Sample sample() throws IOException, InterruptedException {
     ControllerProcess.ResourceUsage controllerUsage =
@@ -102,7 +102,7 @@
         controllerUsage,
         deployment.externalServices().stateServiceUsage(),
         deployment.fleet().traffic(),
-        CpuTime.threadCpuS("hollow"));
+        CpuTime.threadCpuS("simulated"));
   }
 
   private Measurement measurement(Sample before, Sample after)
@@ -142,7 +142,7 @@
         traffic.reports,
         traffic.commandRequests,
         (traffic.bytesIn + traffic.bytesOut) / spanS / workers,
-        (after.hollowCpuS - before.hollowCpuS) / spanS / workers,
+        (after.workerCpuS - before.workerCpuS) / spanS / workers,
         ControllerProcess.residentMb(Path.of("/proc/self/status")),
         deployment.latencies().urgentWaitS(50),
         deployment.latencies().urgentWaitS(90),
--- a/src/test/java/dev/dunefront/load/MessageFaults.java
+++ b/src/test/java/dev/dunefront/load/MessageFaults.java
@@ -12,12 +12,9 @@
     ON_TIME,
     /** The message never arrives. */
     LOST,
-    /** The message arrives, and its response is lostShare. */
+    /** The message arrives, and its response is lost. */
     RESPONSE_LOST,
-    /**
-     * A command arrives delayedShare and without response; a report arrives on time, a duplicate
-     * delayedShare.
-     */
+    /** A command arrives late and without response; a report arrives on time, a duplicate late. */
     DELAYED
   }
 
@@ -29,22 +26,22 @@
   private volatile double lostCommandShare;
   private volatile double delayedCommandShare;
 
-  /** Sets the share of reports that are lostShare or whose responses are lostShare. */
+  /** Sets the share of reports that are lost or whose responses are lost. */
   void loseReports(double share) {
     lostReportShare = share;
   }
 
-  /** Sets the share of reports of which a duplicate arrives delayedShare. */
+  /** Sets the share of reports of which a duplicate arrives late. */
   void duplicateReports(double share) {
     duplicatedReportShare = share;
   }
 
-  /** Sets the share of commands that are lostShare or whose responses are lostShare. */
+  /** Sets the share of commands that are lost or whose responses are lost. */
   void loseCommands(double share) {
     lostCommandShare = share;
   }
 
-  /** Sets the share of commands that arrive delayedShare. */
+  /** Sets the share of commands that arrive late. */
   void delayCommands(double share) {
     delayedCommandShare = share;
   }
@@ -57,7 +54,7 @@
     return draw(random, lostCommandShare, delayedCommandShare);
   }
 
-  /** Draws the delay of a delayedShare message, in seconds. */
+  /** Draws the delay of a late message, in seconds. */
   double drawDelayS(Random random) {
     return MIN_DELAY_S + DELAY_SPREAD_S * random.nextDouble();
   }
--- a/src/test/java/dev/dunefront/load/RegionNetwork.java
+++ b/src/test/java/dev/dunefront/load/RegionNetwork.java
@@ -19,7 +19,7 @@
  * thread serves all relays.
  */
 final class RegionNetwork implements Runnable {
-  /** One-link latency between adjacent regions, and per additional hop on the ring, in seconds. */
+  /** One-way latency between adjacent regions, and per additional hop on the ring, in seconds. */
   static final double ADJACENT_DELAY_S = 0.010;
 
   static final double ADDITIONAL_HOP_DELAY_S = 0.005;
@@ -39,7 +39,7 @@
     this.blocked = new AtomicIntegerArray(regions * regions);
   }
 
-  /** One-link latency between two regions, in seconds. */
+  /** One-way latency between two regions, in seconds. */
   static double delayS(int from, int to, int regions) {
     int difference = Math.abs(from - to);
     int distance = Math.min(difference, regions - difference);
--- a/src/test/java/dev/dunefront/load/ScaleRun.java
+++ b/src/test/java/dev/dunefront/load/ScaleRun.java
@@ -22,7 +22,7 @@
     print(m);
     boolean passed = m.broken().isEmpty() && m.unfinishedJobs() == 0;
     System.out.println(
-        passed ? "no invariant violated, every job finished" : "FAILED " + m.broken());
+        passed ? "no invariant violated, every job finished" : "BROKEN " + m.broken());
     System.exit(passed ? 0 : 1);
   }
 
@@ -82,7 +82,7 @@
         m.hostResidentMb() / o.workers(),
         TargetDeployment.WORKER_MB,
         true);
-    System.out.println("submission attempts without success: " + m.refused());
+    System.out.println("failed submission attempts: " + m.refused() + " (each was retried)");
     printFigure("jobs left unfinished", m.unfinishedJobs(), 0, true);
   }
 
@@ -93,7 +93,7 @@
         "%-40s %12.3f   %s %10.3f   %s%n",
         label,
         value,
-        upperBound ? "at upperBound " : "at least",
+        upperBound ? "at most " : "at least",
         budget,
         met ? "" : "MISSED");
   }
--- a/src/test/java/dev/dunefront/load/SimulatedFleet.java
+++ b/src/test/java/dev/dunefront/load/SimulatedFleet.java
@@ -23,8 +23,8 @@
 import org.xnio.XnioWorker;
 
 /**
- * The simulated workers of a run. They share a few I/O threads and traffic HTTP server, which
- * routes direct commands by the request's Host header. Each worker has its own loopback address.
+ * The simulated workers of a run. They share a few I/O threads and one HTTP server, which routes
+ * direct commands by the request's Host header. Each worker has its own loopback address.
  */
 final class SimulatedFleet {
   private static final int IO_THREADS = 3;
@@ -46,7 +46,7 @@
         Xnio.getInstance()
             .createWorker(
                 OptionMap.builder()
-                    .set(Options.WORKER_NAME, "hollow")
+                    .set(Options.WORKER_NAME, "simulated")
                     .set(Options.WORKER_IO_THREADS, IO_THREADS)
                     .set(Options.TCP_NODELAY, true)
                     .getMap());
--- a/src/test/java/dev/dunefront/load/SimulatedWorker.java
+++ b/src/test/java/dev/dunefront/load/SimulatedWorker.java
@@ -386,8 +386,8 @@
   }
 
   /**
-   * Records an event. Load runs, which measure the workers' resource traffic, record none and build
-   * no text.
+   * Records an event. Load runs, which measure the workers' resource use, record none and build no
+   * text.
    */
   private void recordEvent(Supplier<String> event) {
     if (context.recordEvents()) {
--- a/src/test/java/dev/dunefront/load/SiteFileScaler.java
+++ b/src/test/java/dev/dunefront/load/SiteFileScaler.java
@@ -13,14 +13,14 @@
 import java.util.regex.Pattern;
 
 /**
- * Copies a bench scaler file with scaled machineCounts. Arguments: the scaler file, the copy, then
- * {@code name=value} of: {@code machines} (factor on machines, capacity and team limits), {@code
- * rates} (factor on arrivals and initial jobs), {@code controllers} (their number), {@code teams}
- * (number of teams; each original team's guarantees and limits are divided among its copies),
- * {@code cores} (CPU share of each controller); and for a class of jobs {@code CLASS.rate}
- * (arrivals per second), {@code CLASS.tasks}, {@code CLASS.run} (medians; the tails scale in
- * proportion), {@code CLASS.cpus}. All other values stay. The file is processed line by line, so
- * comments and order stay as well.
+ * Copies a bench site file with scaled counts. Arguments: the site file, the copy, then {@code
+ * name=value} of: {@code machines} (factor on machines, capacity and team limits), {@code rates}
+ * (factor on arrivals and initial jobs), {@code controllers} (their number), {@code teams} (number
+ * of teams; each original team's guarantees and limits are divided among its copies), {@code cores}
+ * (CPU share of each controller); and for a class of jobs {@code CLASS.rate} (arrivals per second),
+ * {@code CLASS.tasks}, {@code CLASS.run} (medians; the tails scale in proportion), {@code
+ * CLASS.cpus}. All other values stay. The file is processed line by line, so comments and order
+ * stay as well.
  */
 public final class SiteFileScaler {
   private static final Pattern FIELD = Pattern.compile("^(\\w+) = (-?[0-9.]+)$");
@@ -131,8 +131,7 @@
           out.add("name = \"" + name + "\"");
         } else if (field.matches() && !field.group(1).equals("weight")) {
           double share = Double.parseDouble(field.group(2)) * factor("machines") / names.size();
-          // A job must not need more than its team's limit, so limits are not divided below a
-          // minimum.
+          // Limits have a minimum, since a job must not need more than its team's limit.
           double minimum = Math.min(Double.parseDouble(field.group(2)), MIN_TEAM_LIMIT_CPUS);
           out.add(field.group(1) + " = " + Math.max(share, minimum));
         } else {
--- a/src/test/java/dev/dunefront/load/SoakFault.java
+++ b/src/test/java/dev/dunefront/load/SoakFault.java
@@ -32,18 +32,23 @@
     STATE_REFUSES,
     /** The state service refuses all requests. */
     STATE_OUTAGE,
-    /** The state service delays all requests, by up to {@code share} seconds. */
+    /** The state service delays all requests by up to {@code share} seconds. */
     STATE_SLOW,
     /** Transactions of a controller get no response; some are executed late. */
     WRITES_LOST,
+    /** Reports or their responses are lost. */
     REPORTS_LOST,
     /** Duplicates of reports arrive late. */
     REPORTS_DUPLICATED,
+    /** Commands or their responses are lost. */
     COMMANDS_LOST,
+    /** Commands arrive late. */
     COMMANDS_DELAYED,
     /** Workers hang, mostly for about the duration of their lease. */
     WORKERS_HANG,
+    /** Messages to workers are lost. */
     WORKERS_INBOUND_LOST,
+    /** Messages from workers are lost. */
     WORKERS_OUTBOUND_LOST,
     /** Workers are restarted and lose all state. */
     WORKERS_RESTARTED
--- a/src/test/java/dev/dunefront/load/SoakFaults.java
+++ b/src/test/java/dev/dunefront/load/SoakFaults.java
@@ -14,8 +14,8 @@
 import java.util.function.BiConsumer;
 
 /**
- * Injects the faults of a soak run and ends them. If two faults of first kind overlap on the same
- * target, the first to end ends both. Everything runs on first thread.
+ * Injects the faults of a soak run and ends them. If two faults of one kind overlap on the same
+ * target, the first to end ends both. Everything runs on one thread.
  */
 final class SoakFaults {
   /** Seconds until a replacement for a deleted machine is running. */
--- a/src/test/java/dev/dunefront/load/SoakRun.java
+++ b/src/test/java/dev/dunefront/load/SoakRun.java
@@ -128,8 +128,8 @@
           open + " accepted jobs have not finished " + DRAIN_TIMEOUT_S + " s after the last fault");
     }
     System.out.printf(
-        "seed %d: %d faults, %d jobs accepted, at most %d tasks at once, %d machines returned, %d jobs left,"
-            + " longest pause of this process %.2f s: %s%n",
+        "seed %d: %d faults, %d jobs accepted, %d tasks at once at the most, %d machines returned, %d left,"
+            + " worst pause of this process %.2f s: %s%n",
         options.seed(),
         schedule.size(),
         deployment.jobs().acceptedJobs(),
@@ -152,9 +152,9 @@
 
   private String verdict(int open) {
     if (!failures.isEmpty()) {
-      return "FAILED " + failures;
+      return "BROKEN " + failures;
     }
-    return open > 0 ? "NOT JUDGED, this machine is too slow" : "passed";
+    return open > 0 ? "NOT JUDGED, this machine is too slow" : "kept";
   }
 
   private void checkControllers(Deployment deployment) throws IOException {
