--- a/src/test/java/dev/dunefront/load/JobSource.java
+++ b/src/test/java/dev/dunefront/load/JobGenerator.java
@@ -9,86 +9,88 @@
 import java.util.Locale;
 import java.util.Random;
 
-/** The users: submit jobs at a steady rate and ask about each until it is done. */
-final class JobSource {
-  private static final double SUBMIT_S = 5;
-  private static final double POLL_S = 2;
-  private static final double POLL_PAUSE_S = 5;
-  private static final double RETRY_S = 1;
+/**
+ * Simulated users: submit jobs at a steady rate, cancel some and poll each until it has finished.
+ */
+final class JobGenerator {
+  private static final double SUBMIT_TIMEOUT_S = 5;
+  private static final double POLL_TIMEOUT_S = 2;
+  private static final double POLL_INTERVAL_S = 5;
+  private static final double MIN_RETRY_DELAY_S = 1;
   private static final int IMAGES = 20;
 
-  /** Users who cancel a job do so within this time of its acceptance, in seconds. */
+  /** Maximum time between acceptance and cancellation of a job, in seconds. */
   private static final double CANCEL_WITHIN_S = 15;
 
   private final LoadOptions options;
   private final List<String> controllers;
   private final HttpCaller caller;
   private final Timers timers;
-  private final RuleChecker rules;
-  private final StartLog log;
+  private final InvariantChecker invariants;
+  private final LatencyRecorder latencies;
   private final Random random;
   private boolean stopped;
-  private int submitted;
-  private int accepted;
-  private int open;
-  private int refused;
+  private int submittedJobs;
+  private int acceptedJobs;
+  private int openJobs;
+  private int failedSubmissions;
 
-  JobSource(
+  JobGenerator(
       LoadOptions options,
       List<String> controllers,
       HttpCaller caller,
       Timers timers,
-      RuleChecker rules,
-      StartLog log) {
+      InvariantChecker invariants,
+      LatencyRecorder latencies) {
     this.options = options;
     this.controllers = controllers;
     this.caller = caller;
     this.timers = timers;
-    this.rules = rules;
-    this.log = log;
+    this.invariants = invariants;
+    this.latencies = latencies;
     this.random = new Random(options.seed());
   }
 
-  /** Submits until it is stopped. */
+  /** Submits jobs until {@link #stop}. */
   void start() {
-    double pauseS = options.tasksPerJob() / options.startsPerS();
-    next(timers.now(), pauseS);
+    double intervalS = options.tasksPerJob() / options.startsPerS();
+    submitNext(timers.now(), intervalS);
   }
 
-  private void next(double due, double pauseS) {
+  private void submitNext(double dueAt, double intervalS) {
     if (stopped) {
       return;
     }
     submit();
-    double nextDue = due + pauseS;
-    timers.after(Math.max(0, nextDue - timers.now()), () -> next(nextDue, pauseS));
+    double nextDueAt = dueAt + intervalS;
+    timers.after(Math.max(0, nextDueAt - timers.now()), () -> submitNext(nextDueAt, intervalS));
   }
 
   void stop() {
     stopped = true;
   }
 
-  /** Jobs that were accepted and are not known to be done. */
-  int open() {
-    return open;
+  /** Number of accepted jobs for which no final status was received. */
+  int openJobs() {
+    return openJobs;
   }
 
-  int accepted() {
-    return accepted;
+  int acceptedJobs() {
+    return acceptedJobs;
   }
 
-  /** Answers to submissions that asked for a retry. */
-  int refused() {
-    return refused;
+  /** Number of submission attempts that failed or were refused and were retried. */
+  int failedSubmissions() {
+    return failedSubmissions;
   }
 
   private void submit() {
-    String id = String.format(Locale.ROOT, "wk-%06d", ++submitted);
+    String id = String.format(Locale.ROOT, "wk-%06d", ++submittedJobs);
     boolean urgent = random.nextDouble() < options.urgentShare();
     String team = LoadSettings.team(random.nextInt(options.teams()));
-    RuleChecker.Job job =
-        new RuleChecker.Job(id, team, options.tasksPerJob(), urgent, timers.now());
-    rules.submitted(job);
+    InvariantChecker.Job job =
+        new InvariantChecker.Job(id, team, options.tasksPerJob(), urgent, timers.now());
+    invariants.jobSubmitted(job);
     byte[] body =
         Document.create()
             .put("id", id)
@@ -109,85 +111,86 @@
             .put("snapshot_every_s", 0.0)
             .put("snapshot_s", 0.0)
             .encode();
-    post(job, body, submitted);
+    post(job, body, submittedJobs);
   }
 
-  private void post(RuleChecker.Job job, byte[] body, int attempt) {
+  private void post(InvariantChecker.Job job, byte[] body, int attempt) {
     String controller = controllers.get(attempt % controllers.size());
     caller.call(
         controller,
         "POST",
         "/v1/jobs",
         body,
-        SUBMIT_S,
+        SUBMIT_TIMEOUT_S,
         reply -> {
           if (reply.status() == 201 || reply.ok()) {
-            log.accepted(timers.now() - job.submittedAt());
-            accepted++;
-            open++;
-            timers.after(POLL_PAUSE_S, () -> poll(job.id(), attempt));
+            latencies.jobAccepted(timers.now() - job.submittedAt());
+            acceptedJobs++;
+            openJobs++;
+            timers.after(POLL_INTERVAL_S, () -> poll(job.id(), attempt));
             if (options.cancelShare() > 0 && random.nextDouble() < options.cancelShare()) {
               double afterS = random.nextDouble() * CANCEL_WITHIN_S;
               timers.after(afterS, () -> cancel(job.id(), attempt));
             }
           } else {
-            refused++;
+            failedSubmissions++;
             timers.after(
-                Math.max(RETRY_S, reply.retryAfterS()), () -> post(job, body, attempt + 1));
+                Math.max(MIN_RETRY_DELAY_S, reply.retryAfterS()),
+                () -> post(job, body, attempt + 1));
           }
         });
   }
 
   private void cancel(String id, int attempt) {
-    boolean askedAfterEnd = rules.over(id);
+    boolean askedAfterEnd = invariants.finished(id);
     caller.call(
         controllers.get(attempt % controllers.size()),
         "POST",
         "/v1/jobs/" + id + "/abort",
         new byte[0],
-        SUBMIT_S,
+        SUBMIT_TIMEOUT_S,
         reply -> {
           if (reply.ok()) {
-            told(id, reply, askedAfterEnd);
+            recordStatus(id, reply, askedAfterEnd);
           } else {
-            double pauseS = Math.max(RETRY_S, reply.retryAfterS());
-            timers.after(pauseS, () -> cancel(id, attempt + 1));
+            double delayS = Math.max(MIN_RETRY_DELAY_S, reply.retryAfterS());
+            timers.after(delayS, () -> cancel(id, attempt + 1));
           }
         });
   }
 
-  /** Asks until the job is over, and once more, at another controller. */
+  /** Polls a job until it has finished, and once more at another controller. */
   private void poll(String id, int attempt) {
-    boolean askedAfterEnd = rules.over(id);
+    boolean askedAfterEnd = invariants.finished(id);
     caller.call(
         controllers.get(attempt % controllers.size()),
         "GET",
         "/v1/jobs/" + id,
         null,
-        POLL_S,
+        POLL_TIMEOUT_S,
         reply -> {
           if (reply.status() == 404) {
-            rules.toldUnknown(id);
+            invariants.jobNotFound(id);
           }
           if (reply.ok()) {
-            told(id, reply, askedAfterEnd);
+            recordStatus(id, reply, askedAfterEnd);
           }
           if (!askedAfterEnd || !reply.ok()) {
-            int next = reply.ok() && !rules.over(id) ? attempt : attempt + 1;
-            timers.after(POLL_PAUSE_S, () -> poll(id, next));
+            int next = reply.ok() && !invariants.finished(id) ? attempt : attempt + 1;
+            timers.after(POLL_INTERVAL_S, () -> poll(id, next));
           }
         });
   }
 
-  private void told(String id, Response reply, boolean askedAfterEnd) {
-    boolean before = rules.over(id);
-    rules.told(id, status(reply), askedAfterEnd);
-    if (rules.over(id) && !before) {
-      open--;
+  private void recordStatus(String id, Response reply, boolean askedAfterEnd) {
+    boolean alreadyFinished = invariants.finished(id);
+    invariants.statusReported(id, statusOf(reply), askedAfterEnd);
+    if (invariants.finished(id) && !alreadyFinished) {
+      openJobs--;
     }
   }
 
-  private static String status(Response reply) {
+  private static String statusOf(Response reply) {
     try {
       return Document.decode(reply.body()).text("status");
     } catch (MalformedMessageException e) {
--- a/src/test/java/dev/dunefront/load/LoadRun.java
+++ b/src/test/java/dev/dunefront/load/LoadRun.java
@@ -10,24 +10,24 @@
 import java.util.List;
 
 /**
- * One load run: starts stand-ins, controllers and hollow workers, plays jobs, measures, ends all
- * that it has started. Arguments are {@code name=value} of {@link LoadOptions}; {@code out=FILE}
- * appends the result as a line of JSON.
+ * One load run: starts a deployment, submits jobs, measures and stops the deployment. Arguments are
+ * {@code name=value} of {@link LoadOptions}; {@code out=FILE} appends the result as a line of JSON.
+ * Exits with 1 if an invariant was violated.
  */
 public final class LoadRun {
   private static final String LOG_LEVEL = "error";
 
-  /** How long jobs may take to end after the last submission of a run with troubles, in seconds. */
-  private static final double DRAIN_S = 180;
+  /** Time limit for jobs to finish after the last submission of a run with faults, in seconds. */
+  private static final double DRAIN_TIMEOUT_S = 180;
 
   private final LoadOptions options;
   private final Deployment deployment;
-  private final Troubles troubles;
+  private final LoadFaults faults;
 
   private LoadRun(LoadOptions options, Path directory) throws IOException {
     this.options = options;
     deployment = new Deployment(options, directory, LOG_LEVEL, options.troubles(), false);
-    troubles = new Troubles(deployment);
+    faults = new LoadFaults(deployment);
   }
 
   public static void main(String[] arguments) throws Exception {
@@ -40,7 +40,7 @@
         settings.add(argument);
       }
     }
-    Measurement result = play(LoadOptions.parse(settings));
+    Measurement result = run(LoadOptions.parse(settings));
     String line = new ObjectMapper().writeValueAsString(result);
     System.out.println(line);
     if (out != null) {
@@ -49,70 +49,71 @@
     System.exit(result.broken().isEmpty() ? 0 : 1);
   }
 
-  /** Plays one run in a directory of its own under {@code target}. */
-  static Measurement play(LoadOptions options) throws IOException, InterruptedException {
+  /** Executes one run in its own directory under {@code target}. */
+  static Measurement run(LoadOptions options) throws IOException, InterruptedException {
     DisabledMBeanServerBuilder.install();
     Path directory = Files.createDirectories(Path.of("target", "load"));
     LoadRun run = new LoadRun(options, Files.createTempDirectory(directory, "run"));
     try {
-      return run.play();
+      return run.run();
     } finally {
       run.deployment.close();
     }
   }
 
-  private Measurement play() throws IOException, InterruptedException {
+  private Measurement run() throws IOException, InterruptedException {
     deployment.start();
     Thread.sleep(Math.round(options.warmS() * 1000));
-    // The first look at the metrics of a process costs more than all later ones.
+    // The first metrics request to a process costs more than later ones, so this one is discarded.
     sample();
-    deployment.log().count(true);
+    deployment.latencies().setCounting(true);
     Sample before = sample();
     if (options.troubles()) {
-      troubles.start();
+      faults.start();
     }
     Thread.sleep(Math.round(options.measureS() * 1000));
     Sample after = sample();
-    deployment.log().count(false);
+    deployment.latencies().setCounting(false);
     if (options.troubles()) {
-      troubles.stop();
-      deployment.drain(DRAIN_S);
+      faults.stop();
+      deployment.drain(DRAIN_TIMEOUT_S);
     }
-    return measured(before, after);
+    return measurement(before, after);
   }
 
-  /** Everything that is counted, at one time. */
+  /** All counters at one time. */
   private record Sample(
       double at,
       long starts,
-      ControllerProcess.Use controllers,
-      Outside.StateUse state,
-      FleetUse fleet,
-      double hollowCpuS) {}
+      ControllerProcess.ResourceUsage controllers,
+      ExternalServices.StateServiceUsage state,
+      WorkerTraffic fleet,
+      double workerCpuS) {}
 
   private Sample sample() throws IOException, InterruptedException {
-    ControllerProcess.Use sum = new ControllerProcess.Use(0, 0, 0, 0);
+    ControllerProcess.ResourceUsage controllerUsage =
+        new ControllerProcess.ResourceUsage(0, 0, 0, 0);
     for (ControllerProcess controller : deployment.controllers()) {
-      sum = sum.plus(controller.use());
+      controllerUsage = controllerUsage.plus(controller.resourceUsage());
     }
     return new Sample(
         System.nanoTime() / 1e9,
-        deployment.log().starts(),
-        sum,
-        deployment.outside().use(),
-        deployment.fleet().use(),
-        ThreadUse.cpuS("hollow"));
+        deployment.latencies().starts(),
+        controllerUsage,
+        deployment.externalServices().stateServiceUsage(),
+        deployment.fleet().traffic(),
+        CpuTime.threadCpuS("simulated"));
   }
 
-  private Measurement measured(Sample before, Sample after)
+  private Measurement measurement(Sample before, Sample after)
       throws IOException, InterruptedException {
     double spanS = after.at - before.at;
-    ControllerProcess.Use use = after.controllers.minus(before.controllers);
-    Outside.StateUse state = after.state.minus(before.state);
-    FleetUse said = after.fleet.minus(before.fleet);
+    ControllerProcess.ResourceUsage usage = after.controllers.minus(before.controllers);
+    ExternalServices.StateServiceUsage state = after.state.minus(before.state);
+    WorkerTraffic traffic = after.fleet.minus(before.fleet);
     double resident = 0;
     int descriptors = 0;
-    int running = deployment.rules().running();
+    int running = deployment.invariants().running();
     for (ControllerProcess controller : deployment.controllers()) {
       resident = Math.max(resident, controller.residentMb());
       descriptors = Math.max(descriptors, controller.descriptors());
@@ -124,11 +125,11 @@
         spanS,
         after.starts - before.starts,
         running,
-        deployment.rules().mostRunning(),
-        use.cpuS(),
-        use.bytes(),
-        use.peerRecords(),
-        use.peerKilobytes(),
+        deployment.invariants().mostRunning(),
+        usage.cpuS(),
+        usage.bytes(),
+        usage.peerRecords(),
+        usage.peerKilobytes(),
         resident,
         heap,
         descriptors,
@@ -137,20 +138,20 @@
         state.conflicts(),
         state.bytesIn(),
         state.bytesOut(),
-        deployment.outside().values(),
-        said.reports,
-        said.orders,
-        (said.bytesIn + said.bytesOut) / spanS / workers,
-        (after.hollowCpuS - before.hollowCpuS) / spanS / workers,
+        deployment.externalServices().storedValueSizes(),
+        traffic.reports,
+        traffic.commandRequests,
+        (traffic.bytesIn + traffic.bytesOut) / spanS / workers,
+        (after.workerCpuS - before.workerCpuS) / spanS / workers,
         ControllerProcess.residentMb(Path.of("/proc/self/status")),
-        deployment.log().urgentS(50),
-        deployment.log().urgentS(90),
-        deployment.log().urgentS(99),
-        deployment.log().othersS(90),
-        deployment.log().submissionMs(95),
-        deployment.source().refused(),
-        troubles.lost(),
+        deployment.latencies().urgentWaitS(50),
+        deployment.latencies().urgentWaitS(90),
+        deployment.latencies().urgentWaitS(99),
+        deployment.latencies().otherWaitS(90),
+        deployment.latencies().submissionLatencyMs(95),
+        deployment.jobs().failedSubmissions(),
+        faults.machinesLost(),
         options.troubles() ? deployment.openJobs() : 0,
-        deployment.rules().broken());
+        deployment.invariants().violations());
   }
 }
--- a/src/test/java/dev/dunefront/load/MessageFaults.java
+++ b/src/test/java/dev/dunefront/load/MessageFaults.java
@@ -3,67 +3,67 @@
 import java.util.Random;
 
 /**
- * What becomes of messages between workers and controllers. The shares may be changed at any time
- * by one thread while others read them.
+ * Fault injection for messages between workers and controllers. One thread may change the shares (0
+ * to 1) at any time while others read them.
  */
 final class MessageFaults {
-  /** What becomes of one message. */
-  enum Fate {
+  /** How one message is delivered. */
+  enum Delivery {
     ON_TIME,
-    /** It never arrives. */
+    /** The message never arrives. */
     LOST,
-    /** It arrives, and its answer is lost. */
-    UNANSWERED,
-    /** A command arrives late, unanswered; a report arrives on time and a copy of it late. */
-    LATE
+    /** The message arrives, and its response is lost. */
+    RESPONSE_LOST,
+    /** A command arrives late and without response; a report arrives on time, a duplicate late. */
+    DELAYED
   }
 
-  private static final double LEAST_LATE_S = 1;
-  private static final double LATE_SPREAD_S = 11;
+  private static final double MIN_DELAY_S = 1;
+  private static final double DELAY_SPREAD_S = 11;
 
-  private volatile double lostReports;
-  private volatile double lateReports;
-  private volatile double lostOrders;
-  private volatile double lateOrders;
+  private volatile double lostReportShare;
+  private volatile double duplicatedReportShare;
+  private volatile double lostCommandShare;
+  private volatile double delayedCommandShare;
 
-  /** From now on this share of reports, and of their answers, is lost. */
+  /** Sets the share of reports that are lost or whose responses are lost. */
   void loseReports(double share) {
-    lostReports = share;
+    lostReportShare = share;
   }
 
-  /** From now on a copy of this share of reports arrives late. */
-  void repeatReports(double share) {
-    lateReports = share;
+  /** Sets the share of reports of which a duplicate arrives late. */
+  void duplicateReports(double share) {
+    duplicatedReportShare = share;
   }
 
-  /** From now on this share of commands, and of their answers, is lost. */
-  void loseOrders(double share) {
-    lostOrders = share;
+  /** Sets the share of commands that are lost or whose responses are lost. */
+  void loseCommands(double share) {
+    lostCommandShare = share;
   }
 
-  /** From now on this share of commands arrives late. */
-  void delayOrders(double share) {
-    lateOrders = share;
+  /** Sets the share of commands that arrive late. */
+  void delayCommands(double share) {
+    delayedCommandShare = share;
   }
 
-  Fate report(Random random) {
-    return draw(random, lostReports, lateReports);
+  Delivery drawForReport(Random random) {
+    return draw(random, lostReportShare, duplicatedReportShare);
   }
 
-  Fate order(Random random) {
-    return draw(random, lostOrders, lateOrders);
+  Delivery drawForCommand(Random random) {
+    return draw(random, lostCommandShare, delayedCommandShare);
   }
 
-  /** How late a late message is, in seconds. */
-  double lateS(Random random) {
-    return LEAST_LATE_S + LATE_SPREAD_S * random.nextDouble();
+  /** Draws the delay of a late message, in seconds. */
+  double drawDelayS(Random random) {
+    return MIN_DELAY_S + DELAY_SPREAD_S * random.nextDouble();
   }
 
-  private static Fate draw(Random random, double lost, double late) {
+  private static Delivery draw(Random random, double lostShare, double delayedShare) {
     double drawn = random.nextDouble();
-    if (drawn < lost) {
-      return random.nextBoolean() ? Fate.LOST : Fate.UNANSWERED;
+    if (drawn < lostShare) {
+      return random.nextBoolean() ? Delivery.LOST : Delivery.RESPONSE_LOST;
     }
-    return drawn < lost + late ? Fate.LATE : Fate.ON_TIME;
+    return drawn < lostShare + delayedShare ? Delivery.DELAYED : Delivery.ON_TIME;
   }
 }
--- a/src/test/java/dev/dunefront/load/RegionNetwork.java
+++ b/src/test/java/dev/dunefront/load/RegionNetwork.java
@@ -14,23 +14,24 @@
 import java.util.concurrent.atomic.AtomicIntegerArray;
 
 /**
- * The network between regions: relays on loopback that deliver bytes after the time that a packet
- * takes, in order, and hold them while one of the two regions is cut off. One thread serves all.
+ * The network between regions: relays on loopback that forward bytes in order after the link's
+ * latency, and hold them back while the link is blocked or one of its regions is isolated. One
+ * thread serves all relays.
  */
 final class RegionNetwork implements Runnable {
-  /** One way between neighbouring regions, and for each further one on the ring, in seconds. */
-  static final double NEXT_REGION_S = 0.010;
+  /** One-way latency between adjacent regions, and per additional hop on the ring, in seconds. */
+  static final double ADJACENT_DELAY_S = 0.010;
 
-  static final double FURTHER_S = 0.005;
-  private static final int BUFFER = 64 * 1024;
-  private static final long TURN_MS = 1;
+  static final double ADDITIONAL_HOP_DELAY_S = 0.005;
+  private static final int BUFFER_BYTES = 64 * 1024;
+  private static final long SELECT_TIMEOUT_MS = 1;
 
   private final int regions;
   private final Selector selector = Selector.open();
-  private volatile int cutRegion = -1;
+  private volatile int isolatedRegion = -1;
   private volatile boolean closed;
 
-  /** Whether the way from one region to another is blocked, at {@code from * regions + to}. */
+  /** 1 if the link from one region to another is blocked, at {@code from * regions + to}. */
   private final AtomicIntegerArray blocked;
 
   RegionNetwork(int regions) throws IOException {
@@ -38,14 +39,14 @@
     this.blocked = new AtomicIntegerArray(regions * regions);
   }
 
-  /** One way between two regions, in seconds. */
+  /** One-way latency between two regions, in seconds. */
   static double delayS(int from, int to, int regions) {
-    int around = Math.abs(from - to);
-    int distance = Math.min(around, regions - around);
-    return distance == 0 ? 0 : NEXT_REGION_S + FURTHER_S * (distance - 1);
+    int difference = Math.abs(from - to);
+    int distance = Math.min(difference, regions - difference);
+    return distance == 0 ? 0 : ADJACENT_DELAY_S + ADDITIONAL_HOP_DELAY_S * (distance - 1);
   }
 
-  /** An address in one region at which a target in another is reached. */
+  /** Opens a relay to a target in another region and returns the relay's address. */
   String relay(int from, int to, String target) throws IOException {
     ServerSocketChannel server = ServerSocketChannel.open();
     server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -54,28 +55,28 @@
     return "127.0.0.1:" + ((InetSocketAddress) server.getLocalAddress()).getPort();
   }
 
-  /** Cuts a region off from all others; what is on its way is held. */
-  void cut(int region) {
-    cutRegion = region;
+  /** Partitions a region from all others; bytes in flight are held back. */
+  void isolate(int region) {
+    isolatedRegion = region;
   }
 
-  /** Blocks the way from one region to another, or opens it: what was held arrives then. */
-  void block(int from, int to, boolean on) {
+  /** Blocks the link from one region to another, or opens it and forwards the held bytes. */
+  void setBlocked(int from, int to, boolean on) {
     blocked.set(from * regions + to, on ? 1 : 0);
   }
 
-  /** Ends all cuts; what was held arrives. */
+  /** Ends all partitions and forwards the held bytes. */
   void heal() {
-    cutRegion = -1;
-    for (int way = 0; way < blocked.length(); way++) {
-      blocked.set(way, 0);
+    isolatedRegion = -1;
+    for (int link = 0; link < blocked.length(); link++) {
+      blocked.set(link, 0);
     }
   }
 
-  /** Whether something from one region reaches another now. */
+  /** Whether the link from one region to another is open. */
   boolean reaches(int from, int to) {
-    boolean cut = from == cutRegion || to == cutRegion;
-    return from == to || !cut && blocked.get(from * regions + to) == 0;
+    boolean isolated = from == isolatedRegion || to == isolatedRegion;
+    return from == to || !isolated && blocked.get(from * regions + to) == 0;
   }
 
   void close() {
@@ -85,7 +86,7 @@
 
   private record Route(int from, int to, String target) {}
 
-  /** Bytes and when they are due, in nanoseconds of the steady clock. */
+  /** Bytes and the time at which to forward them, in nanoseconds of the steady clock. */
   private record Chunk(ByteBuffer bytes, long dueNs) {}
 
   /** One direction of a connection. */
@@ -93,8 +94,8 @@
     private final Route route;
     private final SocketChannel in;
     private final SocketChannel out;
-    private final ArrayDeque<Chunk> chunks = new ArrayDeque<>();
-    private boolean ended;
+    private final ArrayDeque<Chunk> pendingChunks = new ArrayDeque<>();
+    private boolean inputEnded;
 
     Pipe(Route route, SocketChannel in, SocketChannel out) {
       this.route = route;
@@ -103,13 +104,13 @@
     }
 
     void read() throws IOException {
-      ByteBuffer bytes = ByteBuffer.allocate(BUFFER);
+      ByteBuffer bytes = ByteBuffer.allocate(BUFFER_BYTES);
       int n = in.read(bytes);
       if (n < 0) {
-        ended = true;
+        inputEnded = true;
       } else if (n > 0) {
         double delayS = delayS(route.from, route.to, regions);
-        chunks.add(new Chunk(bytes.flip(), System.nanoTime() + Math.round(delayS * 1e9)));
+        pendingChunks.add(new Chunk(bytes.flip(), System.nanoTime() + Math.round(delayS * 1e9)));
       }
     }
 
@@ -117,14 +118,14 @@
       if (!reaches(route.from, route.to)) {
         return;
       }
-      while (!chunks.isEmpty() && chunks.peek().dueNs <= nowNs) {
-        out.write(chunks.peek().bytes);
-        if (chunks.peek().bytes.hasRemaining()) {
+      while (!pendingChunks.isEmpty() && pendingChunks.peek().dueNs <= nowNs) {
+        out.write(pendingChunks.peek().bytes);
+        if (pendingChunks.peek().bytes.hasRemaining()) {
           return;
         }
-        chunks.poll();
+        pendingChunks.poll();
       }
-      if (ended && chunks.isEmpty()) {
+      if (inputEnded && pendingChunks.isEmpty()) {
         out.close();
         in.close();
       }
@@ -135,19 +136,19 @@
   public void run() {
     try {
       while (!closed) {
-        selector.select(TURN_MS);
-        turn();
+        selector.select(SELECT_TIMEOUT_MS);
+        forwardReadyBytes();
       }
       for (SelectionKey key : selector.keys()) {
         key.channel().close();
       }
       selector.close();
     } catch (IOException e) {
-      throw new IllegalStateException("the network between regions has failed", e);
+      throw new IllegalStateException("the relay thread of the region network failed", e);
     }
   }
 
-  private void turn() throws IOException {
+  private void forwardReadyBytes() throws IOException {
     for (SelectionKey key : selector.selectedKeys()) {
       if (key.isValid() && key.isAcceptable()) {
         accept(key);
@@ -155,8 +156,8 @@
     }
     for (SelectionKey key : selector.selectedKeys()) {
       if (key.isValid() && key.attachment() instanceof Pipe pipe) {
-        guarded(pipe, pipe::read);
-        if (pipe.ended && key.isValid()) {
+        closeOnFailure(pipe, pipe::read);
+        if (pipe.inputEnded && key.isValid()) {
           key.interestOps(0);
         }
       }
@@ -165,7 +166,7 @@
     long nowNs = System.nanoTime();
     for (SelectionKey key : selector.keys()) {
       if (key.attachment() instanceof Pipe pipe) {
-        guarded(pipe, () -> pipe.write(nowNs));
+        closeOnFailure(pipe, () -> pipe.write(nowNs));
       }
     }
   }
@@ -174,11 +175,11 @@
     void run() throws IOException;
   }
 
-  private static void guarded(Pipe pipe, Step step) throws IOException {
+  private static void closeOnFailure(Pipe pipe, Step step) throws IOException {
     try {
       step.run();
     } catch (IOException | CancelledKeyException e) {
-      // One end is gone, and so the other.
+      // If one end fails, both are closed.
       pipe.in.close();
       pipe.out.close();
     }
@@ -186,26 +187,27 @@
 
   private void accept(SelectionKey key) throws IOException {
     Route route = (Route) key.attachment();
-    SocketChannel near = ((ServerSocketChannel) key.channel()).accept();
-    if (near == null) {
+    SocketChannel client = ((ServerSocketChannel) key.channel()).accept();
+    if (client == null) {
       return;
     }
     try {
-      // On loopback this answers at once, be it with a refusal.
-      SocketChannel far = SocketChannel.open(Deployment.at(route.target));
-      join(route, near, far);
+      // On loopback this blocking connect succeeds or fails at once.
+      SocketChannel upstream = SocketChannel.open(Deployment.loopbackAddress(route.target));
+      connect(route, client, upstream);
     } catch (IOException e) {
-      near.close();
+      client.close();
     }
   }
 
-  private void join(Route route, SocketChannel near, SocketChannel far) throws IOException {
-    near.configureBlocking(false);
-    far.configureBlocking(false);
-    near.setOption(StandardSocketOptions.TCP_NODELAY, true);
-    far.setOption(StandardSocketOptions.TCP_NODELAY, true);
+  private void connect(Route route, SocketChannel client, SocketChannel upstream)
+      throws IOException {
+    client.configureBlocking(false);
+    upstream.configureBlocking(false);
+    client.setOption(StandardSocketOptions.TCP_NODELAY, true);
+    upstream.setOption(StandardSocketOptions.TCP_NODELAY, true);
     Route back = new Route(route.to, route.from, route.target);
-    near.register(selector, SelectionKey.OP_READ, new Pipe(route, near, far));
-    far.register(selector, SelectionKey.OP_READ, new Pipe(back, far, near));
+    client.register(selector, SelectionKey.OP_READ, new Pipe(route, client, upstream));
+    upstream.register(selector, SelectionKey.OP_READ, new Pipe(back, upstream, client));
   }
 }
--- a/src/test/java/dev/dunefront/load/Slopes.java
+++ b/src/test/java/dev/dunefront/load/Slopes.java
@@ -8,20 +8,21 @@
 import java.util.List;
 
 /**
- * The series from which the capacity page is worked out: each varies one quantity round a common
+ * Runs the measurement series behind the capacity page: each varies one option around a common
  * point. Arguments: the file to which each measurement is appended as a line of JSON, then the
- * names of the series to play; all if none is named.
+ * names of the series to run, by default all.
  */
 public final class Slopes {
-  /** A measurement and the series that it belongs to. */
+  /** A measurement and the name of its series. */
   record Line(String series, Measurement measurement) {}
 
-  /** Values of one option, everything else as at the common point. */
+  /** Values of one option, with {@code others} set in addition to the common options. */
   private record Series(String name, String option, List<String> values, List<String> others) {}
 
-  private static final List<String> COMMON = List.of("startsPerS=400", "warmS=25", "measureS=15");
+  private static final List<String> COMMON_OPTIONS =
+      List.of("startsPerS=400", "warmS=25", "measureS=15");
 
-  private static final List<Series> ALL =
+  private static final List<Series> ALL_SERIES =
       List.of(
           new Series("common", "seed", List.of("1", "2", "3"), List.of()),
           new Series("idle", "workers", List.of("450", "900", "1800"), List.of("startsPerS=0.01")),
@@ -42,21 +43,21 @@
 
   public static void main(String[] arguments) throws Exception {
     Path file = Path.of(arguments[0]);
-    List<String> wanted = List.of(arguments).subList(1, arguments.length);
-    for (Series series : ALL) {
-      if (wanted.isEmpty() || wanted.contains(series.name())) {
-        play(series, file);
+    List<String> selected = List.of(arguments).subList(1, arguments.length);
+    for (Series series : ALL_SERIES) {
+      if (selected.isEmpty() || selected.contains(series.name())) {
+        run(series, file);
       }
     }
     System.exit(0);
   }
 
-  private static void play(Series series, Path file) throws Exception {
+  private static void run(Series series, Path file) throws Exception {
     for (String value : series.values()) {
-      List<String> options = new ArrayList<>(COMMON);
+      List<String> options = new ArrayList<>(COMMON_OPTIONS);
       options.addAll(series.others());
       options.add(series.option() + "=" + value);
-      Line line = new Line(series.name(), LoadRun.play(LoadOptions.parse(options)));
+      Line line = new Line(series.name(), LoadRun.run(LoadOptions.parse(options)));
       Files.writeString(
           file,
           new ObjectMapper().writeValueAsString(line) + "\n",
--- a/src/test/java/dev/dunefront/load/SoakRun.java
+++ b/src/test/java/dev/dunefront/load/SoakRun.java
@@ -8,31 +8,33 @@
 import java.util.List;
 
 /**
- * The soak run: real controllers on loopback, jobs that come, end and are cancelled, and faults at
- * random moments, drawn from a seed. Judges by what workers and users saw, by the controllers' own
- * invariants, and by whether all that was accepted comes to its end once the faults are over.
+ * The soak run: real controller processes on loopback, jobs that are submitted, finish and are
+ * cancelled, and faults injected at random times drawn from a seed. A run passes if workers and
+ * users observed no violation, the controllers logged no violated invariant and no error, and every
+ * accepted job finishes once the faults are over.
  *
- * <p>Arguments are {@code seed=}, {@code seeds=} (how many runs, each with the next seed), {@code
- * seconds=}, {@code workers=}, {@code controllers=}. Ends with 1 where something is broken. Where
- * this machine is too slow for a judgement, it says so; that is no result.
+ * <p>Arguments are {@code seed=}, {@code seeds=} (number of runs, each with the next seed), {@code
+ * seconds=}, {@code workers=}, {@code controllers=}. Exits with 1 if a run fails. A run that cannot
+ * be judged, because the deployment did not start or this machine was too slow, prints NOT JUDGED
+ * and counts neither as passed nor as failed.
  */
 public final class SoakRun {
-  private static final double DRAIN_S = 100;
+  private static final double DRAIN_TIMEOUT_S = 100;
 
-  /** Tasks a second for each worker: they fill most of the room of all machines. */
-  private static final double LOAD = 1.0;
+  /** Task starts per second and worker, enough to fill most of the machines' capacity. */
+  private static final double STARTS_PER_WORKER_PER_S = 1.0;
 
-  /** Timers and the start of a process are late by less than this, in seconds. */
-  private static final double SETTLED_S = 1;
+  /** Upper bound of timer delay plus process startup, in seconds. */
+  private static final double FAULT_END_MARGIN_S = 1;
 
-  private static final int MOST_LINES = 25;
-  private static final String VIOLATED = "invariant violated";
-  private static final String FAILED = "error ";
+  private static final int MAX_LOG_LINES = 25;
+  private static final String VIOLATION_MARKER = "invariant violated";
+  private static final String ERROR_PREFIX = "error ";
 
   private final LoadOptions options;
   private final Path directory;
   private final List<SoakFault> schedule;
-  private final List<String> broken = new ArrayList<>();
+  private final List<String> failures = new ArrayList<>();
 
   private SoakRun(LoadOptions options, Path directory) {
     this.options = options;
@@ -40,7 +42,7 @@
     this.schedule = SoakSchedule.of(options);
   }
 
-  /** What a run asks for, of the load tools' options. */
+  /** The load options of a soak run. */
   private static LoadOptions options(int controllers, int workers, double seconds, long seed) {
     return LoadOptions.parse(
         List.of(
@@ -51,7 +53,7 @@
             "stateRegion=" + controllers,
             "teams=3",
             "limitTasks=" + workers * 3,
-            "startsPerS=" + LOAD * workers,
+            "startsPerS=" + STARTS_PER_WORKER_PER_S * workers,
             "tasksPerJob=8",
             "taskCpus=1",
             "runS=5",
@@ -79,19 +81,19 @@
         case "seconds=" -> seconds = Double.parseDouble(value);
         case "workers=" -> workers = Integer.parseInt(value);
         case "controllers=" -> controllers = Integer.parseInt(value);
-        default -> throw new IllegalArgumentException("not an option: " + argument);
+        default -> throw new IllegalArgumentException("unknown option: " + argument);
       }
     }
     DisabledMBeanServerBuilder.install();
-    boolean kept = true;
+    boolean passed = true;
     for (long s = seed; s < seed + seeds; s++) {
-      kept &= play(options(controllers, workers, seconds, s));
+      passed &= run(options(controllers, workers, seconds, s));
     }
-    System.exit(kept ? 0 : 1);
+    System.exit(passed ? 0 : 1);
   }
 
-  /** Plays one seed; says whether nothing was broken. */
-  private static boolean play(LoadOptions options) throws IOException, InterruptedException {
+  /** Runs one seed. Returns false if the run failed. */
+  private static boolean run(LoadOptions options) throws IOException, InterruptedException {
     Path parent = Files.createDirectories(Path.of("target", "soak"));
     Path directory = Files.createTempDirectory(parent, "seed" + options.seed() + "-");
     SoakRun run = new SoakRun(options, directory);
@@ -104,86 +106,87 @@
       return true;
     }
     try {
-      return run.play(deployment);
+      return run.run(deployment);
     } finally {
       deployment.close();
     }
   }
 
-  private boolean play(Deployment deployment) throws IOException, InterruptedException {
-    SlownessWatch watch = new SlownessWatch();
+  private boolean run(Deployment deployment) throws IOException, InterruptedException {
+    PauseMonitor pauses = new PauseMonitor();
     SoakFaults faults = new SoakFaults(deployment, schedule);
     faults.start();
     Thread.sleep(Math.round(options.measureS() * 1000));
-    deployment.source().stop();
-    // A controller that was killed late is only now started again; it has not ended by itself.
-    Thread.sleep(Math.round(leftS() * 1000));
-    int open = deployment.drain(DRAIN_S);
-    broken.addAll(deployment.rules().broken());
-    lookAtControllers(deployment);
-    if (open > 0 && !watch.slow()) {
-      broken.add(open + " accepted jobs are not over " + DRAIN_S + " s after the last fault");
+    deployment.jobs().stop();
+    // Waits for the restart of controllers killed late, which checkControllers would report dead.
+    Thread.sleep(Math.round(remainingFaultTimeS() * 1000));
+    int open = deployment.drain(DRAIN_TIMEOUT_S);
+    failures.addAll(deployment.invariants().violations());
+    checkControllers(deployment);
+    if (open > 0 && !pauses.tooSlow()) {
+      failures.add(
+          open + " accepted jobs have not finished " + DRAIN_TIMEOUT_S + " s after the last fault");
     }
     System.out.printf(
         "seed %d: %d faults, %d jobs accepted, %d tasks at once at the most, %d machines returned, %d left,"
             + " worst pause of this process %.2f s: %s%n",
         options.seed(),
         schedule.size(),
-        deployment.source().accepted(),
-        deployment.rules().mostRunning(),
-        faults.deleted(),
+        deployment.jobs().acceptedJobs(),
+        deployment.invariants().mostRunning(),
+        faults.returnedMachines(),
         open,
-        watch.worstS(),
+        pauses.longestPauseS(),
         verdict(open));
-    if (!broken.isEmpty()) {
-      tell(deployment);
+    if (!failures.isEmpty()) {
+      printDiagnostics(deployment);
     }
-    return broken.isEmpty();
+    return failures.isEmpty();
   }
 
-  /** How much longer than new jobs come the last fault lasts, in seconds. */
-  private double leftS() {
-    double lastS = schedule.stream().mapToDouble(SoakFault::endS).max().orElse(0);
-    return Math.max(0, lastS + SETTLED_S - options.measureS());
+  /** Seconds from the last submission until the last fault has ended. */
+  private double remainingFaultTimeS() {
+    double lastEndS = schedule.stream().mapToDouble(SoakFault::endS).max().orElse(0);
+    return Math.max(0, lastEndS + FAULT_END_MARGIN_S - options.measureS());
   }
 
   private String verdict(int open) {
-    if (!broken.isEmpty()) {
-      return "BROKEN " + broken;
+    if (!failures.isEmpty()) {
+      return "BROKEN " + failures;
     }
     return open > 0 ? "NOT JUDGED, this machine is too slow" : "kept";
   }
 
-  private void lookAtControllers(Deployment deployment) throws IOException {
+  private void checkControllers(Deployment deployment) throws IOException {
     for (int i = 0; i < options.controllers(); i++) {
       ControllerProcess controller = deployment.controllers().get(i);
       if (!controller.alive()) {
-        broken.add(LoadSettings.controller(i) + " has ended by itself");
+        failures.add(LoadSettings.controller(i) + " exited unexpectedly");
       }
       for (String line : controller.log()) {
-        if (line.contains(VIOLATED) || line.startsWith(FAILED)) {
-          broken.add(LoadSettings.controller(i) + ": " + line);
+        if (line.contains(VIOLATION_MARKER) || line.startsWith(ERROR_PREFIX)) {
+          failures.add(LoadSettings.controller(i) + ": " + line);
         }
       }
     }
   }
 
-  private void tell(Deployment deployment) throws IOException {
-    System.out.println("the schedule, from the first jobs on:");
+  private void printDiagnostics(Deployment deployment) throws IOException {
+    System.out.println("fault schedule, in seconds after the first submission:");
     schedule.forEach(System.out::println);
     for (int i = 0; i < options.controllers(); i++) {
       List<String> lines = deployment.controllers().get(i).log();
-      System.out.println("the last lines of " + LoadSettings.controller(i) + ":");
+      System.out.println("last log lines of " + LoadSettings.controller(i) + ":");
       lines
-          .subList(Math.max(0, lines.size() - MOST_LINES), lines.size())
+          .subList(Math.max(0, lines.size() - MAX_LOG_LINES), lines.size())
           .forEach(System.out::println);
     }
-    for (HollowWorker worker : deployment.fleet().all()) {
-      if (broken.stream().anyMatch(rule -> rule.contains(worker.host()))) {
-        System.out.println("the last events of " + worker.host() + ":");
+    for (SimulatedWorker worker : deployment.fleet().all()) {
+      if (failures.stream().anyMatch(failure -> failure.contains(worker.host()))) {
+        System.out.println("last events of " + worker.host() + ":");
         worker.events().all().forEach(System.out::println);
       }
     }
-    System.out.println("all of it is in " + directory);
+    System.out.println("settings and full logs are in " + directory);
   }
 }
