--- a/src/test/java/dev/dunefront/story/StoryTest.java
+++ b/src/test/java/dev/dunefront/story/ClusterScenarioTest.java
@@ -15,10 +15,10 @@
 import org.junit.jupiter.api.Test;
 
 /** Whole days in small: several controllers, workers and a state service on a fake clock. */
-class StoryTest {
+class ClusterScenarioTest {
 
   @Test
-  void aJobRunsAndEveryControllerSaysDoneForGood() {
+  void everyControllerReportsACompletedJobAsDone() {
     World w = new World(3);
     FakeWorker m = w.machine("host-1", "small", "a", "node-1");
     w.start().pass(2);
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void aSubmissionSeenByTwoControllersIsOneJob() {
+  void resubmissionToAnotherControllerCreatesNoSecondJob() {
     World w = new World(2);
     FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
@@ -55,7 +55,7 @@
    * living claimant: 16 jobs of a day waited for ever.
    */
   @Test
-  void aJobWhoseAcceptanceWasUnclearIsTakenUp() {
+  void jobWhoseAcceptanceWasUnconfirmedIsClaimed() {
     World w = new World(2);
     FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
@@ -69,7 +69,7 @@
   }
 
   @Test
-  void bigTasksWaitBehindNobodyOfLowerPriority() {
+  void higherPriorityTaskIsPlacedFirst() {
     World w = new World(2);
     FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
@@ -85,7 +85,7 @@
   }
 
   @Test
-  void manySmallTasksDoNotKeepALargeOneUnclaimed() {
+  void jobWithALargeTaskIsClaimedBehindManySmallTasks() {
     World w = new World(1);
     for (int i = 0; i < 6; i++) {
       w.machine("small-" + i, "small", "a", "node-0");
@@ -101,7 +101,7 @@
   }
 
   @Test
-  void youngTasksGiveWayToUrgentOnesAndOldOnesDoNot() {
+  void onlyRecentlyStartedTasksArePreempted() {
     World w = new World(2);
     FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
@@ -124,7 +124,7 @@
 
   /** One task was once stopped eleven times, and its job was never done in time. */
   @Test
-  void whatHasGivenWayOnceGoesOn() {
+  void preemptedTaskIsNotPreemptedAgain() {
     World w = new World(2);
     FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
@@ -149,7 +149,7 @@
   }
 
   @Test
-  void aStartWhoseAnswerIsLostIsNotStartedElsewhere() {
+  void startWithLostResponseIsNotRepeatedElsewhere() {
     World w = new World(2);
     FakeWorker a = w.machine("host-1", "small", "a", "node-0");
     FakeWorker b = w.machine("host-2", "small", "a", "node-1");
@@ -165,7 +165,7 @@
   }
 
   @Test
-  void aStartThatArrivesMinutesLateIsRefused() {
+  void delayedStartCommandIsRefused() {
     World w = new World(2);
     FakeWorker a = w.machine("host-1", "small", "a", "node-0");
     FakeWorker b = w.machine("host-2", "small", "a", "node-1");
@@ -184,7 +184,7 @@
   }
 
   @Test
-  void tasksSurviveTheCrashOfTheirClaimantAndAreNotStartedTwice() {
+  void tasksKeepRunningWhenTheirClaimantCrashes() {
     World w = new World(3);
     FakeWorker m = w.machine("host-1", "small", "a", "node-1");
     w.start().pass(2);
@@ -201,7 +201,7 @@
   }
 
   @Test
-  void tasksSurviveTheCrashOfAllControllers() {
+  void tasksKeepRunningWhenAllControllersCrash() {
     World w = new World(3);
     FakeWorker m = w.machine("host-1", "small", "a", "node-1");
     w.start().pass(2);
@@ -221,7 +221,7 @@
   }
 
   @Test
-  void aHolderThatDiesWithAPlacementUnsentStrandsNothing() {
+  void placementIsStartedWhenTheHolderCrashesBeforeSendingIt() {
     World w = new World(3);
     FakeWorker m = w.machine("host-1", "small", "a", "node-1");
     w.start().pass(2);
@@ -237,7 +237,7 @@
   }
 
   @Test
-  void aSilentMachinesTasksRunElsewhereOnlyAfterItsLease() {
+  void tasksOfAnUnreachableMachineRestartOnlyAfterItsLeaseExpires() {
     World w = new World(2);
     FakeWorker a = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
@@ -255,7 +255,7 @@
   }
 
   @Test
-  void aMachineWhoseHolderCannotHearItChangesHands() {
+  void machineThatCannotReachItsHolderMovesToAnother() {
     World w = new World(3);
     FakeWorker m = w.machine("host-1", "small", "a", "node-1");
     w.start().pass(2);
@@ -268,7 +268,7 @@
   }
 
   @Test
-  void aReportUnderAHigherTokenIsSentAway() throws MalformedMessageException {
+  void reportWithAHigherTokenIsRedirected() throws MalformedMessageException {
     World w = new World(1);
     FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
@@ -283,7 +283,7 @@
   }
 
   @Test
-  void cancellingStopsEveryTaskAndNoOlderAnswerFollows() {
+  void cancellationStopsAllTasksAndStatusNeverReverts() {
     World w = new World(3);
     FakeWorker m = w.machine("host-1", "small", "a", "node-1");
     w.start().pass(2);
@@ -303,7 +303,7 @@
   }
 
   @Test
-  void cancellationMeetsATakeover() {
+  void cancellationCompletesAfterATakeover() {
     World w = new World(3);
     FakeWorker m = w.machine("host-1", "small", "a", "node-1");
     w.start().pass(2);
@@ -324,7 +324,7 @@
    * {@code cancel_s} after its user had been told.
    */
   @Test
-  void aJobIsNotCalledCancelledWhileATaskRunsOnBehindACut() {
+  void jobIsNotReportedCancelledWhileAPartitionedTaskRuns() {
     World w = new World(3);
     FakeWorker m = w.machine("host-1", "small", "a", "node-1");
     w.start().pass(2);
@@ -355,7 +355,7 @@
 
   /** A job in more chunks than one transaction removes is recorded as done before it is emptied. */
   @Test
-  void aHugeJobThatIsDoneButNotYetEmptiedCannotBeCancelled() throws MalformedMessageException {
+  void doneJobWithUndeletedChunksCannotBeCancelled() throws MalformedMessageException {
     World w = new World(2);
     w.start().pass(2);
     JobSpec spec = JobSpec.fromDocument(World.job("wk-1", 20_000, 1));
@@ -368,7 +368,7 @@
   }
 
   @Test
-  void aLimitHoldsAcrossControllersThatComeAndGo() {
+  void teamLimitHoldsAcrossAControllerCrash() {
     World w = new World(3, "[[facts.teams]]\nname = \"t\"\ncpus = 1.0\ncpus_max = 3.0\n");
     FakeWorker a = w.machine("host-1", "large", "a", "node-0");
     FakeWorker b = w.machine("host-2", "large", "a", "node-1");
@@ -398,7 +398,7 @@
   }
 
   @Test
-  void anOutageOfTheStateIsAnsweredAtOnceWhileTasksRunOn() {
+  void stateServiceOutageFailsRequestsFastWhileTasksRun() {
     World w = new World(2);
     FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
@@ -425,7 +425,7 @@
   }
 
   @Test
-  void aControllerThatTheStateRefusesAloneSendsItsUsersElsewhere() {
+  void controllerRefusedByTheStateServiceReportsUnhealthy() {
     World w = new World(3);
     FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
@@ -454,7 +454,7 @@
   }
 
   @Test
-  void aTransactionThatArrivesLateChangesNothingTwice() {
+  void delayedTransactionDoesNotCreateTheJobTwice() {
     World w = new World(2);
     FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
@@ -470,7 +470,7 @@
   }
 
   @Test
-  void aHugeJobStaysWithinTheStatesLimits() {
+  void hugeJobStaysWithinStateServiceLimits() {
     World w = new World(2);
     w.machine("host-1", "large", "a", "node-0");
     w.start().pass(2);
@@ -486,7 +486,7 @@
   }
 
   @Test
-  void aMachineThatFailsEveryTaskIsReplacedAndAJobThatFailsEverywhereHarmsNone() {
+  void failuresAreAttributedToTheMachineOrToTheJob() {
     World w = new World(2);
     FakeWorker bad = w.machine("host-1", "large", "a", "node-0");
     w.start().pass(2);
@@ -538,7 +538,7 @@
   }
 
   @Test
-  void aHireWithoutAnAnswerIsAskedAgainUnderItsName() {
+  void rentingRequestWithoutAResponseIsRetriedUnderTheSameName() {
     World w = new World(2);
     w.cloud.capacity(5);
     w.start().pass(2);
@@ -553,7 +553,7 @@
   }
 
   @Test
-  void aSilentMachineIsDeletedAndThatProvesItsTasksGone() {
+  void deletingAnUnreachableMachineProvesThatItsTasksEnded() {
     World w = new World(2);
     FakeWorker a = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
@@ -575,7 +575,7 @@
    * `steady` nearly all late jobs of the second half had lost tasks in that way.
    */
   @Test
-  void tasksThatCannotEndBeforeTheirMachineIsTakenAreMovedAtTheNotice() {
+  void reclaimNoticeMovesTasksThatCannotFinishInTime() {
     World w = new World(2);
     FakeWorker a = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
@@ -598,7 +598,7 @@
 
   /** Found on bordverkauf-wien's day `apart`: two jobs never ended. */
   @Test
-  void aMachineThatEndsJustAfterItsTokenWasRaisedStrandsNothing() {
+  void tasksAreReplacedWhenAMachineIsReclaimedAfterItsTokenRise() {
     World w = new World(1);
     w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
@@ -615,7 +615,7 @@
   }
 
   @Test
-  void aMachineTakenWhileNobodyHeldItStrandsNothing() {
+  void tasksAreReplacedWhenAMachineWithoutHolderIsReclaimed() {
     World w = new World(2);
     FakeWorker a = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
@@ -637,7 +637,7 @@
   }
 
   @Test
-  void serviceTasksOfAJobStayInOneZoneOrApart() {
+  void zoneConstraintsOfAJobAreHonored() {
     World w = new World(2);
     FakeWorker a = w.machine("host-1", "large", "a", "node-0");
     FakeWorker b = w.machine("host-2", "large", "b", "node-1");
@@ -653,7 +653,7 @@
   }
 
   @Test
-  void tasksThatMustBeApartWaitForAnotherZoneAndKeepNobodyElseWaiting() {
+  void spreadTasksWaitForTheirZoneWithoutBlockingOtherJobs() {
     World w = new World(2);
     FakeWorker a = w.machine("host-1", "large", "a", "node-0");
     w.machine("host-2", "large", "b", "node-1");
@@ -676,7 +676,7 @@
 
   /** What the cloud does not have now it may have soon. */
   @Test
-  void aHireThatIsFilledInPartIsMadeUpForLater() {
+  void partlyFilledRentingRequestIsCompletedLater() {
     World w = new World(2);
     w.cloud.capacity(1);
     w.start().pass(2);
@@ -689,7 +689,7 @@
   }
 
   @Test
-  void whatIsMalformedOrImpossibleIsRefusedForGood() {
+  void malformedAndUnsatisfiableRequestsAreRejected() {
     World w = new World(1);
     w.start().pass(2);
     assertEquals(400, w.ask("node-0", "POST", "/v1/jobs", new byte[] {1, 2, 3}).status());
--- a/src/test/java/dev/dunefront/story/Crowd.java
+++ b/src/test/java/dev/dunefront/story/Crowd.java
@@ -9,8 +9,8 @@
  * world's {@link OperationHistory}.
  */
 final class Crowd {
-  private static final double APART_S = 0.02;
-  private static final double LOOK_S = 20;
+  private static final double POLL_INTERVAL_S = 0.02;
+  private static final double POLL_DURATION_S = 20;
   private static final int TRIES = 40;
 
   private final World world;
@@ -25,7 +25,7 @@
       String id = job.text("id");
       world.user("POST", "/v1/jobs", job, id, node, TRIES);
       world.timers.after(0.4, () -> world.user("POST", "/v1/jobs", job, id, node + 1, TRIES));
-      look(id, LOOK_S);
+      look(id, POLL_DURATION_S);
     } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
@@ -37,7 +37,7 @@
     String path = "/v1/jobs/" + id + "/abort";
     world.user("POST", path, null, id, node, TRIES);
     world.timers.after(0.3, () -> world.user("POST", path, null, id, node + 1, TRIES));
-    look(id, LOOK_S / 2);
+    look(id, POLL_DURATION_S / 2);
   }
 
   /** Asks after a job, at one controller after the other, for so long. */
@@ -48,7 +48,7 @@
   private void look(String id, int node, double until) {
     if (world.timers.now() < until) {
       world.user("GET", "/v1/jobs/" + id, null, id, node, 1);
-      world.timers.after(APART_S, () -> look(id, node + 1, until));
+      world.timers.after(POLL_INTERVAL_S, () -> look(id, node + 1, until));
     }
   }
 }
--- a/src/test/java/dev/dunefront/story/OperationHistory.java
+++ b/src/test/java/dev/dunefront/story/OperationHistory.java
@@ -17,19 +17,19 @@
  * answer goes back, what was accepted stays known.
  */
 final class OperationHistory {
-  private record Last(String state, double at) {}
+  private record FinalStatus(String status, double at) {}
 
   private final Collection<FakeWorker> workers;
-  private final Collection<FakeWorker> everyWorker;
+  private final Collection<FakeWorker> allWorkersEver;
   private final Map<String, Integer> accepted;
-  private final Set<String> asked;
-  private final Map<String, Last> ended = new HashMap<>();
-  private final Map<String, Double> known = new HashMap<>();
+  private final Set<String> cancelRequested;
+  private final Map<String, FinalStatus> finalStatuses = new HashMap<>();
+  private final Map<String, Double> firstKnownAt = new HashMap<>();
   private final Map<String, Document> specs;
-  private double limit = Double.POSITIVE_INFINITY;
+  private double teamLimitCpus = Double.POSITIVE_INFINITY;
 
   /** What was found, without repeats. */
-  final List<String> wrong = new ArrayList<>();
+  final List<String> violations = new ArrayList<>();
 
   /**
    * The workers are those that there are, and all that ever were; asked are the jobs whose users
@@ -42,62 +42,63 @@
       Set<String> asked,
       Map<String, Document> specs) {
     this.workers = workers;
-    this.everyWorker = everyWorker;
+    this.allWorkersEver = everyWorker;
     this.accepted = accepted;
-    this.asked = asked;
+    this.cancelRequested = asked;
     this.specs = specs;
   }
 
   /** All jobs are of one team, whose tasks may use so much at most. */
-  void limit(double cpusMax) {
-    limit = cpusMax;
+  void teamLimitCpus(double cpusMax) {
+    teamLimitCpus = cpusMax;
   }
 
   /**
    * A user's question, submission or cancellation has been answered. What was told after it had
    * been sent does not count against the answer.
    */
-  void told(String id, World.Said said, double sentAt, double now) {
+  void recordResponse(String id, World.Said said, double sentAt, double now) {
     if (said == null) {
       return;
     }
     if (said.status() == 404 || said.status() == 400 || said.status() == 422) {
-      note(
-          known.getOrDefault(id, Double.POSITIVE_INFINITY) <= sentAt,
+      recordIf(
+          firstKnownAt.getOrDefault(id, Double.POSITIVE_INFINITY) <= sentAt,
           id + " was accepted and is answered " + said.status());
       return;
     }
     if (said.status() != 200 && said.status() != 201) {
       return;
     }
-    known.putIfAbsent(id, now);
+    firstKnownAt.putIfAbsent(id, now);
     String state = said.state();
-    Last last = ended.get(id);
-    note(
-        last != null && last.at <= sentAt && !last.state.equals(state),
-        id + " was " + (last == null ? "" : last.state) + " and is called " + state);
+    FinalStatus last = finalStatuses.get(id);
+    recordIf(
+        last != null && last.at <= sentAt && !last.status.equals(state),
+        id + " was " + (last == null ? "" : last.status) + " and is called " + state);
     if (state.equals("done")) {
-      note(doneTasks(id) < accepted.getOrDefault(id, 0), id + " is called done early");
-      ended.putIfAbsent(id, new Last(state, now));
+      recordIf(doneTaskCount(id) < accepted.getOrDefault(id, 0), id + " is called done early");
+      finalStatuses.putIfAbsent(id, new FinalStatus(state, now));
     } else if (state.equals("cancelled")) {
-      note(!asked.contains(id), id + " is called cancelled and nobody asked for it");
-      ended.putIfAbsent(id, new Last(state, now));
-      look();
+      recordIf(!cancelRequested.contains(id), id + " is called cancelled and nobody asked for it");
+      finalStatuses.putIfAbsent(id, new FinalStatus(state, now));
+      checkRunningTasks();
     }
   }
 
   /** Users are told only on proof, so nothing may run from the word on, not even for a moment. */
-  void look() {
+  void checkRunningTasks() {
     double used = 0;
     for (FakeWorker w : workers) {
       for (String task : w.running()) {
         String job = task.substring(0, task.indexOf('/'));
         used += cpusEach(job);
-        Last last = ended.get(job);
-        note(last != null, task + " runs on " + w.host() + " though its user was told it is over");
+        FinalStatus last = finalStatuses.get(job);
+        recordIf(
+            last != null, task + " runs on " + w.host() + " though its user was told it is over");
       }
     }
-    note(used > limit, "more runs than the team's limit allows");
+    recordIf(used > teamLimitCpus, "more runs than the team's limit allows");
   }
 
   private double cpusEach(String job) {
@@ -108,20 +109,20 @@
     }
   }
 
-  private long doneTasks(String id) {
-    return done().stream().filter(task -> task.startsWith(id + "/")).count();
+  private long doneTaskCount(String id) {
+    return doneTasks().stream().filter(task -> task.startsWith(id + "/")).count();
   }
 
   /** All tasks that have ever been done. */
-  Set<String> done() {
+  Set<String> doneTasks() {
     Set<String> done = new HashSet<>();
-    everyWorker.forEach(w -> done.addAll(w.done()));
+    allWorkersEver.forEach(w -> done.addAll(w.done()));
     return done;
   }
 
-  private void note(boolean isWrong, String what) {
-    if (isWrong && !wrong.contains(what)) {
-      wrong.add(what);
+  private void recordIf(boolean isWrong, String what) {
+    if (isWrong && !violations.contains(what)) {
+      violations.add(what);
     }
   }
 }
--- a/src/test/java/dev/dunefront/story/PlacementCheck.java
+++ b/src/test/java/dev/dunefront/story/PlacementCheck.java
@@ -35,8 +35,9 @@
             continue;
           }
           zones.computeIfAbsent(job, j -> new HashMap<>()).merge(w.zone(), 1, Integer::sum);
-          note(!w.zone().equals(spec.textOr("site", w.zone())), task + " is in zone " + w.zone());
-          note(
+          recordIf(
+              !w.zone().equals(spec.textOr("site", w.zone())), task + " is in zone " + w.zone());
+          recordIf(
               spec.has("flavors") && !spec.texts("flavors").contains(w.type()),
               task + " is on a " + w.type());
         }
@@ -44,8 +45,9 @@
       for (var e : zones.entrySet()) {
         Document spec = specs.get(e.getKey());
         long half = (spec.count("pieces") + 1) / 2;
-        note(spec.flag("same_place") && e.getValue().size() > 1, e.getKey() + " is in two zones");
-        note(
+        recordIf(
+            spec.flag("same_place") && e.getValue().size() > 1, e.getKey() + " is in two zones");
+        recordIf(
             spec.flag("apart") && e.getValue().values().stream().anyMatch(n -> n > half),
             e.getKey() + " has more than half in one zone");
       }
@@ -54,7 +56,7 @@
     }
   }
 
-  private void note(boolean isWrong, String what) {
+  private void recordIf(boolean isWrong, String what) {
     if (isWrong && !wrong.contains(what)) {
       wrong.add(what);
     }
--- a/src/test/java/dev/dunefront/story/StarvationCheck.java
+++ b/src/test/java/dev/dunefront/story/StarvationCheck.java
@@ -18,12 +18,12 @@
  * on each other's places are left out, for whether a machine fits them is for the rules to say.
  */
 final class StarvationCheck {
-  static final double LONGEST_S = 90;
+  static final double MAX_WAIT_S = 90;
 
   private final Map<String, Document> specs;
-  private final Map<String, Double> since = new HashMap<>();
+  private final Map<String, Double> waitingSince = new HashMap<>();
   private final Predicate<FakeWorker> reachable;
-  private double limit = Double.POSITIVE_INFINITY;
+  private double teamLimitCpus = Double.POSITIVE_INFINITY;
 
   /** What was found, without repeats. */
   final List<String> wrong = new ArrayList<>();
@@ -35,8 +35,8 @@
   }
 
   /** All jobs are of one team, whose tasks may use so much at most. */
-  void limit(double cpusMax) {
-    limit = cpusMax;
+  void teamLimitCpus(double cpusMax) {
+    teamLimitCpus = cpusMax;
   }
 
   /**
@@ -44,7 +44,7 @@
    *
    * @param ids accepted jobs that nobody has cancelled
    */
-  void look(Set<String> ids, Iterable<FakeWorker> workers, Set<String> done, double now) {
+  void check(Set<String> ids, Iterable<FakeWorker> workers, Set<String> done, double now) {
     try {
       Set<String> placed = new HashSet<>(done);
       Map<FakeWorker, Double> free = new HashMap<>();
@@ -65,14 +65,15 @@
       Set<String> starving = new HashSet<>();
       for (String id : ids) {
         Document spec = specs.get(id);
-        if (spec != null && waits(id, spec, placed) && fits(spec, free, used)) {
+        if (spec != null && hasUnplacedTask(id, spec, placed) && hasRoomForTask(spec, free, used)) {
           starving.add(id);
         }
       }
-      since.keySet().retainAll(starving);
+      waitingSince.keySet().retainAll(starving);
       for (String id : starving) {
         String found = id + " has waited for 90 s beside room";
-        if (now - since.computeIfAbsent(id, k -> now) >= LONGEST_S && !wrong.contains(found)) {
+        if (now - waitingSince.computeIfAbsent(id, k -> now) >= MAX_WAIT_S
+            && !wrong.contains(found)) {
           wrong.add(found);
         }
       }
@@ -81,7 +82,7 @@
     }
   }
 
-  private static boolean waits(String id, Document spec, Set<String> placed)
+  private static boolean hasUnplacedTask(String id, Document spec, Set<String> placed)
       throws MalformedMessageException {
     for (int i = 0; i < spec.count("pieces"); i++) {
       if (!placed.contains(id + "/" + i)) {
@@ -91,10 +92,10 @@
     return false;
   }
 
-  private boolean fits(Document spec, Map<FakeWorker, Double> free, double used)
+  private boolean hasRoomForTask(Document spec, Map<FakeWorker, Double> free, double used)
       throws MalformedMessageException {
     double each = spec.amount("vcpus");
-    if (spec.flag("same_place") || spec.flag("apart") || used + each > limit + 1e-9) {
+    if (spec.flag("same_place") || spec.flag("apart") || used + each > teamLimitCpus + 1e-9) {
       return false;
     }
     for (var e : free.entrySet()) {
--- a/src/test/java/dev/dunefront/story/World.java
+++ b/src/test/java/dev/dunefront/story/World.java
@@ -40,7 +40,7 @@
 final class World {
   static final double REPORT_S = 1.0;
   static final double LEASE_S = 8.0;
-  private static final double HOP_S = 0.002;
+  private static final double NETWORK_DELAY_S = 0.002;
 
   /** One answer to a user. */
   record Said(int status, Document body, int retryAfterS) {
@@ -65,11 +65,11 @@
   final Map<String, FakeWorker> workers = new LinkedHashMap<>();
 
   /** Those that are gone as well. */
-  private final List<FakeWorker> everyWorker = new ArrayList<>();
+  private final List<FakeWorker> allWorkersEver = new ArrayList<>();
 
   private final Map<String, String> machineZones = new HashMap<>();
   private final Map<String, String> reportsTo = new HashMap<>();
-  private final Map<String, Double> answeredAt = new HashMap<>();
+  private final Map<String, Double> leaseRenewedAt = new HashMap<>();
   final Set<String> silent = new HashSet<>();
 
   /** Machines that hang: nothing is carried out there until they go on. */
@@ -90,17 +90,17 @@
   /** Calls of this path are held back as well. */
   String heldPath;
 
-  private final List<Runnable> held = new ArrayList<>();
+  private final List<Runnable> heldDeliveries = new ArrayList<>();
 
   /** What has ever been held back: path and body. */
   final List<String> heldCalls = new ArrayList<>();
 
   /** Hears of every call as it is made: by whom, of what path, with what body. */
-  interface Tap {
-    void called(String from, String path, String body);
+  interface RequestListener {
+    void onRequest(String from, String path, String body);
   }
 
-  Tap tap = (from, path, body) -> {};
+  RequestListener tap = (from, path, body) -> {};
 
   /** What becomes of a call on its way. */
   enum Fate {
@@ -132,7 +132,7 @@
    */
   Predicate<String> keptForNext = node -> false;
 
-  private final List<byte[]> kept = new ArrayList<>();
+  private final List<byte[]> reportsToReplay = new ArrayList<>();
 
   /** The jobs that users were told are accepted, with their numbers of tasks. */
   final Map<String, Integer> accepted = new LinkedHashMap<>();
@@ -141,19 +141,19 @@
   final Set<String> cancelled = new HashSet<>();
 
   /** What users have asked for, by job: the first submission of each counts. */
-  private final Map<String, Document> specs = new HashMap<>();
+  private final Map<String, Document> submittedSpecs = new HashMap<>();
 
   /** What users were told, held against what the workers did. */
-  final OperationHistory history =
-      new OperationHistory(workers.values(), everyWorker, accepted, cancelled, specs);
+  final OperationHistory operationHistory =
+      new OperationHistory(workers.values(), allWorkersEver, accepted, cancelled, submittedSpecs);
 
   /** Whether tasks are where their jobs allow them. */
-  final PlacementCheck placement = new PlacementCheck(specs);
+  final PlacementCheck placementCheck = new PlacementCheck(submittedSpecs);
 
   /** Who waits beside room, once all troubles are over. */
   final StarvationCheck starvation =
       new StarvationCheck(
-          specs,
+          submittedSpecs,
           w -> !silent.contains(w.host()) && !deaf.contains(w.host()) && !hung.contains(w.host()));
 
   /** Decides what becomes of a call: by whom, of what path, with what body. */
@@ -192,18 +192,18 @@
 
   private double bootS = Double.NaN;
   private double listLagS;
-  private final Set<String> coming = new HashSet<>();
+  private final Set<String> bootScheduled = new HashSet<>();
 
   /** Every task's machines over time must never overlap; this is what was found. */
   final List<String> overlaps = new ArrayList<>();
 
   static final String ONE_TEAM = "[[facts.teams]]\nname = \"t\"\n";
 
-  final String teams;
+  final String teamsToml;
   private final List<String> zones;
 
   /** The zone that is cut off from everything, or null. */
-  private String cutZone;
+  private String partitionedZone;
 
   /** The state service's limits on values, and on requests and changes in a second. */
   double valueKb = 16;
@@ -220,7 +220,7 @@
 
   /** A controller for each of the zones given. */
   World(List<String> zones, String teams) {
-    this.teams = teams;
+    this.teamsToml = teams;
     this.zones = new ArrayList<>(zones);
     for (int i = 0; i < zones.size(); i++) {
       nodes.put("node-" + i, new Node("node-" + i, zones.get(i)));
@@ -234,8 +234,8 @@
   /** All jobs are of one team, whose tasks may use so much at most; that is checked throughout. */
   static World limited(List<String> zones, double cpusMax) {
     World w = new World(zones, ONE_TEAM + "cpus_max = " + cpusMax + "\n");
-    w.history.limit(cpusMax);
-    w.starvation.limit(cpusMax);
+    w.operationHistory.teamLimitCpus(cpusMax);
+    w.starvation.teamLimitCpus(cpusMax);
     return w;
   }
 
@@ -254,10 +254,10 @@
 
   /** A controller is taken out of the settings of those that are started from now on. */
   void strike(String name) {
-    struck.add(name);
+    removedFromSettings.add(name);
   }
 
-  private final Set<String> struck = new HashSet<>();
+  private final Set<String> removedFromSettings = new HashSet<>();
 
   /** Three controllers and so many small machines that have reported. */
   static World of(int machines) {
@@ -276,7 +276,7 @@
   }
 
   /** The clock as one controller has it: what is due reaches it only while it runs. */
-  private record OwnTimers(Timers clock, Consumer<Runnable> runner) implements Timers {
+  private record ControllerTimers(Timers clock, Consumer<Runnable> runner) implements Timers {
     @Override
     public double now() {
       return clock.now();
@@ -299,9 +299,9 @@
     nodes.values().forEach(Node::checkInvariants);
   }
 
-  private void watchOverlaps() {
-    history.look();
-    placement.look(workers.values());
+  private void checkWorkers() {
+    operationHistory.checkRunningTasks();
+    placementCheck.look(workers.values());
     Set<String> seen = new HashSet<>();
     for (FakeWorker w : workers.values()) {
       for (String task : w.running()) {
@@ -317,12 +317,12 @@
   final class Node {
     final String name;
     private final String zone;
-    private Controller daemon;
-    private int life;
+    private Controller controller;
+    private int startCount;
     private boolean up;
 
     /** Whom its settings name. */
-    private Set<String> knows = Set.of();
+    private Set<String> configuredNodes = Set.of();
 
     /** What a controller that stands still would have done or heard meanwhile; null if it runs. */
     private List<Runnable> backlog;
@@ -333,10 +333,10 @@
     }
 
     void start() {
-      int mine = ++life;
+      int mine = ++startCount;
       up = true;
       backlog = null;
-      Timers own = new OwnTimers(timers, action -> meet(mine, action));
+      Timers own = new ControllerTimers(timers, action -> deliver(mine, action));
       DecisionLock decisionLock =
           new DecisionLock(
               e -> {
@@ -344,20 +344,20 @@
               });
       HttpCaller caller =
           (address, method, path, body, deadlineS, then) ->
-              call(
+              sendRequest(
                   name,
                   address,
                   method,
                   path,
                   body,
                   deadlineS,
-                  r -> meet(mine, () -> then.accept(r)));
+                  r -> deliver(mine, () -> then.accept(r)));
       Settings settings = settings(name);
-      knows = new HashSet<>(Set.of(name));
-      settings.peers().forEach(p -> knows.add(p.node()));
+      configuredNodes = new HashSet<>(Set.of(name));
+      settings.peers().forEach(p -> configuredNodes.add(p.node()));
       HttpStateStore store =
           new HttpStateStore(settings, caller, own, decisionLock, name + "-" + mine);
-      daemon =
+      controller =
           new Controller(
               settings,
               tunables,
@@ -366,44 +366,44 @@
               own,
               decisionLock,
               new LoopWatchdog(),
-              (w, l) -> new Links(this, w));
-      daemon.start();
-      timers.after(0.5, World.this::deliverKept);
+              (w, l) -> new SimulatedPeers(this, w));
+      controller.start();
+      timers.after(0.5, World.this::replayReports);
       for (Node other : nodes.values()) {
-        if (other != this && other.up && acquainted(this, other)) {
-          link(this, other);
-          link(other, this);
+        if (other != this && other.up && configuredAsPeers(this, other)) {
+          reconnect(this, other);
+          reconnect(other, this);
         }
       }
     }
 
     /** No story may violate an invariant, whatever else it looks at. */
     void checkInvariants() {
-      if (daemon != null && !daemon.safety().violations().isEmpty()) {
-        throw new AssertionError(name + " violates " + daemon.safety().violations());
+      if (controller != null && !controller.safety().violations().isEmpty()) {
+        throw new AssertionError(name + " violates " + controller.safety().violations());
       }
     }
 
     void crash() {
       checkInvariants();
       up = false;
-      daemon = null;
-      cut.removeIf(link -> link.endsWith(">" + name));
+      controller = null;
+      brokenLinks.removeIf(link -> link.endsWith(">" + name));
       for (Node other : nodes.values()) {
         if (other != this && other.up) {
-          other.decisionLock().run(() -> other.daemon.disconnected(name));
+          other.decisionLock().run(() -> other.controller.disconnected(name));
         }
       }
     }
 
     /** The process is told to end and does so half a second later. */
     void end() {
-      decisionLock().run(() -> daemon.handOverDuties(() -> {}));
-      int mine = life;
+      decisionLock().run(() -> controller.handOverDuties(() -> {}));
+      int mine = startCount;
       timers.after(
           0.5,
           () -> {
-            if (life == mine && up) {
+            if (startCount == mine && up) {
               crash();
             }
           });
@@ -427,24 +427,24 @@
     }
 
     private DecisionLock decisionLock() {
-      return daemon.decisionLock();
+      return controller.decisionLock();
     }
 
     /** Something reaches this life of the controller: now, or when it goes on. */
-    private void meet(int inLife, Runnable what) {
-      if (life != inLife || !up) {
+    private void deliver(int inLife, Runnable what) {
+      if (startCount != inLife || !up) {
         return;
       }
       if (backlog != null) {
-        backlog.add(() -> meet(inLife, what));
+        backlog.add(() -> deliver(inLife, what));
       } else {
         what.run();
       }
     }
 
     /** Something is told to the controller, inside its lock. */
-    private void hear(Consumer<Controller> what) {
-      meet(life, () -> decisionLock().run(() -> what.accept(daemon)));
+    private void runOnController(Consumer<Controller> what) {
+      deliver(startCount, () -> decisionLock().run(() -> what.accept(controller)));
     }
 
     /** Somebody asks and does not wait; what comes is the status. */
@@ -464,7 +464,7 @@
     }
 
     private void handle(HttpServer.Request request, HttpServer.Responder answer) {
-      meet(life, () -> daemon.handle(request, answer));
+      deliver(startCount, () -> controller.handle(request, answer));
     }
 
     /**
@@ -475,16 +475,16 @@
       if (backlog != null) {
         return;
       }
-      int mine = life;
+      int mine = startCount;
       backlog = new ArrayList<>();
       timers.after(
-          LINK_SILENCE_S,
+          LINK_TIMEOUT_S,
           () -> {
-            if (life == mine && up && backlog != null) {
+            if (startCount == mine && up && backlog != null) {
               for (Node other : nodes.values()) {
                 if (other != this && other.up) {
-                  cut.add(other.name + ">" + name);
-                  other.hear(d -> d.disconnected(name));
+                  brokenLinks.add(other.name + ">" + name);
+                  other.runOnController(d -> d.disconnected(name));
                 }
               }
             }
@@ -492,17 +492,17 @@
       timers.after(
           seconds,
           () -> {
-            if (life != mine || !up) {
+            if (startCount != mine || !up) {
               return;
             }
             List<Runnable> all = backlog;
             backlog = null;
             all.forEach(Runnable::run);
             for (Node other : nodes.values()) {
-              if (other != this && cut.remove(other.name + ">" + name)) {
-                decisionLock().run(() -> daemon.disconnected(other.name));
-                link(this, other);
-                link(other, this);
+              if (other != this && brokenLinks.remove(other.name + ">" + name)) {
+                decisionLock().run(() -> controller.disconnected(other.name));
+                reconnect(this, other);
+                reconnect(other, this);
               }
             }
           });
@@ -510,30 +510,30 @@
   }
 
   /** Links that have broken, as {@code from>to}. */
-  private final Set<String> cut = new HashSet<>();
+  private final Set<String> brokenLinks = new HashSet<>();
 
-  private static final double LINK_SILENCE_S = 5;
+  private static final double LINK_TIMEOUT_S = 5;
 
-  private static boolean acquainted(Node a, Node b) {
-    return a.knows.contains(b.name) && b.knows.contains(a.name);
+  private static boolean configuredAsPeers(Node a, Node b) {
+    return a.configuredNodes.contains(b.name) && b.configuredNodes.contains(a.name);
   }
 
-  private void link(Node from, Node to) {
+  private void reconnect(Node from, Node to) {
     timers.after(
-        HOP_S,
+        NETWORK_DELAY_S,
         () -> {
           if (from.up && to.up) {
-            to.hear(d -> d.disconnected(from.name));
-            from.hear(d -> d.connected(to.name));
+            to.runOnController(d -> d.disconnected(from.name));
+            from.runOnController(d -> d.connected(to.name));
           }
         });
   }
 
-  private final class Links implements Peers {
+  private final class SimulatedPeers implements Peers {
     private final Node self;
     private final DecisionLock decisionLock;
 
-    Links(Node self, DecisionLock decisionLock) {
+    SimulatedPeers(Node self, DecisionLock decisionLock) {
       this.self = self;
       this.decisionLock = decisionLock;
     }
@@ -542,25 +542,26 @@
     public void send(String node, Message message) {
       messages++;
       Node to = nodes.get(node);
-      int life = to == null ? 0 : to.life;
+      int life = to == null ? 0 : to.startCount;
       byte[] record = MessageCodec.encode(message);
       if (late.test(message)) {
-        held.add(() -> say(self.name, node, message));
+        heldDeliveries.add(() -> say(self.name, node, message));
         return;
       }
       timers.after(
-          node.equals(self.name) ? 0 : HOP_S,
+          node.equals(self.name) ? 0 : NETWORK_DELAY_S,
           () -> {
             if (to == null
-                || !acquainted(self, to)
+                || !configuredAsPeers(self, to)
                 || lost.test(self.name, node)
-                || crosses(self.zone, to.zone)
-                || cut.contains(self.name + ">" + node)) {
+                || crossesPartition(self.zone, to.zone)
+                || brokenLinks.contains(self.name + ">" + node)) {
               return;
             }
             try {
               Message m = MessageCodec.decode(record);
-              to.meet(life, () -> to.decisionLock().run(() -> to.daemon.received(self.name, m)));
+              to.deliver(
+                  life, () -> to.decisionLock().run(() -> to.controller.received(self.name, m)));
             } catch (IOException e) {
               throw new AssertionError(e);
             }
@@ -575,7 +576,7 @@
 
   /** A record from one controller reaches another, whenever it was sent. */
   void say(String from, String to, Message message) {
-    nodes.get(to).hear(d -> d.received(from, message));
+    nodes.get(to).runOnController(d -> d.received(from, message));
   }
 
   private Settings settings(String name) {
@@ -584,13 +585,13 @@
     toml.append("\"\nsite = \"").append(nodes.get(name).zone).append("\"\n");
     toml.append("listen = \"10.0.0.1:80\"\npeer_bind = \"10.0.0.1:81\"\n");
     for (int i = 0; i < zones.size(); i++) {
-      if (!name.equals("node-" + i) && !struck.contains("node-" + i)) {
+      if (!name.equals("node-" + i) && !removedFromSettings.contains("node-" + i)) {
         toml.append("[[others]]\nhost_name = \"node-").append(i);
         toml.append("\"\nsite = \"").append(zones.get(i));
         toml.append("\"\naddress = \"10.0.0.9:81\"\n");
       }
     }
-    toml.append("[outside]\ncloud = \"10.2.0.2:1\"\nstate = \"10.2.0.1:1\"\n").append(teams);
+    toml.append("[outside]\ncloud = \"10.2.0.2:1\"\nstate = \"10.2.0.1:1\"\n").append(teamsToml);
     toml.append("[facts.workers]\nreport_s = ").append(REPORT_S);
     toml.append("\nlease_s = ").append(LEASE_S).append("\ncancel_s = 20.0\n");
     toml.append("[facts.state]\nrps = ").append(rps);
@@ -608,7 +609,7 @@
 
   // ---- the network ----
 
-  private void call(
+  private void sendRequest(
       String from,
       String address,
       String method,
@@ -626,10 +627,11 @@
         };
     timers.after(deadlineS, () -> once.accept(HttpCaller.Response.NO_RESPONSE));
     if (address.equals("10.2.0.1:1") && refusedByState.contains(from)) {
-      timers.after(HOP_S, () -> once.accept(new HttpCaller.Response(503, new byte[0], 0)));
+      timers.after(
+          NETWORK_DELAY_S, () -> once.accept(new HttpCaller.Response(503, new byte[0], 0)));
       return;
     }
-    tap.called(from, path, text(body));
+    tap.onRequest(from, path, text(body));
     Runnable deliver =
         () ->
             serve(
@@ -639,7 +641,9 @@
                 body,
                 r -> {
                   if (!unanswered.test(from, address)) {
-                    timers.after(HOP_S, () -> unlessRefused(from, path, () -> once.accept(r)));
+                    timers.after(
+                        NETWORK_DELAY_S,
+                        () -> respondUnlessRefused(from, path, () -> once.accept(r)));
                   }
                 });
     FakeWorker called = workers.get(address);
@@ -655,32 +659,32 @@
     }
     if (fate == Fate.ANSWERED_LATE) {
       Consumer<HttpCaller.Response> late = r -> timers.after(deadlineS - 0.1, () -> once.accept(r));
-      timers.after(HOP_S, () -> serve(address, method, path, body, late));
+      timers.after(NETWORK_DELAY_S, () -> serve(address, method, path, body, late));
       return;
     }
     if (fate == Fate.UNANSWERED) {
-      timers.after(HOP_S, () -> serve(address, method, path, body, r -> {}));
+      timers.after(NETWORK_DELAY_S, () -> serve(address, method, path, body, r -> {}));
       return;
     }
     FakeWorker worker = workers.get(address);
     if (worker != null && hung.contains(worker.host())) {
-      whenGoesOn(worker.host(), deliver);
+      deliverWhenResumed(worker.host(), deliver);
       return;
     }
-    boolean cutOff = crosses(nodes.get(from).zone, worker == null ? null : zoneOf(worker));
+    boolean cutOff = crossesPartition(nodes.get(from).zone, worker == null ? null : zoneOf(worker));
     if (cutOff || heldBack.test(from, address) || path.equals(heldPath)) {
-      held.add(deliver);
+      heldDeliveries.add(deliver);
       heldCalls.add(path + " " + text(body));
       return;
     }
     boolean slow = address.equals("10.2.0.1:1");
-    timers.after(HOP_S + (slow ? stateSlowS.getAsDouble() : 0), deliver);
+    timers.after(NETWORK_DELAY_S + (slow ? stateSlowS.getAsDouble() : 0), deliver);
   }
 
   /** What reaches a machine that hangs waits there, and is carried out first when it goes on. */
-  private void whenGoesOn(String host, Runnable what) {
+  private void deliverWhenResumed(String host, Runnable what) {
     if (hung.contains(host)) {
-      timers.after(0.01, () -> whenGoesOn(host, what));
+      timers.after(0.01, () -> deliverWhenResumed(host, what));
     } else {
       what.run();
     }
@@ -693,37 +697,37 @@
   }
 
   /** A watch that was open when the state service began to refuse its controller waits on. */
-  private void unlessRefused(String from, String path, Runnable answer) {
+  private void respondUnlessRefused(String from, String path, Runnable answer) {
     if (path.startsWith("/watch") && refusedByState.contains(from)) {
-      timers.after(0.1, () -> unlessRefused(from, path, answer));
+      timers.after(0.1, () -> respondUnlessRefused(from, path, answer));
     } else {
       answer.run();
     }
   }
 
   /** Whether a packet between the zones meets the cut; null is where no zone is. */
-  private boolean crosses(String one, String other) {
-    return cutZone != null && cutZone.equals(one) != cutZone.equals(other);
+  private boolean crossesPartition(String one, String other) {
+    return partitionedZone != null && partitionedZone.equals(one) != partitionedZone.equals(other);
   }
 
   /** Cuts a zone off from everything else: what crosses is held, links fall silent. */
   void cut(String zone) {
-    cutZone = zone;
-    timers.after(LINK_SILENCE_S, this::linksFallSilent);
+    partitionedZone = zone;
+    timers.after(LINK_TIMEOUT_S, this::timeOutPartitionedLinks);
   }
 
   /** The cut ends: all that was held arrives at once, and links are made anew. */
   void heal() {
-    String zone = cutZone;
+    String zone = partitionedZone;
     if (zone == null) {
       return;
     }
     deliverHeld();
-    cutZone = null;
+    partitionedZone = null;
     for (Node a : nodes.values()) {
       for (Node b : nodes.values()) {
         if (zone.equals(a.zone) != zone.equals(b.zone)) {
-          link(a, b);
+          reconnect(a, b);
         }
       }
     }
@@ -734,8 +738,8 @@
     Node node = nodes.get(name);
     for (Node other : nodes.values()) {
       if (other != node && other.up && node.up && lost.test(name, other.name)) {
-        other.hear(d -> d.disconnected(name));
-        node.hear(d -> d.disconnected(other.name));
+        other.runOnController(d -> d.disconnected(name));
+        node.runOnController(d -> d.disconnected(other.name));
       }
     }
   }
@@ -755,17 +759,17 @@
   void linksBack(String name) {
     for (Node other : nodes.values()) {
       if (other != nodes.get(name)) {
-        link(nodes.get(name), other);
-        link(other, nodes.get(name));
+        reconnect(nodes.get(name), other);
+        reconnect(other, nodes.get(name));
       }
     }
   }
 
-  private void linksFallSilent() {
+  private void timeOutPartitionedLinks() {
     for (Node a : nodes.values()) {
       for (Node b : nodes.values()) {
-        if (crosses(a.zone, b.zone) && b.up) {
-          b.hear(d -> d.disconnected(a.name));
+        if (crossesPartition(a.zone, b.zone) && b.up) {
+          b.runOnController(d -> d.disconnected(a.name));
         }
       }
     }
@@ -784,14 +788,14 @@
 
   /** What was held back arrives now, however late. */
   void deliverHeld() {
-    List<Runnable> all = List.copyOf(held);
-    held.clear();
+    List<Runnable> all = List.copyOf(heldDeliveries);
+    heldDeliveries.clear();
     all.forEach(Runnable::run);
-    watchOverlaps();
+    checkWorkers();
   }
 
   int heldCount() {
-    return held.size();
+    return heldDeliveries.size();
   }
 
   /** Controllers that the state service refuses. */
@@ -800,15 +804,15 @@
   private void serve(
       String address, String method, String path, byte[] body, Consumer<HttpCaller.Response> then) {
     if (address.equals("10.2.0.1:1")) {
-      state.handle(method, path, path.equals("/txn") ? forgetful(body) : body, then);
+      state.handle(method, path, path.equals("/txn") ? withoutIgnoredConditions(body) : body, then);
     } else if (address.equals("10.2.0.2:1")) {
       if (path.equals("/machines/delete")) {
-        noteMisuse(body);
+        recordDeletionsInUse(body);
       }
       then.accept(cloud.handle(method, path, body));
       // By the time of the answer what was on them is gone.
       workers.values().removeIf(m -> cloud.deleted(m.host()));
-      bootHired();
+      scheduleBoots();
     } else {
       FakeWorker w = workers.get(address);
       if (w != null && !silent.contains(w.host())) {
@@ -817,7 +821,7 @@
               path.equals("/status")
                   ? new HttpCaller.Response(200, w.report(), 0)
                   : w.handleCommands(body);
-          watchOverlaps();
+          checkWorkers();
           then.accept(reply);
         } catch (MalformedMessageException e) {
           throw new AssertionError(e);
@@ -826,7 +830,7 @@
     }
   }
 
-  private byte[] forgetful(byte[] body) {
+  private byte[] withoutIgnoredConditions(byte[] body) {
     try {
       Document txn = Document.decode(body);
       List<Document> kept = new ArrayList<>();
@@ -849,33 +853,33 @@
     return this;
   }
 
-  private void bootHired() {
+  private void scheduleBoots() {
     if (Double.isNaN(bootS)) {
       return;
     }
     for (List<String> hosts : cloud.hostsByRequest().values()) {
       for (String host : hosts) {
-        if (coming.add(host)) {
+        if (bootScheduled.add(host)) {
           timers.after(listLagS, () -> cloud.listHidden(host));
-          timers.after(bootS, () -> up(host));
+          timers.after(bootS, () -> completeBoot(host));
         }
       }
     }
   }
 
-  private void up(String host) {
+  private void completeBoot(String host) {
     try {
       String zone = cloud.zone(host);
       if (zone != null) {
         cloud.markRunning(host);
-        worker(host, cloud.type(host), zone, "node-" + (coming.size() % nodes.size()));
+        addWorker(host, cloud.type(host), zone, "node-" + (bootScheduled.size() % nodes.size()));
       }
     } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
   }
 
-  private void noteMisuse(byte[] body) {
+  private void recordDeletionsInUse(byte[] body) {
     try {
       for (String host : Document.decode(body).texts("hosts")) {
         FakeWorker w = workers.get(host + ":9");
@@ -935,18 +939,18 @@
 
   FakeWorker machine(String host, String type, String zone, String firstNode) {
     cloud.addRunning(host, type, zone);
-    return worker(host, type, zone, firstNode);
+    return addWorker(host, type, zone, firstNode);
   }
 
-  private FakeWorker worker(String host, String type, String zone, String firstNode) {
+  private FakeWorker addWorker(String host, String type, String zone, String firstNode) {
     FakeWorker w = new FakeWorker(host, host + ":9", type, zone);
     workers.put(w.endpoint(), w);
-    everyWorker.add(w);
+    allWorkersEver.add(w);
     machineZones.put(host, zone);
     reportsTo.put(host, firstNode);
-    answeredAt.put(host, timers.now());
+    leaseRenewedAt.put(host, timers.now());
     timers.after(0.01, () -> report(w));
-    watchLease(w);
+    checkWorkerLease(w);
     return w;
   }
 
@@ -980,15 +984,15 @@
   }
 
   /** The worker counts its lease by itself, whatever becomes of its reports. */
-  private void watchLease(FakeWorker w) {
-    double over = answeredAt.get(w.host()) + LEASE_S;
+  private void checkWorkerLease(FakeWorker w) {
+    double over = leaseRenewedAt.get(w.host()) + LEASE_S;
     if (timers.now() > over) {
       w.newSession();
-      answeredAt.put(w.host(), timers.now());
+      leaseRenewedAt.put(w.host(), timers.now());
     }
-    double next = answeredAt.get(w.host()) + LEASE_S - timers.now() + 0.001;
+    double next = leaseRenewedAt.get(w.host()) + LEASE_S - timers.now() + 0.001;
     if (!cloud.deleted(w.host())) {
-      timers.after(next, () -> watchLease(w));
+      timers.after(next, () -> checkWorkerLease(w));
     }
   }
 
@@ -1001,37 +1005,38 @@
     double sent = timers.now();
     byte[] body = w.report();
     reports++;
-    history.look();
+    operationHistory.checkRunningTasks();
     if (hung.contains(w.host())) {
       timers.after(0.2, () -> report(w));
       return;
     }
     boolean lostNow = silent.contains(w.host()) || !n.up || lost.test(w.endpoint(), n.name);
     if (lostNow) {
-      tryNext(w, n);
+      reportToNext(w, n);
       return;
     }
-    if (crosses(zoneOf(w), n.zone)) {
+    if (crossesPartition(zoneOf(w), n.zone)) {
       // Held, and read when the cut ends; the worker has long gone elsewhere by then.
-      int life = n.life;
+      int life = n.startCount;
       HttpServer.Request late = new HttpServer.Request("POST", "/hello", "", body);
-      held.add(() -> n.meet(life, () -> n.daemon.handle(late, (status, reply, again) -> {})));
-      timers.after(ANSWER_S, () -> tryNext(w, n));
+      heldDeliveries.add(
+          () -> n.deliver(life, () -> n.controller.handle(late, (status, reply, again) -> {})));
+      timers.after(REPORT_TIMEOUT_S, () -> reportToNext(w, n));
       return;
     }
     boolean[] over = {false};
     timers.after(
-        ANSWER_S,
+        REPORT_TIMEOUT_S,
         () -> {
           if (!over[0]) {
             over[0] = true;
-            tryNext(w, n);
+            reportToNext(w, n);
           }
         });
     HttpServer.Responder answer =
         (status, reply, again) ->
             timers.after(
-                HOP_S,
+                NETWORK_DELAY_S,
                 () -> {
                   if (over[0] || deaf.contains(w.host()) || hung.contains(w.host())) {
                     return;
@@ -1040,29 +1045,29 @@
                   try {
                     if (status == 200) {
                       if (w.handleReportResponse(reply)) {
-                        answeredAt.put(w.host(), sent);
+                        leaseRenewedAt.put(w.host(), sent);
                       }
                       timers.after(REPORT_S, () -> report(w));
                     } else if (status == 421 && reply != null) {
                       reportsTo.put(w.host(), Document.decode(reply).text("overseer"));
                       timers.after(0.1, () -> report(w));
                     } else {
-                      tryNext(w, n);
+                      reportToNext(w, n);
                     }
                   } catch (MalformedMessageException e) {
                     throw new AssertionError(e);
                   }
                 });
     n.handle(new HttpServer.Request("POST", "/hello", "", body), answer);
-    copyLater(n, body);
+    scheduleDuplicates(n, body);
   }
 
-  private static final int MOST_KEPT = 60;
+  private static final int MAX_REPLAYED_REPORTS = 60;
 
   /** What was kept for whoever begins next reaches all controllers. */
-  private void deliverKept() {
-    List<byte[]> all = List.copyOf(kept);
-    kept.clear();
+  private void replayReports() {
+    List<byte[]> all = List.copyOf(reportsToReplay);
+    reportsToReplay.clear();
     for (byte[] body : all) {
       for (Node to : nodes.values()) {
         if (to.up) {
@@ -1074,9 +1079,9 @@
   }
 
   /** Copies come late: to the same controller, and to another. Nobody waits for the answers. */
-  private void copyLater(Node n, byte[] body) {
-    if (keptForNext.test(n.name) && kept.size() < MOST_KEPT) {
-      kept.add(body);
+  private void scheduleDuplicates(Node n, byte[] body) {
+    if (keptForNext.test(n.name) && reportsToReplay.size() < MAX_REPLAYED_REPORTS) {
+      reportsToReplay.add(body);
     }
     List<Node> all = List.copyOf(nodes.values());
     Node next = all.get((all.indexOf(n) + 1) % all.size());
@@ -1103,9 +1108,9 @@
   }
 
   /** How long a worker waits for an answer. */
-  private static final double ANSWER_S = 4;
+  private static final double REPORT_TIMEOUT_S = 4;
 
-  private void tryNext(FakeWorker w, Node n) {
+  private void reportToNext(FakeWorker w, Node n) {
     List<String> names = List.copyOf(nodes.keySet());
     if (!silent.contains(w.host())) {
       reportsTo.put(w.host(), names.get((names.indexOf(n.name) + 1) % names.size()));
@@ -1139,12 +1144,12 @@
   Said submit(String node, Document job) {
     double sentAt = timers.now();
     try {
-      specs.putIfAbsent(job.text("id"), job);
+      submittedSpecs.putIfAbsent(job.text("id"), job);
       Said said = ask(node, "POST", "/v1/jobs", job.encode());
       if (said != null && (said.status() == 201 || said.status() == 200)) {
         accepted.put(job.text("id"), (int) job.count("pieces"));
       }
-      return noted(job.text("id"), sentAt, said);
+      return recordResponse(job.text("id"), sentAt, said);
     } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
@@ -1152,17 +1157,17 @@
 
   Said poll(String node, String id) {
     double sentAt = timers.now();
-    return noted(id, sentAt, ask(node, "GET", "/v1/jobs/" + id, new byte[0]));
+    return recordResponse(id, sentAt, ask(node, "GET", "/v1/jobs/" + id, new byte[0]));
   }
 
   Said cancel(String node, String id) {
     cancelled.add(id);
     double sentAt = timers.now();
-    return noted(id, sentAt, ask(node, "POST", "/v1/jobs/" + id + "/abort", new byte[0]));
+    return recordResponse(id, sentAt, ask(node, "POST", "/v1/jobs/" + id + "/abort", new byte[0]));
   }
 
-  private Said noted(String id, double sentAt, Said said) {
-    history.told(id, said, sentAt, timers.now());
+  private Said recordResponse(String id, double sentAt, Said said) {
+    operationHistory.recordResponse(id, said, sentAt, timers.now());
     return said;
   }
 
@@ -1176,7 +1181,7 @@
       return;
     }
     if (body != null) {
-      specs.putIfAbsent(id, body);
+      submittedSpecs.putIfAbsent(id, body);
     }
     Runnable again =
         () -> timers.after(1.5, () -> user(method, path, body, id, node + 1, tries - 1));
@@ -1211,7 +1216,7 @@
                 if (body != null && (status == 200 || status == 201)) {
                   accepted.putIfAbsent(id, (int) body.count("pieces"));
                 }
-                noted(id, sentAt, new Said(status, said, pause));
+                recordResponse(id, sentAt, new Said(status, said, pause));
               } catch (MalformedMessageException e) {
                 throw new AssertionError(e);
               }
@@ -1222,10 +1227,10 @@
   }
 
   /** How long every question about a job may go unanswered once all troubles are over. */
-  private static final double FORGOTTEN_S = 75;
+  private static final double ANSWER_DEADLINE_S = 75;
 
   /** The largest jobs too begin within this time. */
-  private static final double BEGIN_S = 240;
+  private static final double START_DEADLINE_S = 240;
 
   /**
    * The end of a day, all troubles being over, by what users and workers see: every controller
@@ -1243,19 +1248,19 @@
     Set<String> unfinished = new HashSet<>(accepted.keySet());
     unbegun.removeAll(cancelled);
     unfinished.removeAll(cancelled);
-    double last = since + 2 * BEGIN_S;
+    double last = since + 2 * START_DEADLINE_S;
     while (timers.now() < last && !(unfinished.isEmpty() && open.isEmpty())) {
       pass(2);
-      lookForStarving();
-      Map<String, Integer> started = startedTasks();
+      checkStarvation();
+      Map<String, Integer> started = startedTaskCounts();
       unbegun.removeIf(id -> started.getOrDefault(id, 0) > 0);
       unfinished.removeIf(id -> started.getOrDefault(id, 0) >= accepted.get(id));
-      if (timers.now() - since > BEGIN_S) {
+      if (timers.now() - since > START_DEADLINE_S) {
         unbegun.forEach(id -> wrong.add(id + " has not begun"));
         unbegun.clear();
       }
-      if (timers.now() - since < FORGOTTEN_S) {
-        open.forEach((node, ids) -> ids.removeIf(id -> answers(node, id)));
+      if (timers.now() - since < ANSWER_DEADLINE_S) {
+        open.forEach((node, ids) -> ids.removeIf(id -> isAnswered(node, id)));
         open.values().removeIf(Set::isEmpty);
       } else {
         open.forEach((node, ids) -> wrong.add(ids + " are forgotten by " + node));
@@ -1265,35 +1270,35 @@
     }
     unfinished.forEach(id -> wrong.add(id + " never ran whole"));
     wrong.addAll(overlaps);
-    wrong.addAll(history.wrong);
+    wrong.addAll(operationHistory.violations);
     wrong.addAll(starvation.wrong);
-    wrong.addAll(placement.wrong);
+    wrong.addAll(placementCheck.wrong);
     return wrong;
   }
 
   /** Tasks run on for as long as a job may wait at the most, and who waits beside room is noted. */
   void rest() {
-    for (int i = 0; i <= StarvationCheck.LONGEST_S / 2 + 1; i++) {
+    for (int i = 0; i <= StarvationCheck.MAX_WAIT_S / 2 + 1; i++) {
       pass(2);
-      lookForStarving();
+      checkStarvation();
     }
   }
 
-  private void lookForStarving() {
+  private void checkStarvation() {
     Set<String> ids = new HashSet<>(accepted.keySet());
     ids.removeAll(cancelled);
-    starvation.look(ids, workers.values(), history.done(), timers.now());
+    starvation.check(ids, workers.values(), operationHistory.doneTasks(), timers.now());
   }
 
-  private boolean answers(String node, String id) {
+  private boolean isAnswered(String node, String id) {
     Said said = poll(node, id);
     return said != null && said.status() == 200;
   }
 
   /** How many tasks of each job have ever been started, by what the workers carried out. */
-  private Map<String, Integer> startedTasks() {
+  private Map<String, Integer> startedTaskCounts() {
     Map<String, Set<String>> tasks = new HashMap<>();
-    for (FakeWorker w : everyWorker) {
+    for (FakeWorker w : allWorkersEver) {
       for (String start : w.starts()) {
         String task = start.substring(0, start.indexOf('#'));
         tasks.computeIfAbsent(task.substring(0, task.indexOf('/')), j -> new HashSet<>()).add(task);
