--- a/src/test/java/dev/dunefront/story/ClusterScenarioTest.java
+++ b/src/test/java/dev/dunefront/story/ClusterScenarioTest.java
@@ -14,9 +14,16 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Whole days in small: several controllers, workers and a state service on a fake clock. */
+/**
+ * End-to-end scenarios of the whole cluster: several controllers with fake workers, a fake state
+ * service and a fake cloud on a fake clock.
+ */
 class ClusterScenarioTest {
 
+  /**
+   * A finished job is reported done by every controller, also on resubmission, and only its final
+   * record is kept.
+   */
   @Test
   void everyControllerReportsACompletedJobAsDone() {
     World w = new World(3);
@@ -39,6 +46,7 @@
     assertEquals(List.of(), w.state.keys("t/"), "nothing of a finished job but its end is kept");
   }
 
+  /** A client that resubmits a job to a second controller must not start its tasks twice. */
   @Test
   void resubmissionToAnotherControllerCreatesNoSecondJob() {
     World w = new World(2);
@@ -51,8 +59,9 @@
   }
 
   /**
-   * The record is written and names its claimant, who never hears so. To all others the job has a
-   * living claimant: 16 jobs of a day waited for ever.
+   * The job record is written and names its claimant, but the response of the state service is
+   * lost. The claimant does not know of the claim, and all others see a live claimant, so that the
+   * job would never run: 16 jobs of a simulated day waited forever.
    */
   @Test
   void jobWhoseAcceptanceWasUnconfirmedIsClaimed() {
@@ -63,11 +72,12 @@
     assertEquals(503, w.submit("node-0", World.job("wk-1", 1, 1)).status());
     w.unanswered = (from, to) -> false;
     assertEquals(200, w.submit("node-1", World.job("wk-1", 1, 1)).status());
-    // The answer to its watch was lost as well: it hears of the record when that is over.
+    // The watch response was lost as well; the claimant reads the record after the watch times out.
     w.pass(16);
     assertEquals(List.of("wk-1/0#1"), m.starts());
   }
 
+  /** Freed room goes to the task of the highest priority, even if it was submitted last. */
   @Test
   void higherPriorityTaskIsPlacedFirst() {
     World w = new World(2);
@@ -84,6 +94,7 @@
     assertEquals(List.of("wk-3/0"), m.running());
   }
 
+  /** Many waiting small tasks must not keep a job with a large task from being claimed. */
   @Test
   void jobWithALargeTaskIsClaimedBehindManySmallTasks() {
     World w = new World(1);
@@ -92,14 +103,20 @@
     }
     w.machine("large-1", "large", "a", "node-0");
     w.start().pass(2);
-    // 40 CPUs in all, so that 60 of the small tasks wait unstarted.
+    // The machines have 40 CPUs in total, so that 60 of the small tasks wait.
     w.submit("node-0", World.job("wk-1", 100, 1));
     w.pass(1);
     w.submit("node-0", World.job("wk-2", 1, 12));
     w.pass(1);
-    assertFalse(w.state.value("w/j/wk-2").toString().contains("claim=null"), "claimed at once");
+    assertFalse(
+        w.state.value("w/j/wk-2").toString().contains("claim=null"),
+        "the job is claimed within 1 s");
   }
 
+  /**
+   * A high-priority job preempts tasks that started shortly before, but not tasks that have run for
+   * 30 s.
+   */
   @Test
   void onlyRecentlyStartedTasksArePreempted() {
     World w = new World(2);
@@ -122,7 +139,10 @@
     assertEquals(List.of(), w.overlaps);
   }
 
-  /** One task was once stopped eleven times, and its job was never done in time. */
+  /**
+   * A task that is preempted repeatedly delays its job without bound: one task was stopped eleven
+   * times and its job missed its deadline.
+   */
   @Test
   void preemptedTaskIsNotPreemptedAgain() {
     World w = new World(2);
@@ -137,17 +157,21 @@
     m.exit("wk-2/1", "done");
     w.pass(3);
     assertEquals(4, m.running().size());
-    List<String> again = m.starts().stream().filter(s -> s.endsWith("#2")).toList();
-    assertEquals(2, again.size(), "two were begun anew");
+    List<String> restarted = m.starts().stream().filter(s -> s.endsWith("#2")).toList();
+    assertEquals(2, restarted.size(), "two preempted tasks have restarted");
     w.submit("node-1", World.job("wk-3", 4, 1).put("urgency", "high"));
     w.pass(4);
     assertEquals(2, m.running().stream().filter(t -> t.startsWith("wk-3")).count());
-    for (String start : again) {
+    for (String start : restarted) {
       assertTrue(m.running().contains(start.substring(0, start.indexOf('#'))), start);
     }
     assertEquals(List.of(), w.overlaps);
   }
 
+  /**
+   * A start command whose response is lost may have been executed, so the task must not be started
+   * on another machine.
+   */
   @Test
   void startWithLostResponseIsNotRepeatedElsewhere() {
     World w = new World(2);
@@ -160,10 +184,15 @@
     w.unanswered = (from, to) -> false;
     w.pass(10);
     assertEquals(1, a.running().size() + b.running().size());
-    assertEquals(1, a.starts().size() + b.starts().size(), "one start, and it was kept");
+    assertEquals(
+        1, a.starts().size() + b.starts().size(), "the task is started once and keeps running");
     assertEquals(List.of(), w.overlaps);
   }
 
+  /**
+   * A start command that arrives after the task was placed again must not start the task a second
+   * time.
+   */
   @Test
   void delayedStartCommandIsRefused() {
     World w = new World(2);
@@ -173,16 +202,21 @@
     w.heldBack = (from, to) -> to.endsWith(":9");
     w.submit("node-0", World.job("wk-1", 1, 1));
     w.pass(2);
-    assertTrue(w.heldCount() > 0, "the start is on its way");
+    assertTrue(w.heldCount() > 0, "the start command is held");
     w.heldBack = (from, to) -> false;
     w.pass(10);
-    assertEquals(1, a.running().size() + b.running().size(), "placed again under a new token");
+    assertEquals(
+        1, a.running().size() + b.running().size(), "the task is placed again under a new token");
     w.deliverHeld();
     w.pass(3);
     assertEquals(1, a.running().size() + b.running().size());
     assertEquals(List.of(), w.overlaps);
   }
 
+  /**
+   * The controller that takes over a claim must adopt the running tasks instead of starting them
+   * again.
+   */
   @Test
   void tasksKeepRunningWhenTheirClaimantCrashes() {
     World w = new World(3);
@@ -200,6 +234,10 @@
     assertEquals(3, m.starts().size());
   }
 
+  /**
+   * After all controllers have restarted, running tasks are adopted and only the remaining one is
+   * started.
+   */
   @Test
   void tasksKeepRunningWhenAllControllersCrash() {
     World w = new World(3);
@@ -220,12 +258,16 @@
     assertEquals(3, m.starts().size());
   }
 
+  /**
+   * A recorded placement whose start command never reached the worker must not leave its task
+   * waiting forever when the holder crashes.
+   */
   @Test
   void placementIsStartedWhenTheHolderCrashesBeforeSendingIt() {
     World w = new World(3);
     FakeWorker m = w.machine("host-1", "small", "a", "node-1");
     w.start().pass(2);
-    // The claimant records the placement, but its word never reaches the holder.
+    // The placement is recorded, but the holder cannot send the start command to the worker.
     w.lost = (from, to) -> from.equals("node-1") && to.endsWith(":9");
     w.submit("node-0", World.job("wk-1", 1, 1));
     w.pass(1);
@@ -236,6 +278,10 @@
     assertEquals(List.of(), w.overlaps);
   }
 
+  /**
+   * A task on an unreachable machine may still run until the lease expires, so it must not start
+   * elsewhere before.
+   */
   @Test
   void tasksOfAnUnreachableMachineRestartOnlyAfterItsLeaseExpires() {
     World w = new World(2);
@@ -248,12 +294,16 @@
     w.pass(1);
     w.silent.add("host-1");
     w.pass(World.LEASE_S - 3);
-    assertEquals(0, b.running().size(), "its lease may still hold");
+    assertEquals(0, b.running().size(), "the lease of the unreachable machine may still be valid");
     w.pass(8);
     assertEquals(List.of("wk-1/0"), b.running());
     assertEquals(List.of(), w.overlaps);
   }
 
+  /**
+   * A worker whose reports do not reach its holder must get its lease renewed by another controller
+   * and keep its tasks.
+   */
   @Test
   void machineThatCannotReachItsHolderMovesToAnother() {
     World w = new World(3);
@@ -263,10 +313,14 @@
     w.pass(1);
     w.lost = (from, to) -> from.equals(m.endpoint()) && to.equals("node-1");
     w.pass(12);
-    assertEquals(List.of("wk-1/0"), m.running(), "its lease was renewed by another controller");
+    assertEquals(List.of("wk-1/0"), m.running(), "another controller renewed the lease");
     assertEquals(1, m.starts().size());
   }
 
+  /**
+   * A controller that answers a report under a higher token than its own with 200 would keep the
+   * worker at a controller whose commands the worker drops.
+   */
   @Test
   void reportWithAHigherTokenIsRedirected() throws MalformedMessageException {
     World w = new World(1);
@@ -275,13 +329,17 @@
     m.handleReportResponse(
         Document.create().put("baton", m.token() + 5).put("orders", List.of()).encode());
     int status = w.ask("node-0", "POST", "/hello", m.report()).status();
-    assertEquals(421, status, "a 200 with too low a token would pin the worker");
+    assertEquals(421, status, "a 200 with a lower token would keep the worker at this controller");
     w.pass(6);
     w.submit("node-0", World.job("wk-1", 1, 1));
     w.pass(2);
-    assertEquals(1, m.running().size(), "taken again, above the token it has seen");
+    assertEquals(
+        1, m.running().size(), "the machine is held again under a token above the one it has seen");
   }
 
+  /**
+   * Once a job is reported cancelled, every controller reports so, and no task of it starts again.
+   */
   @Test
   void cancellationStopsAllTasksAndStatusNeverReverts() {
     World w = new World(3);
@@ -302,6 +360,10 @@
     assertEquals(List.of(), w.state.keys("t/"));
   }
 
+  /**
+   * A cancellation requested while the claimant is down is refused, and completes once another
+   * controller has taken over the claim.
+   */
   @Test
   void cancellationCompletesAfterATakeover() {
     World w = new World(3);
@@ -319,9 +381,9 @@
   }
 
   /**
-   * A holder that is cut off together with its worker keeps the worker's lease alive and cannot
-   * hear that a job is over. Found on bordverkauf-wien's day `apart`: a task ran on for more than
-   * {@code cancel_s} after its user had been told.
+   * A holder that is partitioned together with its worker keeps renewing the worker's lease and
+   * cannot learn that a job was cancelled. In the bordverkauf-wien workload {@code apart}, a task
+   * ran for more than {@code cancel_s} after its job was reported cancelled.
    */
   @Test
   void jobIsNotReportedCancelledWhileAPartitionedTaskRuns() {
@@ -353,7 +415,10 @@
     assertEquals(List.of(), m.running());
   }
 
-  /** A job in more chunks than one transaction removes is recorded as done before it is emptied. */
+  /**
+   * A job with more chunks than one transaction can delete is recorded as done before all its
+   * chunks are deleted. A cancellation in between must not change its status.
+   */
   @Test
   void doneJobWithUndeletedChunksCannotBeCancelled() throws MalformedMessageException {
     World w = new World(2);
@@ -367,6 +432,10 @@
     assertEquals("done", w.cancel("node-1", "wk-1").state());
   }
 
+  /**
+   * Jobs of one team that are claimed by different controllers together stay within the team's
+   * limit, also after a takeover.
+   */
   @Test
   void teamLimitHoldsAcrossAControllerCrash() {
     World w = new World(3, "[[facts.teams]]\nname = \"t\"\ncpus = 1.0\ncpus_max = 3.0\n");
@@ -397,6 +466,10 @@
     assertEquals(422, w.submit("node-1", World.job("wk-9", 1, 4)).status());
   }
 
+  /**
+   * During an outage of the state service, requests get 503 with a retry delay, known final
+   * statuses are still served, and worker leases are renewed.
+   */
   @Test
   void stateServiceOutageFailsRequestsFastWhileTasksRun() {
     World w = new World(2);
@@ -410,13 +483,13 @@
     assertEquals("done", w.poll("node-0", "wk-2").state());
     w.state.outage(true);
     w.pass(3);
-    World.Said said = w.submit("node-0", World.job("wk-3", 1, 1));
-    assertEquals(503, said.status());
-    assertTrue(said.retryAfterS() > 0);
+    World.Said response = w.submit("node-0", World.job("wk-3", 1, 1));
+    assertEquals(503, response.status());
+    assertTrue(response.retryAfterS() > 0);
     assertEquals(503, w.poll("node-0", "wk-1").status());
-    assertEquals("done", w.poll("node-0", "wk-2").state(), "a final answer never changes");
+    assertEquals("done", w.poll("node-0", "wk-2").state(), "a final status never changes");
     w.pass(3 * World.LEASE_S);
-    assertEquals(List.of("wk-1/0"), m.running(), "its lease lives through the outage");
+    assertEquals(List.of("wk-1/0"), m.running(), "the lease is renewed during the outage");
     w.state.outage(false);
     w.pass(4);
     m.exit("wk-1/0", "done");
@@ -424,6 +497,10 @@
     assertEquals("done", w.poll("node-1", "wk-1").state());
   }
 
+  /**
+   * A single controller that the state service refuses must fail its health check so that clients
+   * go elsewhere, while an outage that affects all controllers must not.
+   */
   @Test
   void controllerRefusedByTheStateServiceReportsUnhealthy() {
     World w = new World(3);
@@ -440,10 +517,14 @@
     m.exit("wk-1/0", "done");
     m.exit("wk-1/1", "done");
     w.pass(4);
-    assertEquals("done", w.poll("node-1", "wk-1").state(), "another has claimed it");
+    assertEquals(
+        "done", w.poll("node-1", "wk-1").state(), "another controller has claimed the job");
     assertEquals(201, w.submit("node-2", World.job("wk-2", 1, 1)).status());
     w.pass(3);
-    assertEquals(List.of("wk-2/0"), m.running(), "the refused one still deals its machines' room");
+    assertEquals(
+        List.of("wk-2/0"),
+        m.running(),
+        "the refused controller still allocates room on its machines");
     w.refusedByState.clear();
     w.pass(8);
     assertEquals(200, w.ask("node-0", "GET", "/up", new byte[0]).status());
@@ -453,14 +534,19 @@
     assertEquals(200, w.ask("node-0", "GET", "/up", new byte[0]).status());
   }
 
+  /**
+   * A submission transaction that arrives after the client resubmitted elsewhere must not create
+   * the job again.
+   */
   @Test
   void delayedTransactionDoesNotCreateTheJobTwice() {
     World w = new World(2);
     FakeWorker m = w.machine("host-1", "small", "a", "node-0");
     w.start().pass(2);
     w.heldBack = (from, to) -> to.equals("10.2.0.1:1") && from.equals("node-0");
-    World.Said said = w.submit("node-0", World.job("wk-1", 1, 1));
-    assertEquals(503, said.status(), "nothing is promised that is not known to be written");
+    World.Said response = w.submit("node-0", World.job("wk-1", 1, 1));
+    assertEquals(
+        503, response.status(), "the job is not accepted before its record is known to be written");
     w.heldBack = (from, to) -> false;
     assertEquals(201, w.submit("node-1", World.job("wk-1", 1, 1)).status());
     w.deliverHeld();
@@ -469,6 +555,10 @@
     assertEquals(List.of(), w.overlaps);
   }
 
+  /**
+   * A job of 100,000 tasks keeps every stored value below 16 KiB and is deleted completely after
+   * its cancellation.
+   */
   @Test
   void hugeJobStaysWithinStateServiceLimits() {
     World w = new World(2);
@@ -485,12 +575,16 @@
     assertEquals(List.of(), w.state.keys("t/"));
   }
 
+  /**
+   * A machine on which every task fails is replaced. A job that fails on every machine costs no
+   * machine and does not delay other jobs.
+   */
   @Test
   void failuresAreAttributedToTheMachineOrToTheJob() {
     World w = new World(2);
     FakeWorker bad = w.machine("host-1", "large", "a", "node-0");
     w.start().pass(2);
-    // Two jobs fail on the one machine, and again when they are tried once more.
+    // Two jobs fail on the only machine, both at first and when they are retried.
     for (String id : List.of("wk-1", "wk-2")) {
       w.submit("node-0", World.job(id, 1, 1));
     }
@@ -500,7 +594,7 @@
     }
     assertTrue(w.cloud.deleted("host-1"));
 
-    // Where there is another, on which they run, that is known at once.
+    // With a second machine on which the same jobs succeed, the fault is attributed at once.
     World u = new World(2);
     FakeWorker faulty = u.machine("host-1", "large", "a", "node-0");
     FakeWorker good = u.machine("host-2", "small", "a", "node-1");
@@ -528,7 +622,8 @@
       }
     }
     assertFalse(v.cloud.deleted("host-1") || v.cloud.deleted("host-2"));
-    assertTrue(a.starts().size() + b.starts().size() < 40, "it does not take up the fleet");
+    assertTrue(
+        a.starts().size() + b.starts().size() < 40, "retries of the failing job are limited");
     v.submit("node-1", World.job("wk-2", 1, 1));
     v.pass(3);
     assertEquals(
@@ -537,21 +632,29 @@
             + b.running().stream().filter(t -> t.startsWith("wk-2")).count());
   }
 
+  /**
+   * A renting request whose response is lost is retried under its name, so that it does not rent a
+   * second machine.
+   */
   @Test
   void rentingRequestWithoutAResponseIsRetriedUnderTheSameName() {
     World w = new World(2);
     w.cloud.capacity(5);
     w.start().pass(2);
-    boolean[] mute = {true};
-    w.unanswered = (from, to) -> to.equals("10.2.0.2:1") && mute[0];
+    boolean[] dropping = {true};
+    w.unanswered = (from, to) -> to.equals("10.2.0.2:1") && dropping[0];
     w.submit("node-0", World.job("wk-1", 1, 1));
     w.pass(9);
-    mute[0] = false;
+    dropping[0] = false;
     w.pass(9);
     assertEquals(1, w.cloud.hostsByRequest().size());
     assertEquals(1, w.cloud.hostsByRequest().values().iterator().next().size());
   }
 
+  /**
+   * When a machine and its holder fail together, no controller knows when the lease expired. Only
+   * the deletion of the machine proves that its tasks have ended and may be placed again.
+   */
   @Test
   void deletingAnUnreachableMachineProvesThatItsTasksEnded() {
     World w = new World(2);
@@ -560,7 +663,7 @@
     w.submit("node-1", World.job("wk-1", 1, 1));
     w.pass(1);
     assertEquals(1, a.running().size());
-    // Machine and holder go at once: nobody can tell by the lease.
+    // Machine and holder fail together, so that no controller knows when the lease expired.
     w.silent.add("host-1");
     w.nodes.get("node-0").crash();
     w.pass(60);
@@ -571,8 +674,9 @@
   }
 
   /**
-   * What vanishes with its machine is placed again only when its lease is over; on bordverkauf-wien
-   * `steady` nearly all late jobs of the second half had lost tasks in that way.
+   * Tasks lost with a reclaimed machine are placed again only after its lease expires. In the
+   * bordverkauf-wien workload {@code steady}, nearly all late jobs of the second half had lost
+   * tasks in this way.
    */
   @Test
   void reclaimNoticeMovesTasksThatCannotFinishInTime() {
@@ -588,15 +692,19 @@
     a.setReclaimNotice(6);
     w.pass(2);
     assertEquals(List.of("wk-1/0"), b.running());
-    assertEquals(List.of("wk-2/0"), a.running(), "about to end");
+    assertEquals(
+        List.of("wk-2/0"), a.running(), "the task can finish before the machine is reclaimed");
     a.setReclaimNotice(1);
     w.pass(2);
-    assertEquals(List.of(), a.running(), "not left to vanish");
+    assertEquals(List.of(), a.running(), "no task is left on the machine when it is reclaimed");
     assertEquals(Set.of("wk-1/0", "wk-2/0"), new HashSet<>(b.running()));
     assertEquals(List.of(), w.overlaps);
   }
 
-  /** Found on bordverkauf-wien's day `apart`: two jobs never ended. */
+  /**
+   * A machine that is reclaimed just after its token was raised must not leave its tasks waiting
+   * forever. In the bordverkauf-wien workload {@code apart}, two jobs never ended.
+   */
   @Test
   void tasksAreReplacedWhenAMachineIsReclaimedAfterItsTokenRise() {
     World w = new World(1);
@@ -614,6 +722,10 @@
     assertEquals(List.of("wk-1/0"), b.running());
   }
 
+  /**
+   * Tasks on a machine that is reclaimed while no controller runs must be placed again once their
+   * end is proven.
+   */
   @Test
   void tasksAreReplacedWhenAMachineWithoutHolderIsReclaimed() {
     World w = new World(2);
@@ -622,8 +734,8 @@
     w.submit("node-1", World.job("wk-1", 1, 1));
     w.pass(1);
     assertEquals(1, a.running().size());
-    // All controllers end, and the cloud takes the machine before any is back: it is not listed,
-    // and no holder can tell when its lease was over.
+    // All controllers crash, and the cloud reclaims the machine before any restarts: the machine is
+    // not listed, and no holder knows when its lease expired.
     w.nodes.values().forEach(World.Node::crash);
     w.silent.add("host-1");
     w.cloud.reclaim("host-1");
@@ -631,11 +743,15 @@
     w.nodes.values().forEach(World.Node::start);
     FakeWorker b = w.machine("host-2", "small", "a", "node-1");
     w.pass(World.LEASE_S + 3);
-    assertEquals(List.of(), b.running(), "not proven yet");
+    assertEquals(List.of(), b.running(), "the end of the task is not proven yet");
     w.pass(40);
     assertEquals(List.of("wk-1/0"), b.running());
   }
 
+  /**
+   * Tasks of a job marked {@code apart} are spread over both zones, and tasks of a job marked
+   * {@code same_place} run in one zone.
+   */
   @Test
   void zoneConstraintsOfAJobAreHonored() {
     World w = new World(2);
@@ -652,6 +768,10 @@
     assertTrue(inA == 4 || inA == 0);
   }
 
+  /**
+   * Tasks that may only run in a zone without machines wait, and must not keep other jobs from the
+   * room in the remaining zone.
+   */
   @Test
   void spreadTasksWaitForTheirZoneWithoutBlockingOtherJobs() {
     World w = new World(2);
@@ -674,7 +794,10 @@
     assertEquals(List.of(), w.overlaps);
   }
 
-  /** What the cloud does not have now it may have soon. */
+  /**
+   * When the cloud fills a renting request only in part, the missing machines are requested again,
+   * since capacity may return.
+   */
   @Test
   void partlyFilledRentingRequestIsCompletedLater() {
     World w = new World(2);
@@ -685,9 +808,10 @@
     assertEquals(1, w.hired());
     w.cloud.capacity(10);
     w.pass(14);
-    assertEquals(3, w.hired(), "as many as are needed, and no more");
+    assertEquals(3, w.hired(), "exactly the machines that are needed");
   }
 
+  /** Requests that can never succeed get a 4xx status, so that clients don't retry them. */
   @Test
   void malformedAndUnsatisfiableRequestsAreRejected() {
     World w = new World(1);
--- a/src/test/java/dev/dunefront/story/Crowd.java
+++ b/src/test/java/dev/dunefront/story/Crowd.java
@@ -4,9 +4,9 @@
 import dev.dunefront.wire.MalformedMessageException;
 
 /**
- * Users who repeat all that they send at another controller and ask at all of them, one after the
- * other, some milliseconds apart. What they are told is held against the workers' deeds by the
- * world's {@link OperationHistory}.
+ * Clients that send every request to a second controller as well and poll all controllers in turn,
+ * 20 ms apart. The simulated cluster's {@link OperationHistory} compares the responses with what
+ * the workers did.
  */
 final class Crowd {
   private static final double POLL_INTERVAL_S = 0.02;
@@ -19,7 +19,7 @@
     this.world = world;
   }
 
-  /** Submits through the controller of this number, and again through the next. */
+  /** Submits a job to one controller and 0.4 s later to the next, and polls it for 20 s. */
   void submit(Document job, int node) {
     try {
       String id = job.text("id");
@@ -31,7 +31,7 @@
     }
   }
 
-  /** Asks for the end of a job at one controller, and again at the next. */
+  /** Cancels a job at one controller and 0.3 s later at the next, and polls it for 10 s. */
   void cancel(String id, int node) {
     world.cancelled.add(id);
     String path = "/v1/jobs/" + id + "/abort";
@@ -40,9 +40,9 @@
     look(id, POLL_DURATION_S / 2);
   }
 
-  /** Asks after a job, at one controller after the other, for so long. */
-  void look(String id, double forS) {
-    look(id, 0, world.timers.now() + forS);
+  /** Polls a job at one controller after the other for the given time, in seconds. */
+  void look(String id, double durationS) {
+    look(id, 0, world.timers.now() + durationS);
   }
 
   private void look(String id, int node, double until) {
--- a/src/test/java/dev/dunefront/story/OperationHistory.java
+++ b/src/test/java/dev/dunefront/story/OperationHistory.java
@@ -12,11 +12,12 @@
 import java.util.Set;
 
 /**
- * What users have been told of their jobs, held against what the workers did. It knows the rules of
- * the protocol that are about words: nothing of a cancelled job runs, no job is done early, no
- * answer goes back, what was accepted stays known.
+ * Compares the responses that users received with what the workers did. It checks the rules of the
+ * protocol about responses: no task of a cancelled job runs, no job is reported done early, a final
+ * status never changes, and an accepted job stays known.
  */
 final class OperationHistory {
+  /** A final job status and the time of the first response that reported it. */
   private record FinalStatus(String status, double at) {}
 
   private final Collection<FakeWorker> workers;
@@ -24,84 +25,103 @@
   private final Map<String, Integer> accepted;
   private final Set<String> cancelRequested;
   private final Map<String, FinalStatus> finalStatuses = new HashMap<>();
+
+  /** When a response first confirmed that a job exists, by job id. */
   private final Map<String, Double> firstKnownAt = new HashMap<>();
+
   private final Map<String, Document> specs;
   private double teamLimitCpus = Double.POSITIVE_INFINITY;
 
-  /** What was found, without repeats. */
+  /** The distinct violations found so far. */
   final List<String> violations = new ArrayList<>();
 
   /**
-   * The workers are those that there are, and all that ever were; asked are the jobs whose users
-   * wanted them cancelled; specs are what users have submitted, by job.
+   * The collections are live views that the simulated cluster updates.
+   *
+   * @param workers the workers whose machines exist
+   * @param allWorkersEver all workers, including those whose machines have been deleted
+   * @param accepted number of tasks of each accepted job
+   * @param cancelRequested jobs whose cancellation a user has requested
+   * @param specs the submitted specifications, by job id
    */
   OperationHistory(
       Collection<FakeWorker> workers,
-      Collection<FakeWorker> everyWorker,
+      Collection<FakeWorker> allWorkersEver,
       Map<String, Integer> accepted,
-      Set<String> asked,
+      Set<String> cancelRequested,
       Map<String, Document> specs) {
     this.workers = workers;
-    this.allWorkersEver = everyWorker;
+    this.allWorkersEver = allWorkersEver;
     this.accepted = accepted;
-    this.cancelRequested = asked;
+    this.cancelRequested = cancelRequested;
     this.specs = specs;
   }
 
-  /** All jobs are of one team, whose tasks may use so much at most. */
-  void teamLimitCpus(double cpusMax) {
+  /** Sets the CPU limit of the single team that owns all jobs. */
+  void setTeamLimitCpus(double cpusMax) {
     teamLimitCpus = cpusMax;
   }
 
   /**
-   * A user's question, submission or cancellation has been answered. What was told after it had
-   * been sent does not count against the answer.
+   * Checks a response to a poll, submission or cancellation against earlier responses. Responses
+   * that arrived after this request was sent don't count, since the two may overtake each other.
+   *
+   * @param response null if the request timed out
+   * @param sentAt when the request was sent
    */
-  void recordResponse(String id, World.Said said, double sentAt, double now) {
-    if (said == null) {
+  void recordResponse(String id, World.Said response, double sentAt, double now) {
+    if (response == null) {
       return;
     }
-    if (said.status() == 404 || said.status() == 400 || said.status() == 422) {
+    if (response.status() == 404 || response.status() == 400 || response.status() == 422) {
       recordIf(
           firstKnownAt.getOrDefault(id, Double.POSITIVE_INFINITY) <= sentAt,
-          id + " was accepted and is answered " + said.status());
+          id + " was accepted, but a request for it returned status " + response.status());
       return;
     }
-    if (said.status() != 200 && said.status() != 201) {
+    if (response.status() != 200 && response.status() != 201) {
       return;
     }
     firstKnownAt.putIfAbsent(id, now);
-    String state = said.state();
+    String status = response.state();
     FinalStatus last = finalStatuses.get(id);
     recordIf(
-        last != null && last.at <= sentAt && !last.status.equals(state),
-        id + " was " + (last == null ? "" : last.status) + " and is called " + state);
-    if (state.equals("done")) {
-      recordIf(doneTaskCount(id) < accepted.getOrDefault(id, 0), id + " is called done early");
-      finalStatuses.putIfAbsent(id, new FinalStatus(state, now));
-    } else if (state.equals("cancelled")) {
-      recordIf(!cancelRequested.contains(id), id + " is called cancelled and nobody asked for it");
-      finalStatuses.putIfAbsent(id, new FinalStatus(state, now));
+        last != null && last.at <= sentAt && !last.status.equals(status),
+        id + " was " + (last == null ? "" : last.status) + " and is now reported " + status);
+    if (status.equals("done")) {
+      recordIf(
+          doneTaskCount(id) < accepted.getOrDefault(id, 0),
+          id + " is reported done before all its tasks are done");
+      finalStatuses.putIfAbsent(id, new FinalStatus(status, now));
+    } else if (status.equals("cancelled")) {
+      recordIf(
+          !cancelRequested.contains(id),
+          id + " is reported cancelled without a cancellation request");
+      finalStatuses.putIfAbsent(id, new FinalStatus(status, now));
       checkRunningTasks();
     }
   }
 
-  /** Users are told only on proof, so nothing may run from the word on, not even for a moment. */
+  /**
+   * Checks that no task of a finished job runs and that the team is within its limit. A final
+   * status is reported only on proof that all tasks have ended, so that none may run after it even
+   * briefly.
+   */
   void checkRunningTasks() {
     double used = 0;
     for (FakeWorker w : workers) {
       for (String task : w.running()) {
         String job = task.substring(0, task.indexOf('/'));
-        used += cpusEach(job);
+        used += cpusPerTask(job);
         FinalStatus last = finalStatuses.get(job);
         recordIf(
-            last != null, task + " runs on " + w.host() + " though its user was told it is over");
+            last != null, task + " runs on " + w.host() + " after its job was reported finished");
       }
     }
-    recordIf(used > teamLimitCpus, "more runs than the team's limit allows");
+    recordIf(used > teamLimitCpus, "the running tasks exceed the team's limit");
   }
 
-  private double cpusEach(String job) {
+  private double cpusPerTask(String job) {
     try {
       return specs.containsKey(job) ? specs.get(job).amount("vcpus") : 0;
     } catch (MalformedMessageException e) {
@@ -113,16 +133,16 @@
     return doneTasks().stream().filter(task -> task.startsWith(id + "/")).count();
   }
 
-  /** All tasks that have ever been done. */
+  /** The ids of all tasks that any worker has ever completed. */
   Set<String> doneTasks() {
     Set<String> done = new HashSet<>();
     allWorkersEver.forEach(w -> done.addAll(w.done()));
     return done;
   }
 
-  private void recordIf(boolean isWrong, String what) {
-    if (isWrong && !violations.contains(what)) {
-      violations.add(what);
+  private void recordIf(boolean violated, String message) {
+    if (violated && !violations.contains(message)) {
+      violations.add(message);
     }
   }
 }
--- a/src/test/java/dev/dunefront/story/PlacementCheck.java
+++ b/src/test/java/dev/dunefront/story/PlacementCheck.java
@@ -9,23 +9,25 @@
 import java.util.Map;
 
 /**
- * Every task is where its job allows it, given the job's other tasks: on a type and in a zone that
- * it names, in one zone with the others, or with no more than half of them in one. Goes by what
- * workers run, those that nobody can reach included.
+ * Checks that every task runs where its job allows it: on a machine type and in a zone that the job
+ * names, all tasks in one zone if the job requires that, or at most half of them (rounded up) per
+ * zone if it requires spreading. The check uses the tasks that workers run, including unreachable
+ * workers.
  */
 final class PlacementCheck {
   private final Map<String, Document> specs;
 
-  /** What was found, without repeats. */
+  /** The distinct violations found so far. */
   final List<String> wrong = new ArrayList<>();
 
-  /** The specs are what users have submitted, by job, as they are at any time. */
+  /** Takes a live view of the submitted specifications, by job id. */
   PlacementCheck(Map<String, Document> specs) {
     this.specs = specs;
   }
 
+  /** Checks the tasks that run now. */
   void look(Iterable<FakeWorker> workers) {
-    Map<String, Map<String, Integer>> zones = new HashMap<>();
+    Map<String, Map<String, Integer>> tasksPerZone = new HashMap<>();
     try {
       for (FakeWorker w : workers) {
         for (String task : w.running()) {
@@ -34,31 +36,33 @@
           if (spec == null) {
             continue;
           }
-          zones.computeIfAbsent(job, j -> new HashMap<>()).merge(w.zone(), 1, Integer::sum);
+          tasksPerZone.computeIfAbsent(job, j -> new HashMap<>()).merge(w.zone(), 1, Integer::sum);
           recordIf(
-              !w.zone().equals(spec.textOr("site", w.zone())), task + " is in zone " + w.zone());
+              !w.zone().equals(spec.textOr("site", w.zone())),
+              task + " runs in zone " + w.zone() + ", which its job does not allow");
           recordIf(
               spec.has("flavors") && !spec.texts("flavors").contains(w.type()),
-              task + " is on a " + w.type());
+              task + " runs on machine type " + w.type() + ", which its job does not allow");
         }
       }
-      for (var e : zones.entrySet()) {
+      for (var e : tasksPerZone.entrySet()) {
         Document spec = specs.get(e.getKey());
         long half = (spec.count("pieces") + 1) / 2;
         recordIf(
-            spec.flag("same_place") && e.getValue().size() > 1, e.getKey() + " is in two zones");
+            spec.flag("same_place") && e.getValue().size() > 1,
+            e.getKey() + " runs in several zones");
         recordIf(
             spec.flag("apart") && e.getValue().values().stream().anyMatch(n -> n > half),
-            e.getKey() + " has more than half in one zone");
+            e.getKey() + " runs more than half of its tasks in one zone");
       }
     } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
   }
 
-  private void recordIf(boolean isWrong, String what) {
-    if (isWrong && !wrong.contains(what)) {
-      wrong.add(what);
+  private void recordIf(boolean violated, String message) {
+    if (violated && !wrong.contains(message)) {
+      wrong.add(message);
     }
   }
 }
--- a/src/test/java/dev/dunefront/story/StarvationCheck.java
+++ b/src/test/java/dev/dunefront/story/StarvationCheck.java
@@ -13,40 +13,49 @@
 import java.util.function.Predicate;
 
 /**
- * No job may wait for 90 s while a machine that fits has room and its team is under its limit. Goes
- * by what users submitted and workers run, never by what controllers say. Jobs whose tasks depend
- * on each other's places are left out, for whether a machine fits them is for the rules to say.
+ * Checks that no job waits for 90 s while a suitable machine has room and its team is below its
+ * limit. The check uses only the submitted specifications and the tasks that workers run, never the
+ * controllers' own data. Jobs whose tasks constrain each other's placement are excluded, because
+ * the scheduler's placement rules decide whether a machine fits them.
  */
 final class StarvationCheck {
   static final double MAX_WAIT_S = 90;
 
   private final Map<String, Document> specs;
+
+  /** When each job that waits now was first seen waiting although a machine has room. */
   private final Map<String, Double> waitingSince = new HashMap<>();
+
   private final Predicate<FakeWorker> reachable;
   private double teamLimitCpus = Double.POSITIVE_INFINITY;
 
-  /** What was found, without repeats. */
+  /** The distinct violations found so far. */
   final List<String> wrong = new ArrayList<>();
 
-  /** The specs are what users have submitted, by job, as they are at any time. */
+  /**
+   * @param specs a live view of the submitted specifications, by job id
+   * @param reachable whether a worker can be reached by controllers
+   */
   StarvationCheck(Map<String, Document> specs, Predicate<FakeWorker> reachable) {
     this.specs = specs;
     this.reachable = reachable;
   }
 
-  /** All jobs are of one team, whose tasks may use so much at most. */
-  void teamLimitCpus(double cpusMax) {
+  /** Sets the CPU limit of the single team that owns all jobs. */
+  void setTeamLimitCpus(double cpusMax) {
     teamLimitCpus = cpusMax;
   }
 
   /**
-   * Looks at what waits now.
+   * Checks the jobs that wait now.
    *
-   * @param ids accepted jobs that nobody has cancelled
+   * @param ids accepted jobs without a cancellation request
+   * @param done ids of all completed tasks
+   * @param now the time in seconds
    */
   void check(Set<String> ids, Iterable<FakeWorker> workers, Set<String> done, double now) {
     try {
-      Set<String> placed = new HashSet<>(done);
+      Set<String> runningOrDone = new HashSet<>(done);
       Map<FakeWorker, Double> free = new HashMap<>();
       double used = 0;
       for (FakeWorker w : workers) {
@@ -54,7 +63,7 @@
         for (String task : w.running()) {
           Document spec = specs.get(task.substring(0, task.indexOf('/')));
           double each = spec == null ? 0 : spec.amount("vcpus");
-          placed.add(task);
+          runningOrDone.add(task);
           cpus -= each;
           used += each;
         }
@@ -65,16 +74,18 @@
       Set<String> starving = new HashSet<>();
       for (String id : ids) {
         Document spec = specs.get(id);
-        if (spec != null && hasUnplacedTask(id, spec, placed) && hasRoomForTask(spec, free, used)) {
+        if (spec != null
+            && hasUnplacedTask(id, spec, runningOrDone)
+            && hasRoomForTask(spec, free, used)) {
           starving.add(id);
         }
       }
       waitingSince.keySet().retainAll(starving);
       for (String id : starving) {
-        String found = id + " has waited for 90 s beside room";
+        String message = id + " has waited for 90 s beside room";
         if (now - waitingSince.computeIfAbsent(id, k -> now) >= MAX_WAIT_S
-            && !wrong.contains(found)) {
-          wrong.add(found);
+            && !wrong.contains(message)) {
+          wrong.add(message);
         }
       }
     } catch (MalformedMessageException e) {
@@ -82,10 +93,10 @@
     }
   }
 
-  private static boolean hasUnplacedTask(String id, Document spec, Set<String> placed)
+  private static boolean hasUnplacedTask(String id, Document spec, Set<String> runningOrDone)
       throws MalformedMessageException {
     for (int i = 0; i < spec.count("pieces"); i++) {
-      if (!placed.contains(id + "/" + i)) {
+      if (!runningOrDone.contains(id + "/" + i)) {
         return true;
       }
     }
@@ -100,8 +111,9 @@
     }
     for (var e : free.entrySet()) {
       String zone = spec.textOr("site", e.getKey().zone());
-      boolean type = !spec.has("flavors") || spec.texts("flavors").contains(e.getKey().type());
-      if (type && zone.equals(e.getKey().zone()) && e.getValue() + 1e-9 >= each) {
+      boolean typeAllowed =
+          !spec.has("flavors") || spec.texts("flavors").contains(e.getKey().type());
+      if (typeAllowed && zone.equals(e.getKey().zone()) && e.getValue() + 1e-9 >= each) {
         return true;
       }
     }
--- a/src/test/java/dev/dunefront/story/World.java
+++ b/src/test/java/dev/dunefront/story/World.java
@@ -36,13 +36,17 @@
 import java.util.function.IntConsumer;
 import java.util.function.Predicate;
 
-/** Controllers, workers, state and cloud on one fake clock and one fake network. */
+/**
+ * A simulated cluster for tests: controllers run with fake workers, a fake state service and a fake
+ * cloud on one fake clock and one simulated network with fault injection. Times are in seconds of
+ * the fake clock.
+ */
 final class World {
   static final double REPORT_S = 1.0;
   static final double LEASE_S = 8.0;
   private static final double NETWORK_DELAY_S = 0.002;
 
-  /** One answer to a user. */
+  /** A response to a user: the HTTP status, the decoded body and the retry delay. */
   record Said(int status, Document body, int retryAfterS) {
     String state() {
       try {
@@ -53,110 +57,125 @@
     }
   }
 
-  /** Records between controllers, and reports of workers, so far. */
+  /** Messages that controllers have sent to each other so far. */
   int messages;
 
+  /** Reports that workers have sent so far. */
   int reports;
 
   final FakeClock timers = new FakeClock();
   final FakeStateService state = new FakeStateService(timers);
   final FakeCloud cloud = new FakeCloud();
+
+  /** All controllers, including stopped ones, by name. */
   final Map<String, Node> nodes = new LinkedHashMap<>();
+
+  /** The workers whose machines exist, by endpoint. */
   final Map<String, FakeWorker> workers = new LinkedHashMap<>();
 
-  /** Those that are gone as well. */
+  /** All workers, including those whose machines have been deleted. */
   private final List<FakeWorker> allWorkersEver = new ArrayList<>();
 
   private final Map<String, String> machineZones = new HashMap<>();
+
+  /** The controller that each machine reports to, by host. */
   private final Map<String, String> reportsTo = new HashMap<>();
+
+  /**
+   * The time from which each machine's lease runs, by host: when it sent the last report that was
+   * accepted.
+   */
   private final Map<String, Double> leaseRenewedAt = new HashMap<>();
+
+  /** Machines without network: their reports and all requests to them are lost. */
   final Set<String> silent = new HashSet<>();
 
-  /** Machines that hang: nothing is carried out there until they go on. */
+  /** Machines that hang: they send no reports and process no requests until they resume. */
   final Set<String> hung = new HashSet<>();
 
-  /** Whether a call from one address to another is lost on its way there. */
+  /** Whether a request, report or peer message from one address to another is lost. */
   BiPredicate<String, String> lost = (from, to) -> false;
 
-  /** Whether a record is held on its way between controllers, delivered by deliverHeld. */
+  /** Whether a message between controllers is held until {@link #deliverHeld}. */
   Predicate<Message> late = message -> false;
 
-  /** Whether the answer to such a call is lost on its way back. */
+  /** Whether the response to a request from one address to another is lost. */
   BiPredicate<String, String> unanswered = (from, to) -> false;
 
-  /** Calls that are held back, delivered by {@link #deliverHeld}. */
+  /** Whether a request from one address to another is held until {@link #deliverHeld}. */
   BiPredicate<String, String> heldBack = (from, to) -> false;
 
-  /** Calls of this path are held back as well. */
+  /** Requests to this path are held as well; null for none. */
   String heldPath;
 
+  /** The deliveries that {@link #deliverHeld} runs. */
   private final List<Runnable> heldDeliveries = new ArrayList<>();
 
-  /** What has ever been held back: path and body. */
+  /** Path and body of every request that has been held so far. */
   final List<String> heldCalls = new ArrayList<>();
 
-  /** Hears of every call as it is made: by whom, of what path, with what body. */
+  /** Receives the sender, path and decoded body of every request when it is sent. */
   interface RequestListener {
     void onRequest(String from, String path, String body);
   }
 
   RequestListener tap = (from, path, body) -> {};
 
-  /** What becomes of a call on its way. */
+  /** How the network delivers a request and its response. */
   enum Fate {
     ON_TIME,
-    /** It never arrives. */
+    /** The request is lost. */
     LOST,
-    /** It is carried out, and nobody hears so. */
+    /** The request is processed and its response is lost. */
     UNANSWERED,
-    /** It is carried out, and its sender hears so just before it would give up. */
+    /** The request is processed and its response arrives 0.1 s before the sender's timeout. */
     ANSWERED_LATE,
-    /** It arrives when its sender has long given up. */
+    /** The request arrives after the sender's timeout, and its response is lost. */
     LATE,
-    /** It arrives, and a second time later on. */
+    /** The request arrives on time and once more later. */
     TWICE
   }
 
-  /** Machines whose reports arrive while nothing that is said to them does. */
+  /** Machines whose reports arrive, but that receive no requests and no responses. */
   final Set<String> deaf = new HashSet<>();
 
-  /** How much later copies of each report arrive, at the same controller and at the next. */
+  /** Delays after which duplicates of each report reach the same controller and the next one. */
   List<Double> copiesAfterS = List.of();
 
-  /** How many copies have arrived. */
+  /** Duplicate reports that have arrived so far. */
   int copies;
 
   /**
-   * Whether copies of the reports that come to a controller are kept until one begins; half a
-   * second later they reach all.
+   * Whether the reports sent to a controller are also stored. Half a second after the next start of
+   * any controller, the stored reports reach every running controller.
    */
   Predicate<String> keptForNext = node -> false;
 
   private final List<byte[]> reportsToReplay = new ArrayList<>();
 
-  /** The jobs that users were told are accepted, with their numbers of tasks. */
+  /** Number of tasks of each job whose acceptance was confirmed to a user. */
   final Map<String, Integer> accepted = new LinkedHashMap<>();
 
-  /** The jobs whose users have asked to cancel them. */
+  /** Jobs for which a user has requested cancellation. */
   final Set<String> cancelled = new HashSet<>();
 
-  /** What users have asked for, by job: the first submission of each counts. */
+  /** The first submission of each job, by job id. */
   private final Map<String, Document> submittedSpecs = new HashMap<>();
 
-  /** What users were told, held against what the workers did. */
+  /** Compares the responses that users received with what the workers did. */
   final OperationHistory operationHistory =
       new OperationHistory(workers.values(), allWorkersEver, accepted, cancelled, submittedSpecs);
 
-  /** Whether tasks are where their jobs allow them. */
+  /** Checks that tasks run on machines that their jobs allow. */
   final PlacementCheck placementCheck = new PlacementCheck(submittedSpecs);
 
-  /** Who waits beside room, once all troubles are over. */
+  /** Checks, after all faults have ended, that no job waits although a machine has room. */
   final StarvationCheck starvation =
       new StarvationCheck(
           submittedSpecs,
           w -> !silent.contains(w.host()) && !deaf.contains(w.host()) && !hung.contains(w.host()));
 
-  /** Decides what becomes of a call: by whom, of what path, with what body. */
+  /** Chooses the delivery of a request from its sender, path and decoded body. */
   interface Fates {
     Fate of(String from, String path, String body);
   }
@@ -164,61 +183,73 @@
   Fates fates = (from, path, body) -> Fate.ON_TIME;
 
   /**
-   * The first transaction that writes such a thing meets a fate, and who made it is told at once.
-   * Says whether there has been one.
+   * Applies a delivery to the first transaction whose decoded body contains a text, and delivers
+   * all other requests on time.
+   *
+   * @param onFault receives the sender when that transaction is sent
+   * @return whether that transaction has been sent
    */
-  BooleanSupplier strikeOnce(String written, Fate fate, Consumer<String> meanwhile) {
-    boolean[] struck = {false};
+  BooleanSupplier strikeOnce(String textInBody, Fate delivery, Consumer<String> onFault) {
+    boolean[] applied = {false};
     fates =
         (from, path, body) -> {
-          if (struck[0] || !path.equals("/txn") || !body.contains(written)) {
+          if (applied[0] || !path.equals("/txn") || !body.contains(textInBody)) {
             return Fate.ON_TIME;
           }
-          struck[0] = true;
-          meanwhile.accept(from);
-          return fate;
+          applied[0] = true;
+          onFault.accept(from);
+          return delivery;
         };
-    return () -> struck[0];
+    return () -> applied[0];
   }
 
-  /** How late what is late arrives. */
+  /** Delay of a late or duplicate request, in seconds. */
   double lateS = 20;
 
-  /** Keys on which conditions of transactions are passed over, as if they had been forgotten. */
+  /** Keys whose transaction conditions the state service ignores, as if the sender omitted them. */
   Predicate<String> unconditional = key -> false;
 
-  /** Machines that were deleted while a task ran on them and they could be heard. */
+  /** Violations found: machines deleted while reachable and running a task, with the time. */
   final List<String> misused = new ArrayList<>();
 
+  /** Boot time of rented machines; NaN if they never boot. */
   private double bootS = Double.NaN;
+
+  /** Delay until a rented machine is listed. */
   private double listLagS;
+
+  /** Rented machines whose boot has been scheduled or has completed. */
   private final Set<String> bootScheduled = new HashSet<>();
 
-  /** Every task's machines over time must never overlap; this is what was found. */
+  /** Violations found: tasks that ran on two workers at the same time. */
   final List<String> overlaps = new ArrayList<>();
 
+  /** Settings with a single team {@code t} without a limit. */
   static final String ONE_TEAM = "[[facts.teams]]\nname = \"t\"\n";
 
   final String teamsToml;
   private final List<String> zones;
 
-  /** The zone that is cut off from everything, or null. */
+  /** The zone that is partitioned from all others and from the services, or null. */
   private String partitionedZone;
 
-  /** The state service's limits on values, and on requests and changes in a second. */
+  /** The state service's limit on the size of a value. */
   double valueKb = 16;
 
+  /** The state service's limit on requests per second. */
   double rps = 600;
+
+  /** The state service's limit on changes per second. */
   double writeRps = 300;
 
-  /** Idle machines stay, unless a story is about their return. */
+  /** Idle machines are kept, except in tests about their return. */
   Tunables tunables = Tunables.withOverrides(Map.of("idle_boots", 1000.0));
 
   World(int controllers, String teams) {
     this(Collections.nCopies(controllers, "a"), teams);
   }
 
-  /** A controller for each of the zones given. */
+  /** Creates one controller in each of the given zones. */
   World(List<String> zones, String teams) {
     this.teamsToml = teams;
     this.zones = new ArrayList<>(zones);
@@ -231,11 +262,13 @@
     this(controllers, ONE_TEAM);
   }
 
-  /** All jobs are of one team, whose tasks may use so much at most; that is checked throughout. */
+  /**
+   * Creates a cluster with one team, and checks throughout that its tasks stay within a CPU limit.
+   */
   static World limited(List<String> zones, double cpusMax) {
     World w = new World(zones, ONE_TEAM + "cpus_max = " + cpusMax + "\n");
-    w.operationHistory.teamLimitCpus(cpusMax);
-    w.starvation.teamLimitCpus(cpusMax);
+    w.operationHistory.setTeamLimitCpus(cpusMax);
+    w.starvation.setTeamLimitCpus(cpusMax);
     return w;
   }
 
@@ -243,7 +276,7 @@
     return limited(Collections.nCopies(controllers, "a"), cpusMax);
   }
 
-  /** Another controller is set up; those that are started from now on know of it. */
+  /** Adds a controller. Only controllers started from now on have it in their settings. */
   Node add(String zone) {
     String name = "node-" + zones.size();
     zones.add(zone);
@@ -252,14 +285,16 @@
     return node;
   }
 
-  /** A controller is taken out of the settings of those that are started from now on. */
+  /** Removes a controller from the settings of all controllers started from now on. */
   void strike(String name) {
     removedFromSettings.add(name);
   }
 
   private final Set<String> removedFromSettings = new HashSet<>();
 
-  /** Three controllers and so many small machines that have reported. */
+  /**
+   * Creates three running controllers and the given number of small machines that have reported.
+   */
   static World of(int machines) {
     World w = new World(3);
     w.start().pass(2);
@@ -275,7 +310,7 @@
     return this;
   }
 
-  /** The clock as one controller has it: what is due reaches it only while it runs. */
+  /** Timers of one controller. The runner drops or defers actions while it is down or paused. */
   private record ControllerTimers(Timers clock, Consumer<Runnable> runner) implements Timers {
     @Override
     public double now() {
@@ -293,7 +328,7 @@
     }
   }
 
-  /** Lets the time pass. */
+  /** Advances the clock and checks the invariants of all controllers. */
   void pass(double seconds) {
     timers.advance(seconds);
     nodes.values().forEach(Node::checkInvariants);
@@ -302,10 +337,10 @@
   private void checkWorkers() {
     operationHistory.checkRunningTasks();
     placementCheck.look(workers.values());
-    Set<String> seen = new HashSet<>();
+    Set<String> runningTasks = new HashSet<>();
     for (FakeWorker w : workers.values()) {
       for (String task : w.running()) {
-        if (!seen.add(task)) {
+        if (!runningTasks.add(task)) {
           overlaps.add(task + " at " + timers.now());
         }
       }
@@ -318,13 +353,16 @@
     final String name;
     private final String zone;
     private Controller controller;
+
+    /** Number of starts so far; identifies the current run of the process. */
     private int startCount;
+
     private boolean up;
 
-    /** Whom its settings name. */
+    /** The controllers named in its settings, itself included. */
     private Set<String> configuredNodes = Set.of();
 
-    /** What a controller that stands still would have done or heard meanwhile; null if it runs. */
+    /** Actions deferred while the controller is paused; null while it is not paused. */
     private List<Runnable> backlog;
 
     Node(String name, String zone) {
@@ -333,17 +371,17 @@
     }
 
     void start() {
-      int mine = ++startCount;
+      int thisStart = ++startCount;
       up = true;
       backlog = null;
-      Timers own = new ControllerTimers(timers, action -> deliver(mine, action));
+      Timers controllerTimers = new ControllerTimers(timers, action -> deliver(thisStart, action));
       DecisionLock decisionLock =
           new DecisionLock(
               e -> {
                 throw new AssertionError("a decision of " + name + " failed", e);
               });
       HttpCaller caller =
-          (address, method, path, body, deadlineS, then) ->
+          (address, method, path, body, deadlineS, onResponse) ->
               sendRequest(
                   name,
                   address,
@@ -351,22 +389,23 @@
                   path,
                   body,
                   deadlineS,
-                  r -> deliver(mine, () -> then.accept(r)));
+                  r -> deliver(thisStart, () -> onResponse.accept(r)));
       Settings settings = settings(name);
       configuredNodes = new HashSet<>(Set.of(name));
       settings.peers().forEach(p -> configuredNodes.add(p.node()));
       HttpStateStore store =
-          new HttpStateStore(settings, caller, own, decisionLock, name + "-" + mine);
+          new HttpStateStore(
+              settings, caller, controllerTimers, decisionLock, name + "-" + thisStart);
       controller =
           new Controller(
               settings,
               tunables,
               store,
               caller,
-              own,
+              controllerTimers,
               decisionLock,
               new LoopWatchdog(),
-              (w, l) -> new SimulatedPeers(this, w));
+              (lock, listener) -> new SimulatedPeers(this, lock));
       controller.start();
       timers.after(0.5, World.this::replayReports);
       for (Node other : nodes.values()) {
@@ -377,10 +416,11 @@
       }
     }
 
-    /** No story may violate an invariant, whatever else it looks at. */
+    /** Fails the test, whatever else it checks, if the controller has recorded a violation. */
     void checkInvariants() {
       if (controller != null && !controller.safety().violations().isEmpty()) {
-        throw new AssertionError(name + " violates " + controller.safety().violations());
+        throw new AssertionError(
+            name + " violated invariants: " + controller.safety().violations());
       }
     }
 
@@ -396,14 +436,14 @@
       }
     }
 
-    /** The process is told to end and does so half a second later. */
+    /** Requests an orderly shutdown; the process ends half a second later. */
     void end() {
       decisionLock().run(() -> controller.handOverDuties(() -> {}));
-      int mine = startCount;
+      int thisStart = startCount;
       timers.after(
           0.5,
           () -> {
-            if (startCount == mine && up) {
+            if (startCount == thisStart && up) {
               crash();
             }
           });
@@ -413,7 +453,7 @@
       return up;
     }
 
-    /** Its lease ends and it does not know so. */
+    /** Ends the lease of the controller at the state service without notifying the controller. */
     void loseLease() {
       try {
         Document d = state.value("w/n/" + name);
@@ -430,36 +470,39 @@
       return controller.decisionLock();
     }
 
-    /** Something reaches this life of the controller: now, or when it goes on. */
-    private void deliver(int inLife, Runnable what) {
-      if (startCount != inLife || !up) {
+    /**
+     * Runs an action now, or after the pause if the controller is paused. Drops it if the
+     * controller is down or has been restarted since.
+     */
+    private void deliver(int forStart, Runnable action) {
+      if (startCount != forStart || !up) {
         return;
       }
       if (backlog != null) {
-        backlog.add(() -> deliver(inLife, what));
+        backlog.add(() -> deliver(forStart, action));
       } else {
-        what.run();
+        action.run();
       }
     }
 
-    /** Something is told to the controller, inside its lock. */
-    private void runOnController(Consumer<Controller> what) {
-      deliver(startCount, () -> decisionLock().run(() -> what.accept(controller)));
+    /** Runs an action on the controller while holding its decision lock. */
+    private void runOnController(Consumer<Controller> action) {
+      deliver(startCount, () -> decisionLock().run(() -> action.accept(controller)));
     }
 
-    /** Somebody asks and does not wait; what comes is the status. */
-    void request(String method, String path, IntConsumer then) {
+    /** Sends a request without waiting; the callback receives the HTTP status. */
+    void request(String method, String path, IntConsumer onStatus) {
       handle(
           new HttpServer.Request(method, path, "", new byte[0]),
-          (status, reply, again) -> then.accept(status));
+          (status, reply, retryAfterS) -> onStatus.accept(status));
     }
 
-    /** What an operator reads. */
+    /** Returns the text of the metrics endpoint. */
     String metrics() {
       String[] text = {""};
       handle(
           new HttpServer.Request("GET", HttpServer.METRICS_PATH, "", new byte[0]),
-          (status, reply, again) -> text[0] = new String(reply, StandardCharsets.UTF_8));
+          (status, reply, retryAfterS) -> text[0] = new String(reply, StandardCharsets.UTF_8));
       return text[0];
     }
 
@@ -468,19 +511,19 @@
     }
 
     /**
-     * The controller stands still while its clock runs on: all that is due or arrives meanwhile
-     * comes at once when it goes on. The others find its links silent after a while.
+     * Pauses the process while the clock advances. Everything that is due or arrives meanwhile runs
+     * at once when the process resumes. After 5 s the other controllers time out their links to it.
      */
     void standStill(double seconds) {
       if (backlog != null) {
         return;
       }
-      int mine = startCount;
+      int thisStart = startCount;
       backlog = new ArrayList<>();
       timers.after(
           LINK_TIMEOUT_S,
           () -> {
-            if (startCount == mine && up && backlog != null) {
+            if (startCount == thisStart && up && backlog != null) {
               for (Node other : nodes.values()) {
                 if (other != this && other.up) {
                   brokenLinks.add(other.name + ">" + name);
@@ -492,12 +535,12 @@
       timers.after(
           seconds,
           () -> {
-            if (startCount != mine || !up) {
+            if (startCount != thisStart || !up) {
               return;
             }
-            List<Runnable> all = backlog;
+            List<Runnable> deferred = backlog;
             backlog = null;
-            all.forEach(Runnable::run);
+            deferred.forEach(Runnable::run);
             for (Node other : nodes.values()) {
               if (other != this && brokenLinks.remove(other.name + ">" + name)) {
                 decisionLock().run(() -> controller.disconnected(other.name));
@@ -509,15 +552,18 @@
     }
   }
 
-  /** Links that have broken, as {@code from>to}. */
+  /** Links that have timed out because of a pause, as {@code from>to}. */
   private final Set<String> brokenLinks = new HashSet<>();
 
+  /** Controllers close a link after this time without a message. */
   private static final double LINK_TIMEOUT_S = 5;
 
+  /** Whether the settings of both controllers name the other. */
   private static boolean configuredAsPeers(Node a, Node b) {
     return a.configuredNodes.contains(b.name) && b.configuredNodes.contains(a.name);
   }
 
+  /** Opens the link in one direction, replacing an earlier one. */
   private void reconnect(Node from, Node to) {
     timers.after(
         NETWORK_DELAY_S,
@@ -542,8 +588,8 @@
     public void send(String node, Message message) {
       messages++;
       Node to = nodes.get(node);
-      int life = to == null ? 0 : to.startCount;
-      byte[] record = MessageCodec.encode(message);
+      int startCount = to == null ? 0 : to.startCount;
+      byte[] encoded = MessageCodec.encode(message);
       if (late.test(message)) {
         heldDeliveries.add(() -> say(self.name, node, message));
         return;
@@ -559,9 +605,10 @@
               return;
             }
             try {
-              Message m = MessageCodec.decode(record);
+              Message decoded = MessageCodec.decode(encoded);
               to.deliver(
-                  life, () -> to.decisionLock().run(() -> to.controller.received(self.name, m)));
+                  startCount,
+                  () -> to.decisionLock().run(() -> to.controller.received(self.name, decoded)));
             } catch (IOException e) {
               throw new AssertionError(e);
             }
@@ -574,7 +621,7 @@
     }
   }
 
-  /** A record from one controller reaches another, whenever it was sent. */
+  /** Delivers a message from one controller to another, regardless of when it was sent. */
   void say(String from, String to, Message message) {
     nodes.get(to).runOnController(d -> d.received(from, message));
   }
@@ -616,19 +663,19 @@
       String path,
       byte[] body,
       double deadlineS,
-      Consumer<HttpCaller.Response> then) {
-    boolean[] over = {false};
-    Consumer<HttpCaller.Response> once =
+      Consumer<HttpCaller.Response> onResponse) {
+    boolean[] completed = {false};
+    Consumer<HttpCaller.Response> completeOnce =
         r -> {
-          if (!over[0]) {
-            over[0] = true;
-            then.accept(r);
+          if (!completed[0]) {
+            completed[0] = true;
+            onResponse.accept(r);
           }
         };
-    timers.after(deadlineS, () -> once.accept(HttpCaller.Response.NO_RESPONSE));
+    timers.after(deadlineS, () -> completeOnce.accept(HttpCaller.Response.NO_RESPONSE));
     if (address.equals("10.2.0.1:1") && refusedByState.contains(from)) {
       timers.after(
-          NETWORK_DELAY_S, () -> once.accept(new HttpCaller.Response(503, new byte[0], 0)));
+          NETWORK_DELAY_S, () -> completeOnce.accept(new HttpCaller.Response(503, new byte[0], 0)));
       return;
     }
     tap.onRequest(from, path, text(body));
@@ -643,26 +690,27 @@
                   if (!unanswered.test(from, address)) {
                     timers.after(
                         NETWORK_DELAY_S,
-                        () -> respondUnlessRefused(from, path, () -> once.accept(r)));
+                        () -> respondUnlessRefused(from, path, () -> completeOnce.accept(r)));
                   }
                 });
-    FakeWorker called = workers.get(address);
-    if (lost.test(from, address) || called != null && deaf.contains(called.host())) {
+    FakeWorker target = workers.get(address);
+    if (lost.test(from, address) || target != null && deaf.contains(target.host())) {
       return;
     }
-    Fate fate = fates.of(from, path, text(body));
-    if (fate == Fate.LATE || fate == Fate.TWICE) {
+    Fate delivery = fates.of(from, path, text(body));
+    if (delivery == Fate.LATE || delivery == Fate.TWICE) {
       timers.after(lateS, () -> serve(address, method, path, body, r -> {}));
     }
-    if (fate == Fate.LOST || fate == Fate.LATE) {
+    if (delivery == Fate.LOST || delivery == Fate.LATE) {
       return;
     }
-    if (fate == Fate.ANSWERED_LATE) {
-      Consumer<HttpCaller.Response> late = r -> timers.after(deadlineS - 0.1, () -> once.accept(r));
-      timers.after(NETWORK_DELAY_S, () -> serve(address, method, path, body, late));
+    if (delivery == Fate.ANSWERED_LATE) {
+      Consumer<HttpCaller.Response> respondLate =
+          r -> timers.after(deadlineS - 0.1, () -> completeOnce.accept(r));
+      timers.after(NETWORK_DELAY_S, () -> serve(address, method, path, body, respondLate));
       return;
     }
-    if (fate == Fate.UNANSWERED) {
+    if (delivery == Fate.UNANSWERED) {
       timers.after(NETWORK_DELAY_S, () -> serve(address, method, path, body, r -> {}));
       return;
     }
@@ -671,52 +719,60 @@
       deliverWhenResumed(worker.host(), deliver);
       return;
     }
-    boolean cutOff = crossesPartition(nodes.get(from).zone, worker == null ? null : zoneOf(worker));
-    if (cutOff || heldBack.test(from, address) || path.equals(heldPath)) {
+    boolean acrossPartition =
+        crossesPartition(nodes.get(from).zone, worker == null ? null : zoneOf(worker));
+    if (acrossPartition || heldBack.test(from, address) || path.equals(heldPath)) {
       heldDeliveries.add(deliver);
       heldCalls.add(path + " " + text(body));
       return;
     }
-    boolean slow = address.equals("10.2.0.1:1");
-    timers.after(NETWORK_DELAY_S + (slow ? stateSlowS.getAsDouble() : 0), deliver);
+    boolean toStateService = address.equals("10.2.0.1:1");
+    timers.after(NETWORK_DELAY_S + (toStateService ? stateSlowS.getAsDouble() : 0), deliver);
   }
 
-  /** What reaches a machine that hangs waits there, and is carried out first when it goes on. */
-  private void deliverWhenResumed(String host, Runnable what) {
+  /**
+   * Runs an action once a machine no longer hangs. The short interval lets requests that arrived
+   * during the hang run before the machine's next report.
+   */
+  private void deliverWhenResumed(String host, Runnable action) {
     if (hung.contains(host)) {
-      timers.after(0.01, () -> deliverWhenResumed(host, what));
+      timers.after(0.01, () -> deliverWhenResumed(host, action));
     } else {
-      what.run();
+      action.run();
     }
   }
 
-  /** A machine hangs for a while. */
-  void hang(String host, double forS) {
+  /** Makes a machine hang for the given time, in seconds. */
+  void hang(String host, double durationS) {
     hung.add(host);
-    timers.after(forS, () -> hung.remove(host));
+    timers.after(durationS, () -> hung.remove(host));
   }
 
-  /** A watch that was open when the state service began to refuse its controller waits on. */
-  private void respondUnlessRefused(String from, String path, Runnable answer) {
+  /** Defers the response to an open watch while the state service refuses its controller. */
+  private void respondUnlessRefused(String from, String path, Runnable respond) {
     if (path.startsWith("/watch") && refusedByState.contains(from)) {
-      timers.after(0.1, () -> respondUnlessRefused(from, path, answer));
+      timers.after(0.1, () -> respondUnlessRefused(from, path, respond));
     } else {
-      answer.run();
+      respond.run();
     }
   }
 
-  /** Whether a packet between the zones meets the cut; null is where no zone is. */
-  private boolean crossesPartition(String one, String other) {
-    return partitionedZone != null && partitionedZone.equals(one) != partitionedZone.equals(other);
+  /** Whether the partition separates two zones; null stands for a service outside all zones. */
+  private boolean crossesPartition(String zone, String otherZone) {
+    return partitionedZone != null
+        && partitionedZone.equals(zone) != partitionedZone.equals(otherZone);
   }
 
-  /** Cuts a zone off from everything else: what crosses is held, links fall silent. */
+  /**
+   * Partitions a zone from all others and from the services. Requests and reports across the
+   * partition are held, and links across it time out after 5 s.
+   */
   void cut(String zone) {
     partitionedZone = zone;
     timers.after(LINK_TIMEOUT_S, this::timeOutPartitionedLinks);
   }
 
-  /** The cut ends: all that was held arrives at once, and links are made anew. */
+  /** Ends the partition: held requests and reports arrive at once and links are reconnected. */
   void heal() {
     String zone = partitionedZone;
     if (zone == null) {
@@ -733,7 +789,7 @@
     }
   }
 
-  /** All links of a controller have been silent for so long that they count as gone. */
+  /** Times out the links of a controller over which {@link #lost} drops its messages. */
   void linksSilent(String name) {
     Node node = nodes.get(name);
     for (Node other : nodes.values()) {
@@ -744,18 +800,18 @@
     }
   }
 
-  /** What is lost of a controller that no other hears, and that hears no other. */
+  /** Drops everything between a controller and its peers, in both directions. */
   static BiPredicate<String, String> withoutPeers(String node) {
     return (from, to) ->
         from.equals(node) && to.startsWith("node-") || to.equals(node) && from.startsWith("node-");
   }
 
-  /** What is lost of one that has lost the state service as well. */
+  /** Drops the messages of {@link #withoutPeers} and the controller's state service requests. */
   static BiPredicate<String, String> withoutPeersAndState(String node) {
     return withoutPeers(node).or((from, to) -> from.equals(node) && to.equals("10.2.0.1:1"));
   }
 
-  /** All links of a controller are made anew. */
+  /** Reconnects all links of a controller. */
   void linksBack(String name) {
     for (Node other : nodes.values()) {
       if (other != nodes.get(name)) {
@@ -783,34 +839,40 @@
     }
   }
 
-  /** How much longer a request to the state service is on its way. */
+  /** Additional delay of requests to the state service, in seconds. */
   DoubleSupplier stateSlowS = () -> 0;
 
-  /** What was held back arrives now, however late. */
+  /** Delivers all held requests, reports and peer messages now. */
   void deliverHeld() {
-    List<Runnable> all = List.copyOf(heldDeliveries);
+    List<Runnable> deliveries = List.copyOf(heldDeliveries);
     heldDeliveries.clear();
-    all.forEach(Runnable::run);
+    deliveries.forEach(Runnable::run);
     checkWorkers();
   }
 
+  /** Number of requests, reports and peer messages that are held now. */
   int heldCount() {
     return heldDeliveries.size();
   }
 
-  /** Controllers that the state service refuses. */
+  /** Controllers whose requests the state service refuses with status 503. */
   final Set<String> refusedByState = new HashSet<>();
 
   private void serve(
-      String address, String method, String path, byte[] body, Consumer<HttpCaller.Response> then) {
+      String address,
+      String method,
+      String path,
+      byte[] body,
+      Consumer<HttpCaller.Response> onResponse) {
     if (address.equals("10.2.0.1:1")) {
-      state.handle(method, path, path.equals("/txn") ? withoutIgnoredConditions(body) : body, then);
+      state.handle(
+          method, path, path.equals("/txn") ? withoutIgnoredConditions(body) : body, onResponse);
     } else if (address.equals("10.2.0.2:1")) {
       if (path.equals("/machines/delete")) {
         recordDeletionsInUse(body);
       }
-      then.accept(cloud.handle(method, path, body));
-      // By the time of the answer what was on them is gone.
+      onResponse.accept(cloud.handle(method, path, body));
+      // Tasks on deleted machines have ended by the time of the response.
       workers.values().removeIf(m -> cloud.deleted(m.host()));
       scheduleBoots();
     } else {
@@ -822,7 +884,7 @@
                   ? new HttpCaller.Response(200, w.report(), 0)
                   : w.handleCommands(body);
           checkWorkers();
-          then.accept(reply);
+          onResponse.accept(reply);
         } catch (MalformedMessageException e) {
           throw new AssertionError(e);
         }
@@ -830,6 +892,7 @@
     }
   }
 
+  /** Returns the transaction without the conditions that {@link #unconditional} ignores. */
   private byte[] withoutIgnoredConditions(byte[] body) {
     try {
       Document txn = Document.decode(body);
@@ -845,10 +908,12 @@
     }
   }
 
-  /** Rented machines come up after a while and are listed later still. */
-  World renting(double boot, double lag) {
-    bootS = boot;
-    listLagS = lag;
+  /**
+   * Lets rented machines boot and appear in the cloud's list after the given delays, in seconds.
+   */
+  World renting(double bootDelayS, double listDelayS) {
+    bootS = bootDelayS;
+    listLagS = listDelayS;
     cloud.hideNewMachines();
     return this;
   }
@@ -892,18 +957,20 @@
     }
   }
 
-  /** How many machines were ever rented. */
+  /** Number of machines rented so far. */
   int hired() {
     return cloud.hostsByRequest().values().stream().mapToInt(List::size).sum();
   }
 
-  /** The controller that a key of the state service names as its incarnation, or null. */
+  /**
+   * The controller whose incarnation a key of the state service records, or null without the key.
+   */
   String named(String key) {
     String inc = incarnation(key);
     return inc == null ? null : inc.substring(0, inc.lastIndexOf('#'));
   }
 
-  /** The incarnation that a key names, or null. */
+  /** The incarnation that a key of the state service records, or null without the key. */
   String incarnation(String key) {
     try {
       Document d = state.value(key);
@@ -913,12 +980,12 @@
     }
   }
 
-  /** Somebody else writes into the state service, whatever it is. */
+  /** Writes a key of the state service, bypassing the controllers. */
   void writeState(String key, Document value) {
     changeState(Document.create().put("put", key).put("data", value));
   }
 
-  /** Somebody else removes a key. */
+  /** Removes a key of the state service, bypassing the controllers. */
   void removeState(String key) {
     changeState(Document.create().put("remove", key));
   }
@@ -930,13 +997,14 @@
         Document.create().put("when", List.of()).put("then", List.of(change)).encode(),
         reply -> {
           if (!reply.ok()) {
-            throw new AssertionError("not written: " + reply.status());
+            throw new AssertionError("state service rejected the change: " + reply.status());
           }
         });
   }
 
   // ---- workers ----
 
+  /** Adds a running machine whose first report goes to the given controller. */
   FakeWorker machine(String host, String type, String zone, String firstNode) {
     cloud.addRunning(host, type, zone);
     return addWorker(host, type, zone, firstNode);
@@ -954,22 +1022,22 @@
     return w;
   }
 
-  /** How many tasks of a job run. */
+  /** Number of running tasks of a job. */
   int running(String job) {
     return workers.values().stream().mapToInt(m -> running(m, job)).sum();
   }
 
-  /** How many tasks of a job run on a machine. */
+  /** Number of running tasks of a job on one machine. */
   static int running(FakeWorker m, String job) {
     return (int) m.running().stream().filter(t -> t.startsWith(job + "/")).count();
   }
 
-  /** How many tasks run on all machines. */
+  /** Number of running tasks on all machines. */
   int running() {
     return workers.values().stream().mapToInt(m -> m.running().size()).sum();
   }
 
-  /** Every task that runs is done. */
+  /** Ends every running task with the exit reason {@code done}. */
   void finishAll() {
     workers.values().forEach(m -> m.running().forEach(t -> m.exit(t, "done")));
   }
@@ -978,21 +1046,24 @@
     return machineZones.get(w.host());
   }
 
-  /** The controller to which the machine reports. */
+  /** The controller that the machine reports to. */
   String holder(String host) {
     return reportsTo.get(host);
   }
 
-  /** The worker counts its lease by itself, whatever becomes of its reports. */
+  /**
+   * Starts a new session, which kills all tasks, when the worker's lease expires. The worker checks
+   * its lease on its own clock, independently of its reports.
+   */
   private void checkWorkerLease(FakeWorker w) {
-    double over = leaseRenewedAt.get(w.host()) + LEASE_S;
-    if (timers.now() > over) {
+    double expiresAt = leaseRenewedAt.get(w.host()) + LEASE_S;
+    if (timers.now() > expiresAt) {
       w.newSession();
       leaseRenewedAt.put(w.host(), timers.now());
     }
-    double next = leaseRenewedAt.get(w.host()) + LEASE_S - timers.now() + 0.001;
+    double checkInS = leaseRenewedAt.get(w.host()) + LEASE_S - timers.now() + 0.001;
     if (!cloud.deleted(w.host())) {
-      timers.after(next, () -> checkWorkerLease(w));
+      timers.after(checkInS, () -> checkWorkerLease(w));
     }
   }
 
@@ -1001,8 +1072,8 @@
       workers.remove(w.endpoint());
       return;
     }
-    Node n = nodes.get(reportsTo.get(w.host()));
-    double sent = timers.now();
+    Node node = nodes.get(reportsTo.get(w.host()));
+    double sentAt = timers.now();
     byte[] body = w.report();
     reports++;
     operationHistory.checkRunningTasks();
@@ -1010,172 +1081,190 @@
       timers.after(0.2, () -> report(w));
       return;
     }
-    boolean lostNow = silent.contains(w.host()) || !n.up || lost.test(w.endpoint(), n.name);
-    if (lostNow) {
-      reportToNext(w, n);
+    boolean reportLost =
+        silent.contains(w.host()) || !node.up || lost.test(w.endpoint(), node.name);
+    if (reportLost) {
+      reportToNext(w, node);
       return;
     }
-    if (crossesPartition(zoneOf(w), n.zone)) {
-      // Held, and read when the cut ends; the worker has long gone elsewhere by then.
-      int life = n.startCount;
-      HttpServer.Request late = new HttpServer.Request("POST", "/hello", "", body);
+    if (crossesPartition(zoneOf(w), node.zone)) {
+      // Held until the partition ends; the worker reports to another controller by then.
+      int startCount = node.startCount;
+      HttpServer.Request request = new HttpServer.Request("POST", "/hello", "", body);
       heldDeliveries.add(
-          () -> n.deliver(life, () -> n.controller.handle(late, (status, reply, again) -> {})));
-      timers.after(REPORT_TIMEOUT_S, () -> reportToNext(w, n));
+          () ->
+              node.deliver(
+                  startCount,
+                  () -> node.controller.handle(request, (status, reply, retryAfterS) -> {})));
+      timers.after(REPORT_TIMEOUT_S, () -> reportToNext(w, node));
       return;
     }
-    boolean[] over = {false};
+    boolean[] completed = {false};
     timers.after(
         REPORT_TIMEOUT_S,
         () -> {
-          if (!over[0]) {
-            over[0] = true;
-            reportToNext(w, n);
+          if (!completed[0]) {
+            completed[0] = true;
+            reportToNext(w, node);
           }
         });
-    HttpServer.Responder answer =
-        (status, reply, again) ->
+    HttpServer.Responder responder =
+        (status, reply, retryAfterS) ->
             timers.after(
                 NETWORK_DELAY_S,
                 () -> {
-                  if (over[0] || deaf.contains(w.host()) || hung.contains(w.host())) {
+                  if (completed[0] || deaf.contains(w.host()) || hung.contains(w.host())) {
                     return;
                   }
-                  over[0] = true;
+                  completed[0] = true;
                   try {
                     if (status == 200) {
                       if (w.handleReportResponse(reply)) {
-                        leaseRenewedAt.put(w.host(), sent);
+                        leaseRenewedAt.put(w.host(), sentAt);
                       }
                       timers.after(REPORT_S, () -> report(w));
                     } else if (status == 421 && reply != null) {
                       reportsTo.put(w.host(), Document.decode(reply).text("overseer"));
                       timers.after(0.1, () -> report(w));
                     } else {
-                      reportToNext(w, n);
+                      reportToNext(w, node);
                     }
                   } catch (MalformedMessageException e) {
                     throw new AssertionError(e);
                   }
                 });
-    n.handle(new HttpServer.Request("POST", "/hello", "", body), answer);
-    scheduleDuplicates(n, body);
+    node.handle(new HttpServer.Request("POST", "/hello", "", body), responder);
+    scheduleDuplicates(node, body);
   }
 
   private static final int MAX_REPLAYED_REPORTS = 60;
 
-  /** What was kept for whoever begins next reaches all controllers. */
+  /** Delivers the stored reports to all running controllers. */
   private void replayReports() {
-    List<byte[]> all = List.copyOf(reportsToReplay);
+    List<byte[]> bodies = List.copyOf(reportsToReplay);
     reportsToReplay.clear();
-    for (byte[] body : all) {
-      for (Node to : nodes.values()) {
-        if (to.up) {
+    for (byte[] body : bodies) {
+      for (Node node : nodes.values()) {
+        if (node.up) {
           copies++;
-          hello(to.name, body);
+          hello(node.name, body);
         }
       }
     }
   }
 
-  /** Copies come late: to the same controller, and to another. Nobody waits for the answers. */
-  private void scheduleDuplicates(Node n, byte[] body) {
-    if (keptForNext.test(n.name) && reportsToReplay.size() < MAX_REPLAYED_REPORTS) {
+  /**
+   * Schedules duplicates of a report to the same controller and to the next one, and stores it for
+   * replay at the next start. The responses to duplicates are ignored.
+   */
+  private void scheduleDuplicates(Node node, byte[] body) {
+    if (keptForNext.test(node.name) && reportsToReplay.size() < MAX_REPLAYED_REPORTS) {
       reportsToReplay.add(body);
     }
-    List<Node> all = List.copyOf(nodes.values());
-    Node next = all.get((all.indexOf(n) + 1) % all.size());
-    for (double s : copiesAfterS) {
-      for (Node to : List.of(n, next)) {
+    List<Node> allNodes = List.copyOf(nodes.values());
+    Node next = allNodes.get((allNodes.indexOf(node) + 1) % allNodes.size());
+    for (double delayS : copiesAfterS) {
+      for (Node to : List.of(node, next)) {
         timers.after(
-            s,
+            delayS,
             () -> {
               if (to.up) {
                 copies++;
-                HttpServer.Request copy = new HttpServer.Request("POST", "/hello", "", body);
-                to.handle(copy, (status, reply, again) -> {});
+                HttpServer.Request duplicate = new HttpServer.Request("POST", "/hello", "", body);
+                to.handle(duplicate, (status, reply, retryAfterS) -> {});
               }
             });
       }
     }
   }
 
-  /** A report reaches a controller, and nobody waits for the answer. */
+  /** Delivers a report to a controller and ignores the response. */
   void hello(String node, byte[] body) {
     nodes
         .get(node)
-        .handle(new HttpServer.Request("POST", "/hello", "", body), (status, reply, again) -> {});
+        .handle(
+            new HttpServer.Request("POST", "/hello", "", body), (status, reply, retryAfterS) -> {});
   }
 
-  /** How long a worker waits for an answer. */
+  /** Time that a worker waits for the response to a report. */
   private static final double REPORT_TIMEOUT_S = 4;
 
-  private void reportToNext(FakeWorker w, Node n) {
+  /** Reports again in 1 s; the worker moves on to the next controller unless it is isolated. */
+  private void reportToNext(FakeWorker w, Node node) {
     List<String> names = List.copyOf(nodes.keySet());
     if (!silent.contains(w.host())) {
-      reportsTo.put(w.host(), names.get((names.indexOf(n.name) + 1) % names.size()));
+      reportsTo.put(w.host(), names.get((names.indexOf(node.name) + 1) % names.size()));
     }
     timers.after(1, () -> report(w));
   }
 
   // ---- users ----
 
+  /** Sends a request and waits up to 6 s for the response; null on timeout. */
   Said ask(String node, String method, String path, byte[] body) {
-    Said[] said = {null};
-    HttpServer.Responder answer =
-        (status, reply, again) -> {
+    Said[] response = {null};
+    HttpServer.Responder responder =
+        (status, reply, retryAfterS) -> {
           try {
-            said[0] =
+            response[0] =
                 new Said(
                     status,
                     reply == null || reply.length == 0 ? Document.create() : Document.decode(reply),
-                    again);
+                    retryAfterS);
           } catch (MalformedMessageException e) {
             throw new AssertionError(e);
           }
         };
-    nodes.get(node).handle(new HttpServer.Request(method, path, "", body), answer);
-    for (int i = 0; i < 3000 && said[0] == null; i++) {
+    nodes.get(node).handle(new HttpServer.Request(method, path, "", body), responder);
+    for (int i = 0; i < 3000 && response[0] == null; i++) {
       pass(0.002);
     }
-    return said[0];
+    return response[0];
   }
 
+  /** Submits a job and waits for the response; null on timeout. */
   Said submit(String node, Document job) {
     double sentAt = timers.now();
     try {
       submittedSpecs.putIfAbsent(job.text("id"), job);
-      Said said = ask(node, "POST", "/v1/jobs", job.encode());
-      if (said != null && (said.status() == 201 || said.status() == 200)) {
+      Said response = ask(node, "POST", "/v1/jobs", job.encode());
+      if (response != null && (response.status() == 201 || response.status() == 200)) {
         accepted.put(job.text("id"), (int) job.count("pieces"));
       }
-      return recordResponse(job.text("id"), sentAt, said);
+      return recordResponse(job.text("id"), sentAt, response);
     } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
   }
 
+  /** Requests the status of a job and waits for the response; null on timeout. */
   Said poll(String node, String id) {
     double sentAt = timers.now();
     return recordResponse(id, sentAt, ask(node, "GET", "/v1/jobs/" + id, new byte[0]));
   }
 
+  /** Requests the cancellation of a job and waits for the response; null on timeout. */
   Said cancel(String node, String id) {
     cancelled.add(id);
     double sentAt = timers.now();
     return recordResponse(id, sentAt, ask(node, "POST", "/v1/jobs/" + id + "/abort", new byte[0]));
   }
 
-  private Said recordResponse(String id, double sentAt, Said said) {
-    operationHistory.recordResponse(id, said, sentAt, timers.now());
-    return said;
+  private Said recordResponse(String id, double sentAt, Said response) {
+    operationHistory.recordResponse(id, response, sentAt, timers.now());
+    return response;
   }
 
   /**
-   * A user who submits, polls or cancels through whichever controller is up, without waiting: what
-   * comes is noted, and while it is not an answer the request is repeated, as the protocol says.
+   * Sends a user request through a running controller without waiting and records the response. On
+   * a timeout, on status 503 or while no controller runs, it retries at the next controller after
+   * 1.5 s, as the protocol requires.
+   *
+   * @param body the job to submit; null for other requests
+   * @param firstNode index of the controller among the running ones
+   * @param tries remaining attempts
    */
-  void user(String method, String path, Document body, String id, int node, int tries) {
+  void user(String method, String path, Document body, String id, int firstNode, int tries) {
     List<Node> up = nodes.values().stream().filter(Node::up).toList();
     if (tries == 0) {
       return;
@@ -1183,100 +1272,102 @@
     if (body != null) {
       submittedSpecs.putIfAbsent(id, body);
     }
-    Runnable again =
-        () -> timers.after(1.5, () -> user(method, path, body, id, node + 1, tries - 1));
+    Runnable retry =
+        () -> timers.after(1.5, () -> user(method, path, body, id, firstNode + 1, tries - 1));
     if (up.isEmpty()) {
-      again.run();
+      retry.run();
       return;
     }
-    boolean[] over = {false};
+    boolean[] completed = {false};
     double sentAt = timers.now();
     HttpServer.Request request =
         new HttpServer.Request(method, path, "", body == null ? new byte[0] : body.encode());
-    double patienceS = method.equals("GET") ? 2 : 5;
+    double timeoutS = method.equals("GET") ? 2 : 5;
     timers.after(
-        patienceS,
+        timeoutS,
         () -> {
-          if (!over[0]) {
-            over[0] = true;
-            again.run();
+          if (!completed[0]) {
+            completed[0] = true;
+            retry.run();
           }
         });
-    up.get(node % up.size())
+    up.get(firstNode % up.size())
         .handle(
             request,
-            (status, reply, pause) -> {
-              if (over[0]) {
+            (status, reply, retryAfterS) -> {
+              if (completed[0]) {
                 return;
               }
-              over[0] = true;
+              completed[0] = true;
               try {
-                Document said =
+                Document responseBody =
                     reply == null || reply.length == 0 ? Document.create() : Document.decode(reply);
                 if (body != null && (status == 200 || status == 201)) {
                   accepted.putIfAbsent(id, (int) body.count("pieces"));
                 }
-                recordResponse(id, sentAt, new Said(status, said, pause));
+                recordResponse(id, sentAt, new Said(status, responseBody, retryAfterS));
               } catch (MalformedMessageException e) {
                 throw new AssertionError(e);
               }
               if (status == 503) {
-                again.run();
+                retry.run();
               }
             });
   }
 
-  /** How long every question about a job may go unanswered once all troubles are over. */
+  /** After the faults end, every controller must answer a poll of every job within this time. */
   private static final double ANSWER_DEADLINE_S = 75;
 
-  /** The largest jobs too begin within this time. */
+  /** After the faults end, every job must start within this time, even the largest. */
   private static final double START_DEADLINE_S = 240;
 
   /**
-   * The end of a day, all troubles being over, by what users and workers see: every controller
-   * answers for every accepted job in time, every one that was not cancelled begins in time and in
-   * the end runs whole, and no task has ever run twice at once. Says what is wrong, or nothing.
+   * Runs the cluster after all faults have ended until all jobs complete, and checks what users and
+   * workers observe: every controller answers for every accepted job in time, every job that was
+   * not cancelled starts in time and runs all its tasks, and no task has ever run twice at once.
+   *
+   * @return the violations found, including those of the other checks; empty if there are none
    */
   List<String> dayEnds() {
-    List<String> wrong = new ArrayList<>();
-    double since = timers.now();
-    Map<String, Set<String>> open = new LinkedHashMap<>();
+    List<String> violations = new ArrayList<>();
+    double startedAt = timers.now();
+    Map<String, Set<String>> unansweredByNode = new LinkedHashMap<>();
     nodes.values().stream()
         .filter(Node::up)
-        .forEach(n -> open.put(n.name, new HashSet<>(accepted.keySet())));
-    Set<String> unbegun = new HashSet<>(accepted.keySet());
-    Set<String> unfinished = new HashSet<>(accepted.keySet());
-    unbegun.removeAll(cancelled);
-    unfinished.removeAll(cancelled);
-    double last = since + 2 * START_DEADLINE_S;
-    while (timers.now() < last && !(unfinished.isEmpty() && open.isEmpty())) {
+        .forEach(n -> unansweredByNode.put(n.name, new HashSet<>(accepted.keySet())));
+    Set<String> unstarted = new HashSet<>(accepted.keySet());
+    Set<String> incomplete = new HashSet<>(accepted.keySet());
+    unstarted.removeAll(cancelled);
+    incomplete.removeAll(cancelled);
+    double deadline = startedAt + 2 * START_DEADLINE_S;
+    while (timers.now() < deadline && !(incomplete.isEmpty() && unansweredByNode.isEmpty())) {
       pass(2);
       checkStarvation();
-      Map<String, Integer> started = startedTaskCounts();
-      unbegun.removeIf(id -> started.getOrDefault(id, 0) > 0);
-      unfinished.removeIf(id -> started.getOrDefault(id, 0) >= accepted.get(id));
-      if (timers.now() - since > START_DEADLINE_S) {
-        unbegun.forEach(id -> wrong.add(id + " has not begun"));
-        unbegun.clear();
+      Map<String, Integer> startedCounts = startedTaskCounts();
+      unstarted.removeIf(id -> startedCounts.getOrDefault(id, 0) > 0);
+      incomplete.removeIf(id -> startedCounts.getOrDefault(id, 0) >= accepted.get(id));
+      if (timers.now() - startedAt > START_DEADLINE_S) {
+        unstarted.forEach(id -> violations.add(id + " has not started in time"));
+        unstarted.clear();
       }
-      if (timers.now() - since < ANSWER_DEADLINE_S) {
-        open.forEach((node, ids) -> ids.removeIf(id -> isAnswered(node, id)));
-        open.values().removeIf(Set::isEmpty);
+      if (timers.now() - startedAt < ANSWER_DEADLINE_S) {
+        unansweredByNode.forEach((node, ids) -> ids.removeIf(id -> isAnswered(node, id)));
+        unansweredByNode.values().removeIf(Set::isEmpty);
       } else {
-        open.forEach((node, ids) -> wrong.add(ids + " are forgotten by " + node));
-        open.clear();
+        unansweredByNode.forEach((node, ids) -> violations.add(ids + " are forgotten by " + node));
+        unansweredByNode.clear();
       }
       finishAll();
     }
-    unfinished.forEach(id -> wrong.add(id + " never ran whole"));
-    wrong.addAll(overlaps);
-    wrong.addAll(operationHistory.violations);
-    wrong.addAll(starvation.wrong);
-    wrong.addAll(placementCheck.wrong);
-    return wrong;
+    incomplete.forEach(id -> violations.add(id + " never ran whole"));
+    violations.addAll(overlaps);
+    violations.addAll(operationHistory.violations);
+    violations.addAll(starvation.wrong);
+    violations.addAll(placementCheck.wrong);
+    return violations;
   }
 
-  /** Tasks run on for as long as a job may wait at the most, and who waits beside room is noted. */
+  /** Runs for the maximum waiting time without completing tasks and checks for starvation. */
   void rest() {
     for (int i = 0; i <= StarvationCheck.MAX_WAIT_S / 2 + 1; i++) {
       pass(2);
@@ -1285,17 +1376,17 @@
   }
 
   private void checkStarvation() {
-    Set<String> ids = new HashSet<>(accepted.keySet());
-    ids.removeAll(cancelled);
-    starvation.check(ids, workers.values(), operationHistory.doneTasks(), timers.now());
+    Set<String> pendingJobs = new HashSet<>(accepted.keySet());
+    pendingJobs.removeAll(cancelled);
+    starvation.check(pendingJobs, workers.values(), operationHistory.doneTasks(), timers.now());
   }
 
   private boolean isAnswered(String node, String id) {
-    Said said = poll(node, id);
-    return said != null && said.status() == 200;
+    Said response = poll(node, id);
+    return response != null && response.status() == 200;
   }
 
-  /** How many tasks of each job have ever been started, by what the workers carried out. */
+  /** Number of tasks of each job that any worker has started so far. */
   private Map<String, Integer> startedTaskCounts() {
     Map<String, Set<String>> tasks = new HashMap<>();
     for (FakeWorker w : allWorkersEver) {
@@ -1309,6 +1400,7 @@
     return counts;
   }
 
+  /** A batch job of team {@code t} with normal priority; tests override single fields. */
   static Document job(String id, int tasks, double cpus) {
     return Document.create()
         .put("id", id)
