--- a/src/test/java/dev/dunefront/story/PlacementCheck.java
+++ b/src/test/java/dev/dunefront/story/PlacementCheck.java
@@ -39,10 +39,10 @@
           tasksPerZone.computeIfAbsent(job, j -> new HashMap<>()).merge(w.zone(), 1, Integer::sum);
           recordIf(
               !w.zone().equals(spec.textOr("site", w.zone())),
-              task + " runs in zone " + w.zone() + ", which its job does not allow");
+              task + " runs in the disallowed zone " + w.zone());
           recordIf(
               spec.has("flavors") && !spec.texts("flavors").contains(w.type()),
-              task + " runs on machine type " + w.type() + ", which its job does not allow");
+              task + " runs on the disallowed machine type " + w.type());
         }
       }
       for (var e : tasksPerZone.entrySet()) {
