--- a/src/test/java/dev/dunefront/story/BulkTakeoverTest.java
+++ b/src/test/java/dev/dunefront/story/BulkTakeoverTest.java
@@ -17,7 +17,10 @@
   private static final int MACHINES = 300;
   private static final int TASKS = 6;
 
-  /** The lease of a controller plus the time in which its jobs must be claimed, in seconds. */
+  /**
+   * The lease of a controller plus the further time that may pass until all its jobs are claimed,
+   * in seconds.
+   */
   private static final double TAKEOVER_BOUND_S = 4 + 2;
 
   private static World startFullCluster() {
@@ -46,10 +49,10 @@
 
   private static boolean isOrphaned(World cluster, String key, String urgency) {
     try {
-      Document d = cluster.state.value(key);
-      String claim = d.textOr("claim", "");
+      Document record = cluster.state.value(key);
+      String claim = record.textOr("claim", "");
       String node = claim.substring(0, Math.max(0, claim.lastIndexOf('#')));
-      return d.document("spec").text("urgency").equals(urgency)
+      return record.document("spec").text("urgency").equals(urgency)
           && (!cluster.nodes.containsKey(node) || !cluster.nodes.get(node).up());
     } catch (MalformedMessageException e) {
       throw new AssertionError(e);
@@ -78,7 +81,9 @@
       // be mixed.
       if (orphanedJobs(cluster, "high") > 12 * 3) {
         assertEquals(
-            normalOrphans, orphanedJobs(cluster, "normal"), "urgent jobs are claimed first");
+            normalOrphans,
+            orphanedJobs(cluster, "normal"),
+            "a normal job was claimed before urgent jobs");
       }
     }
     return cluster.timers.now() - startedAtS;
@@ -95,12 +100,12 @@
     assertTrue(elapsedS < TAKEOVER_BOUND_S, "claimed after " + elapsedS + " s");
     cluster.pass(3);
     int claims = cluster.state.writes("w/j/") - jobWritesBefore;
-    assertEquals(JOBS * 2 / 5, claims, "each claim is written once");
+    assertEquals(JOBS * 2 / 5, claims, "not every claim was written exactly once");
     assertTrue(
         cluster.state.failedTxnOps() - failedOpsBefore <= 12,
         cluster.state.failedTxnOps() - failedOpsBefore + " failed operations");
     cluster.pass(2 * World.LEASE_S);
-    assertEquals(JOBS * TASKS, cluster.running(), "no running task was lost");
+    assertEquals(JOBS * TASKS, cluster.running(), "running tasks were lost");
     assertEquals(List.of(), cluster.overlaps);
   }
 
@@ -120,7 +125,7 @@
     double elapsedS = awaitAllClaimedS(cluster, 30);
     assertTrue(elapsedS < TAKEOVER_BOUND_S + 1, "claimed after " + elapsedS + " s");
     cluster.pass(3 * World.LEASE_S);
-    assertEquals(JOBS * TASKS, cluster.running(), "no running task was lost");
+    assertEquals(JOBS * TASKS, cluster.running(), "running tasks were lost");
     cluster.finishAll();
     cluster.pass(15);
     assertEquals(0, cluster.running());
--- a/src/test/java/dev/dunefront/story/CancelWithUnknownWriteTest.java
+++ b/src/test/java/dev/dunefront/story/CancelWithUnknownWriteTest.java
@@ -51,14 +51,14 @@
             return World.Fate.ON_TIME;
           }
           batch.addAll(ids);
-          String other = from.equals("node-1") ? "node-2" : "node-1";
+          String otherNode = from.equals("node-1") ? "node-2" : "node-1";
           cluster.timers.after(
               0.3,
               () -> {
                 String id = ids.get(index);
                 cluster.cancelled.add(id);
                 cluster.user(
-                    "POST", "/v1/jobs/" + id + "/abort", null, id, other.charAt(5) - '1', 8);
+                    "POST", "/v1/jobs/" + id + "/abort", null, id, otherNode.charAt(5) - '1', 8);
               });
           return World.Fate.UNANSWERED;
         };
--- a/src/test/java/dev/dunefront/story/CleanupTest.java
+++ b/src/test/java/dev/dunefront/story/CleanupTest.java
@@ -50,7 +50,9 @@
   void deletedMachineRecordIsRemovedAfterRetention() {
     World cluster = clusterWithDeletedMachine();
     cluster.pass(RECORD_RETENTION_S - 5);
-    assertTrue(cluster.state.value("w/h/host-1").has("dead"), "delayed reports may still arrive");
+    assertTrue(
+        cluster.state.value("w/h/host-1").has("dead"),
+        "the record was removed while delayed reports may still arrive");
     cluster.pass(10);
     assertNull(cluster.state.value("w/h/host-1"));
   }
@@ -89,17 +91,18 @@
         .forEach(cluster.refusedByState::add);
     cluster.nodes.get(replacedNode).loseLease();
     cluster.pass(8);
-    assertTrue(removalAttempts[0] > 0, "the replaced holder attempts the removal");
-    assertTrue(cluster.state.value("w/h/host-1") != null, "the removal is refused");
+    assertTrue(removalAttempts[0] > 0, "the replaced holder made no attempt to remove the record");
+    assertTrue(cluster.state.value("w/h/host-1") != null, "the removal was not refused");
     cluster.fates = (from, path, body) -> World.Fate.ON_TIME;
     cluster.refusedByState.clear();
     cluster.pass(20);
-    assertNull(cluster.state.value("w/h/host-1"), "the next holder of the duty removes the record");
+    assertNull(
+        cluster.state.value("w/h/host-1"), "the next holder of the duty did not remove the record");
   }
 
   /**
    * A report that was delayed for minutes arrives when no record of its machine exists any more. It
-   * must not cause a task to run twice.
+   * may delay tasks, but must not cause a task to run twice.
    */
   @Test
   void reportAfterRecordRemovalCausesNoDuplicateRun() {
@@ -116,7 +119,8 @@
     FakeWorker otherWorker = cluster.machine("host-2", "small", "a", "node-0");
     cluster.pass(RECORD_RETENTION_S + 10);
     assertNull(cluster.state.value("w/h/host-1"));
-    assertEquals(2, otherWorker.running().size(), "the tasks are restarted on the other machine");
+    assertEquals(
+        2, otherWorker.running().size(), "the tasks were not restarted on the other machine");
     for (String node : List.of("node-0", "node-1", "node-2")) {
       cluster.ask(node, "POST", "/hello", delayedReport);
     }
@@ -129,7 +133,7 @@
     assertEquals(
         "done",
         cluster.poll("node-0", "wk-2").state(),
-        "tasks placed on the deleted machine run elsewhere");
+        "tasks placed on the deleted machine did not run elsewhere");
     assertEquals(List.of(), cluster.overlaps);
   }
 
@@ -149,7 +153,7 @@
     cluster.pass(6);
     assertEquals(201, cluster.submit("node-0", World.job("wk-1", 4, 1)).status());
     cluster.pass(4);
-    assertEquals(4, m.running().size(), "the machine is held again and its room is used");
+    assertEquals(4, m.running().size(), "the machine is not held again, or its room is not used");
     assertEquals(List.of(), cluster.overlaps);
   }
 
@@ -203,7 +207,7 @@
     cluster.pass(5);
     cluster.submit("node-1", World.job("wk-1", 4, 1));
     cluster.pass(3);
-    assertEquals(4, m.running().size(), "a machine that reports again is held again");
+    assertEquals(4, m.running().size(), "a machine that reports again is not held again");
   }
 
   private static final int RENTAL_ROUNDS = 40;
@@ -250,7 +254,7 @@
     assertTrue(maxKeys < 10 * MACHINES_PER_ROUND, maxKeys + " keys");
     cluster.pass(3 * RECORD_RETENTION_S + RENTAL_ROUNDS * MACHINES_PER_ROUND / 9.0 / 2);
     assertEquals(0, cluster.workers.size());
-    assertEquals(List.of(), cluster.state.keys("w/h/"), "all machine records are removed");
+    assertEquals(List.of(), cluster.state.keys("w/h/"), "machine records are left");
     assertEquals(0, cluster.state.keys("w/j/").size() + cluster.state.keys("t/").size());
   }
 }
--- a/src/test/java/dev/dunefront/story/ClearCommandTest.java
+++ b/src/test/java/dev/dunefront/story/ClearCommandTest.java
@@ -73,7 +73,8 @@
     assertEquals(201, cluster.submit("node-0", World.job("wk-2", TASKS, 1)).status());
     cluster.pass(2);
     assertEquals(TASKS, cluster.running());
-    // From now on reports arrive and their responses do not, but direct commands do.
+    // For a while the reports of one worker arrive, but neither their responses nor direct
+    // commands reach it.
     cluster.finishAll();
     cluster.pass(0.5);
     String blockedHost = List.copyOf(cluster.workers.values()).get(0).host();
@@ -105,7 +106,7 @@
     }
     assertEquals(List.of("wk-1/0"), worker.running());
     cluster.pass(5);
-    assertEquals(List.of("wk-1/0"), worker.running(), "the new attempt keeps running");
+    assertEquals(List.of("wk-1/0"), worker.running(), "the new attempt was ended");
     assertEquals(2, worker.starts().size());
     cluster.finishAll();
     cluster.pass(4);
--- a/src/test/java/dev/dunefront/story/ControllerMembershipTest.java
+++ b/src/test/java/dev/dunefront/story/ControllerMembershipTest.java
@@ -54,7 +54,7 @@
       cluster.finishAll();
     }
     assertEquals(0, cluster.running());
-    assertEquals(List.of(), cluster.state.keys("w/j/"), "all accepted jobs have ended");
+    assertEquals(List.of(), cluster.state.keys("w/j/"), "accepted jobs have not ended");
     assertEquals(List.of(), cluster.overlaps);
   }
 
@@ -81,9 +81,8 @@
     runWorkload(cluster, 120);
     assertEquals(7, rosterNodes(cluster).size());
     Map<String, Integer> machineCounts = machinesPerController(cluster);
-    assertEquals(7, machineCounts.size(), "each controller holds machines: " + machineCounts);
-    assertTrue(
-        cluster.state.keys("w/h/").size() < MACHINES, "most machines are held without a record");
+    assertEquals(7, machineCounts.size(), "not every controller holds machines: " + machineCounts);
+    assertTrue(cluster.state.keys("w/h/").size() < MACHINES, "every machine has a record");
 
     for (int i = 3; i < 7; i++) {
       cluster.strike("node-" + i);
@@ -154,7 +153,7 @@
     }
     cluster.pass(15);
     assertEquals(List.of(), cluster.overlaps);
-    assertEquals(480, cluster.running(), "no task was lost");
+    assertEquals(480, cluster.running(), "tasks were lost");
   }
 
   /**
--- a/src/test/java/dev/dunefront/story/ControllerOutageTest.java
+++ b/src/test/java/dev/dunefront/story/ControllerOutageTest.java
@@ -27,9 +27,9 @@
 
   /** Submits and completes jobs at the unaffected controllers while time advances. */
   private static void advanceUnderLoad(World cluster, double seconds) {
-    int n = cluster.accepted.size();
+    int jobCount = cluster.accepted.size();
     for (double s = 0; s < seconds; s += 4) {
-      cluster.submit("node-" + (1 + n % 2), World.job("wk-1" + n++, 3, 1));
+      cluster.submit("node-" + (1 + jobCount % 2), World.job("wk-1" + jobCount++, 3, 1));
       cluster.pass(Math.min(4, seconds - s));
       cluster.finishAll();
     }
@@ -89,23 +89,23 @@
    */
   @Test
   void controllerIsPartiallyPartitioned() {
-    BiPredicate<String, String> toStateService =
+    BiPredicate<String, String> stateServiceRequests =
         (from, to) -> from.equals("node-0") && to.equals(STATE_SERVICE_ADDRESS);
-    BiPredicate<String, String> toWorkers =
+    BiPredicate<String, String> workerLinks =
         (from, to) ->
             from.equals("node-0") && to.startsWith("host-")
                 || to.equals("node-0") && from.startsWith("host-");
-    BiPredicate<String, String> toPeers =
+    BiPredicate<String, String> peerLinks =
         (from, to) ->
             from.equals("node-0") && to.startsWith("node-")
                 || to.equals("node-0") && from.startsWith("node-");
     List<BiPredicate<String, String>> partitions =
         List.of(
-            toStateService,
-            toWorkers,
-            toStateService.or(toWorkers).or(toPeers),
-            toPeers,
-            toStateService.or(toPeers));
+            stateServiceRequests,
+            workerLinks,
+            stateServiceRequests.or(workerLinks).or(peerLinks),
+            peerLinks,
+            stateServiceRequests.or(peerLinks));
     for (int kind = 0; kind < partitions.size(); kind++) {
       for (double partitionS : new double[] {5, 20, 60}) {
         for (boolean held : new boolean[] {false, true}) {
@@ -117,7 +117,7 @@
           } else {
             cluster.lost = partition;
           }
-          cluster.unanswered = partition.and(toStateService);
+          cluster.unanswered = partition.and(stateServiceRequests);
           cluster.timers.after(5, () -> cluster.linksSilent("node-0"));
           advanceUnderLoad(cluster, partitionS);
           if (kind == 0 && partitionS > 10) {
@@ -164,8 +164,8 @@
     World.Node node = cluster.nodes.get(cluster.named("w/u/rent"));
     node.standStill(90);
     for (int i = 0; i < 10; i++) {
-      String other = node.name.equals("node-1") ? "node-2" : "node-1";
-      cluster.submit(other, World.job("wk-5" + i, 2, 1));
+      String otherNode = node.name.equals("node-1") ? "node-2" : "node-1";
+      cluster.submit(otherNode, World.job("wk-5" + i, 2, 1));
       cluster.pass(9);
       cluster.finishAll();
     }
--- a/src/test/java/dev/dunefront/story/FairnessTest.java
+++ b/src/test/java/dev/dunefront/story/FairnessTest.java
@@ -126,7 +126,7 @@
             .put("snapshot_every_s", 30.0)
             .put("snapshot_s", 3.0));
     cluster.pass(3);
-    assertEquals(16, cluster.running(), "best-effort tasks use all idle room");
+    assertEquals(16, cluster.running(), "best-effort tasks do not use all idle room");
     cluster.pass(40);
     cluster.submit("node-1", World.job("wk-2", 10, 1));
     cluster.pass(6);
@@ -142,7 +142,7 @@
       completeOneTaskPerMachine(cluster, second);
     }
     assertEquals("done", cluster.poll("node-0", "wk-2").state());
-    assertEquals(List.of(), cluster.dayEnds(), "the best-effort tasks run to their end as well");
+    assertEquals(List.of(), cluster.dayEnds(), "the best-effort tasks do not run to their end");
   }
 
   /**
@@ -183,7 +183,7 @@
     assertTrue(
         waitedJobs <= 10,
         waitedJobs + " of 19 jobs waited; 16 do if best-effort tasks take all free room");
-    assertTrue(hasStarted(cluster, "wk-900"), "best-effort tasks still use idle room");
+    assertTrue(hasStarted(cluster, "wk-900"), "no best-effort task uses idle room");
     long bestEffortTasks =
         cluster.workers.values().stream()
             .flatMap(m -> m.running().stream())
--- a/src/test/java/dev/dunefront/story/FleetFaultTest.java
+++ b/src/test/java/dev/dunefront/story/FleetFaultTest.java
@@ -71,7 +71,7 @@
       List<String> runningAfter = runningTasksInZone(cluster, "b");
       assertTrue(
           runningAfter.containsAll(inside),
-          "tasks in the zone continue through a partition of " + partitionS + " s");
+          "tasks in the zone ended during a partition of " + partitionS + " s");
       assertEquals(List.of(), cluster.overlaps, "during a partition of " + partitionS + " s");
       cluster.heal();
       awaitJobsDoneS(cluster, 8, 60);
@@ -133,14 +133,14 @@
       cluster.nodes.get("node-" + i).standStill(World.LEASE_S / 2);
     }
     cluster.pass(World.LEASE_S / 2 + 3);
-    assertEquals(600, cluster.running(), "no lease expired");
+    assertEquals(600, cluster.running(), "a lease expired");
     cluster.nodes.values().forEach(World.Node::crash);
     cluster.pass(3);
     cluster.nodes.values().forEach(World.Node::start);
     cluster.pass(World.LEASE_S);
-    assertEquals(600, cluster.running(), "no lease expired");
+    assertEquals(600, cluster.running(), "a lease expired");
     for (FakeWorker m : cluster.workers.values()) {
-      assertEquals(m.running().size(), m.starts().size(), "no task was started again");
+      assertEquals(m.running().size(), m.starts().size(), "a task was started again");
     }
     awaitJobsDoneS(cluster, 6, 20);
     assertEquals(List.of(), cluster.overlaps);
@@ -183,7 +183,7 @@
         written + " holds written for " + blockedMachines + " machines that receive nothing");
     cluster.deaf.clear();
     cluster.pass(2 * World.LEASE_S);
-    assertEquals(1200, cluster.running(), "lost tasks run again");
+    assertEquals(1200, cluster.running(), "lost tasks do not run again");
     assertEquals(List.of(), cluster.dayEnds());
   }
 }
--- a/src/test/java/dev/dunefront/story/MachineReturnTest.java
+++ b/src/test/java/dev/dunefront/story/MachineReturnTest.java
@@ -40,7 +40,9 @@
     cluster.pass(1);
     FakeWorker second = cluster.machine("host-2", "small", "a", "node-1");
     cluster.pass(8);
-    assertFalse(cluster.cloud.deleted("host-2"), "the machine is kept for the next job");
+    assertFalse(
+        cluster.cloud.deleted("host-2"),
+        "the machine was returned although another job may arrive at any moment");
     cluster.pass(10);
     assertTrue(cluster.cloud.deleted("host-2"));
     assertEquals(List.of("wk-1/0"), first.running());
@@ -60,7 +62,8 @@
     awaitAndHoldDeletion(cluster);
     cluster.submit("node-0", World.job("wk-1", 1, 1));
     cluster.pass(3);
-    assertEquals(List.of(), first.starts(), "the machine is closed before the deletion is sent");
+    assertEquals(
+        List.of(), first.starts(), "the machine was still open when the deletion was sent");
     cluster.heldPath = null;
     cluster.deliverHeld();
     assertTrue(cluster.cloud.deleted("host-1"));
@@ -87,7 +90,7 @@
     cluster.pass(6);
     cluster.submit("node-0", World.job("wk-1", 1, 1));
     cluster.pass(3);
-    assertEquals(List.of(), first.starts(), "the machine stays closed after the restart");
+    assertEquals(List.of(), first.starts(), "the machine was reopened after the restart");
     cluster.heldPath = null;
     cluster.deliverHeld();
     assertEquals(List.of(), cluster.misused);
--- a/src/test/java/dev/dunefront/story/ScaleTest.java
+++ b/src/test/java/dev/dunefront/story/ScaleTest.java
@@ -76,12 +76,12 @@
     int holdWritesBefore = cluster.state.writes("w/h/");
     assertTrue(
         holdWritesBefore < MACHINES / 20,
-        "machines are held without a record; only a few were moved to balance the load");
+        "more machines have a record than the few that are moved to balance the load");
     cluster.nodes.values().forEach(World.Node::crash);
     cluster.pass(3);
     cluster.nodes.values().forEach(World.Node::start);
     cluster.pass(World.LEASE_S);
-    assertEquals(300, cluster.running(), "no lease expired");
+    assertEquals(300, cluster.running(), "a lease expired");
     int rewrittenHolds = cluster.state.writes("w/h/") - holdWritesBefore;
     assertTrue(rewrittenHolds < MACHINES / 20, rewrittenHolds + " holds were written again");
     cluster.finishAll();
--- a/src/test/java/dev/dunefront/story/SmallJobStreamTest.java
+++ b/src/test/java/dev/dunefront/story/SmallJobStreamTest.java
@@ -27,27 +27,33 @@
       cluster.machine("host-" + i, "small", "a", "node-" + i % 3);
     }
     cluster.pass(5);
-    int before = cluster.state.writes("");
+    int writesBefore = cluster.state.writes("");
     List<Integer> backlog = new ArrayList<>();
-    int n = 0;
+    int jobCount = 0;
     for (int second = 0; second < LOAD_DURATION_S; second++) {
       for (int i = 0; i < 4; i++) {
-        String id = "wk-" + n;
-        cluster.user("POST", "/v1/jobs", World.job(id, 1, 1), id, n, 40);
-        if (n % 4 == 3) {
-          String cancelled = "wk-" + (n - 2);
+        String id = "wk-" + jobCount;
+        cluster.user("POST", "/v1/jobs", World.job(id, 1, 1), id, jobCount, 40);
+        if (jobCount % 4 == 3) {
+          String cancelled = "wk-" + (jobCount - 2);
           cluster.cancelled.add(cancelled);
-          cluster.user("POST", "/v1/jobs/" + cancelled + "/abort", null, cancelled, n + 1, 40);
+          cluster.user(
+              "POST", "/v1/jobs/" + cancelled + "/abort", null, cancelled, jobCount + 1, 40);
         }
-        n++;
+        jobCount++;
         cluster.pass(0.25);
-        cluster.user("GET", "/v1/jobs/" + id, null, id, n, 1);
+        cluster.user("GET", "/v1/jobs/" + id, null, id, jobCount, 1);
       }
       if (second % 20 == 10) {
         String urgent = "wk-9" + second;
         int submittedS = second;
         cluster.user(
-            "POST", "/v1/jobs", World.job(urgent, 2, 1).put("urgency", "high"), urgent, n, 40);
+            "POST",
+            "/v1/jobs",
+            World.job(urgent, 2, 1).put("urgency", "high"),
+            urgent,
+            jobCount,
+            40);
         cluster.timers.after(
             4,
             () ->
@@ -60,15 +66,15 @@
       }
       backlog.add(unstartedJobs(cluster));
     }
-    double writesPerJob = (double) (cluster.state.writes("") - before) / n;
+    double writesPerJob = (double) (cluster.state.writes("") - writesBefore) / jobCount;
     assertTrue(writesPerJob < 6, writesPerJob + " writes per job");
     int earlyBacklog = backlog.subList(20, 40).stream().mapToInt(i -> i).sum();
     int lateBacklog =
         backlog.subList(LOAD_DURATION_S - 20, LOAD_DURATION_S).stream().mapToInt(i -> i).sum();
     assertTrue(lateBacklog <= 2 * earlyBacklog + 80, "the queue grows: " + backlog);
     cluster.pass(10);
-    assertEquals(n + LOAD_DURATION_S / 20, cluster.accepted.size());
-    assertEquals(0, unstartedJobs(cluster), "all jobs have started");
+    assertEquals(jobCount + LOAD_DURATION_S / 20, cluster.accepted.size());
+    assertEquals(0, unstartedJobs(cluster), "not all jobs have started");
     assertEquals(List.of(), cluster.dayEnds());
   }
 
--- a/src/test/java/dev/dunefront/story/TeamLimitTest.java
+++ b/src/test/java/dev/dunefront/story/TeamLimitTest.java
@@ -51,7 +51,8 @@
     assertEquals(201, cluster.submit("node-1", World.job("wk-2", 30, 1)).status());
     cluster.pass(10);
     assertEquals(7, cluster.running("wk-1"));
-    assertEquals(25, cluster.running("wk-2"), "the second job uses all that the first does not");
+    assertEquals(
+        25, cluster.running("wk-2"), "the second job does not use all that the first leaves");
     cluster.rest();
     assertEquals(List.of(), cluster.dayEnds());
   }
@@ -134,7 +135,7 @@
       users.submit(World.job("wk-" + i, 3, 2), i % 3);
     }
     cluster.pass(3);
-    assertEquals(12, cluster.running(), "the team is at its limit");
+    assertEquals(12, cluster.running(), "the team is not at its limit");
     List<String> running =
         cluster.accepted.keySet().stream().filter(id -> cluster.running(id) == 3).sorted().toList();
     for (String id : running.subList(0, 2)) {
@@ -161,7 +162,7 @@
     for (int second = 0; second < 60 && cluster.running() < 12; second++) {
       cluster.pass(1);
     }
-    assertEquals(12, cluster.running(), "the returned share of the limit is used again");
+    assertEquals(12, cluster.running(), "the returned share of the limit is not used again");
     cluster.rest();
     assertEquals(recordedCpusInUse(cluster), 2 * cluster.running());
     assertEquals(List.of(), cluster.dayEnds());
--- a/src/test/java/dev/dunefront/story/ViewSubscriptionTest.java
+++ b/src/test/java/dev/dunefront/story/ViewSubscriptionTest.java
@@ -68,7 +68,8 @@
   void messagesPerTaskHardlyGrowWithControllers() {
     double few = messagesPerTask(3);
     double many = messagesPerTask(9);
-    assertTrue(many < 1.5 * few, few + " records with 3 controllers, " + many + " with 9");
+    assertTrue(
+        many < 1.5 * few, few + " messages per task with 3 controllers, " + many + " with 9");
   }
 
   /**
@@ -116,7 +117,7 @@
     List<String> wantedHosts = recordWantHosts(cluster);
     assertEquals(201, cluster.submit("node-0", World.job("wk-2", 1, 4)).status());
     cluster.pass(1);
-    assertTrue(cluster.heldCount() > 0, "the subscription was sent and held");
+    assertTrue(cluster.heldCount() > 0, "no subscription was sent");
     assertEquals(0, cluster.running("wk-2"));
     cluster.late = m -> false;
     freeMachineWithoutWant(cluster, wantedHosts);
@@ -228,7 +229,7 @@
     sendFullViewsToAll(cluster);
     m.exit(m.running().get(0), "done");
     cluster.pass(2.5);
-    assertEquals(4, m.running().size(), "the next task runs in its place");
+    assertEquals(4, m.running().size(), "the next task has not taken the free room");
     assertEquals(
         201, cluster.submit(otherNode, World.job("wk-2", 1, 1).put("urgency", "high")).status());
     cluster.pass(4);
--- a/src/test/java/dev/dunefront/story/ZoneAndLinkFaultTest.java
+++ b/src/test/java/dev/dunefront/story/ZoneAndLinkFaultTest.java
@@ -162,7 +162,7 @@
   /** A zone with workers and a controller is partitioned for longer than the lease. */
   @Property(generation = GenerationMode.EXHAUSTIVE)
   void zoneWithControllerIsPartitioned(
-      @ForAll boolean cancelled, @ForAll @IntRange(max = 2) int crashChoice) {
+      @ForAll boolean cancelJob, @ForAll @IntRange(max = 2) int crashChoice) {
     World cluster = startCluster();
     assertEquals(201, cluster.submit("node-0", World.job("wk-1", 12, 1)).status());
     assertEquals(201, cluster.submit("node-2", World.job("wk-2", 12, 1)).status());
@@ -171,7 +171,7 @@
     cluster.cut("b");
     cluster.pass(2);
     Crowd users = new Crowd(cluster);
-    if (cancelled) {
+    if (cancelJob) {
       cluster.cancelled.add("wk-1");
       cluster.user("POST", "/v1/jobs/wk-1/abort", null, "wk-1", 0, 40);
       cluster.user("POST", "/v1/jobs/wk-1/abort", null, "wk-1", 1, 40);
@@ -185,10 +185,10 @@
     cluster.pass(12);
     users.look("wk-1", 5);
     cluster.pass(8);
-    if (cancelled) {
+    if (cancelJob) {
       assertEquals("cancelled", cluster.poll("node-2", "wk-1").state());
     }
-    assertEquals(cancelled ? 12 : 24, cluster.running());
+    assertEquals(cancelJob ? 12 : 24, cluster.running());
     assertEquals(List.of(), cluster.dayEnds());
   }
 
@@ -238,19 +238,19 @@
     specs.put("wk-2", World.job("wk-2", 4, 1).put("same_place", true));
     specs.put("wk-3", World.job("wk-3", 4, 1).put("apart", true));
     specs.put("wk-4", World.job("wk-4", 4, 1).put("flavors", List.of("large")));
-    FakeWorker a = new FakeWorker("host-1", "host-1:9", "small", "a");
-    FakeWorker b = new FakeWorker("host-2", "host-2:9", "small", "b");
-    startTasks(a, "wk-2", 0);
-    startTasks(a, "wk-3", 0, 1);
-    startTasks(b, "wk-3", 2, 3);
-    startTasks(b, "wk-1", 0);
-    check.look(List.of(a, b));
+    FakeWorker inZoneA = new FakeWorker("host-1", "host-1:9", "small", "a");
+    FakeWorker inZoneB = new FakeWorker("host-2", "host-2:9", "small", "b");
+    startTasks(inZoneA, "wk-2", 0);
+    startTasks(inZoneA, "wk-3", 0, 1);
+    startTasks(inZoneB, "wk-3", 2, 3);
+    startTasks(inZoneB, "wk-1", 0);
+    check.look(List.of(inZoneA, inZoneB));
     assertEquals(List.of(), check.wrong);
-    startTasks(a, "wk-1", 1);
-    startTasks(b, "wk-2", 1);
-    startTasks(a, "wk-3", 2);
-    startTasks(a, "wk-4", 0);
-    check.look(List.of(a, b));
+    startTasks(inZoneA, "wk-1", 1);
+    startTasks(inZoneB, "wk-2", 1);
+    startTasks(inZoneA, "wk-3", 2);
+    startTasks(inZoneA, "wk-4", 0);
+    check.look(List.of(inZoneA, inZoneB));
     assertEquals(4, check.wrong.size(), check.wrong.toString());
   }
 
