--- a/src/test/java/dev/dunefront/story/BulkTakeoverTest.java
+++ b/src/test/java/dev/dunefront/story/BulkTakeoverTest.java
@@ -23,33 +23,35 @@
    */
   private static final double TAKEOVER_BOUND_S = 4 + 2;
 
-  private static World startFullCluster() {
-    World cluster = new World(5);
+  private static SimulatedCluster startFullCluster() {
+    SimulatedCluster cluster = new SimulatedCluster(5);
     cluster.writeRps = 90;
     cluster.rps = 250;
-    cluster.start().pass(2);
+    cluster.start().advance(2);
     for (int i = 0; i < MACHINES; i++) {
-      cluster.machine("host-" + i, "large", "a", "node-" + i % 5);
+      cluster.addMachine("host-" + i, "large", "a", "node-" + i % 5);
     }
-    cluster.pass(6);
+    cluster.advance(6);
     for (int i = 0; i < JOBS; i++) {
       String urgency = i % 5 == 0 ? "high" : "normal";
-      Document job = World.job("wk-" + i, TASKS, 1).put("urgency", urgency);
+      Document job = SimulatedCluster.job("wk-" + i, TASKS, 1).put("urgency", urgency);
       assertEquals(201, cluster.submit("node-" + i % 5, job).status());
     }
-    cluster.pass(12);
-    assertEquals(JOBS * TASKS, cluster.running());
+    cluster.advance(12);
+    assertEquals(JOBS * TASKS, cluster.runningCount());
     return cluster;
   }
 
   /** Returns the number of jobs of an urgency whose claimant is down. */
-  private static long orphanedJobs(World cluster, String urgency) {
-    return cluster.state.keys("w/j/").stream().filter(k -> isOrphaned(cluster, k, urgency)).count();
+  private static long orphanedJobs(SimulatedCluster cluster, String urgency) {
+    return cluster.stateService.keys("w/j/").stream()
+        .filter(k -> isOrphaned(cluster, k, urgency))
+        .count();
   }
 
-  private static boolean isOrphaned(World cluster, String key, String urgency) {
+  private static boolean isOrphaned(SimulatedCluster cluster, String key, String urgency) {
     try {
-      Document record = cluster.state.value(key);
+      Document record = cluster.stateService.value(key);
       String claim = record.textOr("claim", "");
       String node = claim.substring(0, Math.max(0, claim.lastIndexOf('#')));
       return record.document("spec").text("urgency").equals(urgency)
@@ -63,11 +65,11 @@
    * Waits until every job has a claimant that is up, and returns the seconds that this took. Fails
    * after {@code timeoutS} seconds.
    */
-  private static double awaitAllClaimedS(World cluster, double timeoutS) {
-    double startedAtS = cluster.timers.now();
+  private static double awaitAllClaimedS(SimulatedCluster cluster, double timeoutS) {
+    double startedAtS = cluster.clock.now();
     long normalOrphans = orphanedJobs(cluster, "normal");
     while (orphanedJobs(cluster, "high") + orphanedJobs(cluster, "normal") > 0) {
-      if (cluster.timers.now() - startedAtS > timeoutS) {
+      if (cluster.clock.now() - startedAtS > timeoutS) {
         throw new AssertionError(
             orphanedJobs(cluster, "high")
                 + " and "
@@ -76,7 +78,7 @@
                 + timeoutS
                 + " s");
       }
-      cluster.pass(0.05);
+      cluster.advance(0.05);
       // Each remaining controller has a batch of its own in progress, and the last urgent batch may
       // be mixed.
       if (orphanedJobs(cluster, "high") > 12 * 3) {
@@ -86,27 +88,27 @@
             "a normal job was claimed before urgent jobs");
       }
     }
-    return cluster.timers.now() - startedAtS;
+    return cluster.clock.now() - startedAtS;
   }
 
   @Test
   void jobsOfTwoCrashedControllersAreClaimedByUrgencyWithFewFailedWrites() {
-    World cluster = startFullCluster();
-    int failedOpsBefore = cluster.state.failedTxnOps();
-    int jobWritesBefore = cluster.state.writes("w/j/");
+    SimulatedCluster cluster = startFullCluster();
+    int failedOpsBefore = cluster.stateService.failedTxnOps();
+    int jobWritesBefore = cluster.stateService.writes("w/j/");
     cluster.nodes.get("node-0").crash();
     cluster.nodes.get("node-1").crash();
     double elapsedS = awaitAllClaimedS(cluster, 30);
     assertTrue(elapsedS < TAKEOVER_BOUND_S, "claimed after " + elapsedS + " s");
-    cluster.pass(3);
-    int claims = cluster.state.writes("w/j/") - jobWritesBefore;
+    cluster.advance(3);
+    int claims = cluster.stateService.writes("w/j/") - jobWritesBefore;
     assertEquals(JOBS * 2 / 5, claims, "not every claim was written exactly once");
     assertTrue(
-        cluster.state.failedTxnOps() - failedOpsBefore <= 12,
-        cluster.state.failedTxnOps() - failedOpsBefore + " failed operations");
-    cluster.pass(2 * World.LEASE_S);
-    assertEquals(JOBS * TASKS, cluster.running(), "running tasks were lost");
-    assertEquals(List.of(), cluster.overlaps);
+        cluster.stateService.failedTxnOps() - failedOpsBefore <= 12,
+        cluster.stateService.failedTxnOps() - failedOpsBefore + " failed operations");
+    cluster.advance(2 * SimulatedCluster.LEASE_S);
+    assertEquals(JOBS * TASKS, cluster.runningCount(), "running tasks were lost");
+    assertEquals(List.of(), cluster.overlappingRuns);
   }
 
   /**
@@ -115,21 +117,21 @@
    */
   @Test
   void thirdControllerCrashesDuringTakeover() {
-    World cluster = startFullCluster();
+    SimulatedCluster cluster = startFullCluster();
     cluster.nodes.get("node-0").crash();
     cluster.nodes.get("node-1").crash();
     while (orphanedJobs(cluster, "normal") + orphanedJobs(cluster, "high") == JOBS * 2 / 5) {
-      cluster.pass(0.05);
+      cluster.advance(0.05);
     }
     cluster.nodes.get("node-2").crash();
     double elapsedS = awaitAllClaimedS(cluster, 30);
     assertTrue(elapsedS < TAKEOVER_BOUND_S + 1, "claimed after " + elapsedS + " s");
-    cluster.pass(3 * World.LEASE_S);
-    assertEquals(JOBS * TASKS, cluster.running(), "running tasks were lost");
-    cluster.finishAll();
-    cluster.pass(15);
-    assertEquals(0, cluster.running());
-    assertEquals(0, cluster.state.keys("w/j/").size(), "not all jobs are done");
-    assertEquals(List.of(), cluster.overlaps);
+    cluster.advance(3 * SimulatedCluster.LEASE_S);
+    assertEquals(JOBS * TASKS, cluster.runningCount(), "running tasks were lost");
+    cluster.completeAllTasks();
+    cluster.advance(15);
+    assertEquals(0, cluster.runningCount());
+    assertEquals(0, cluster.stateService.keys("w/j/").size(), "not all jobs are done");
+    assertEquals(List.of(), cluster.overlappingRuns);
   }
 }
--- a/src/test/java/dev/dunefront/story/CancelWithUnknownWriteTest.java
+++ b/src/test/java/dev/dunefront/story/CancelWithUnknownWriteTest.java
@@ -37,41 +37,41 @@
    */
   @Property(generation = GenerationMode.EXHAUSTIVE)
   void jobCancelledWhileTakeoverOutcomeIsUnknownEnds(@ForAll @IntRange(max = 3) int index) {
-    World cluster = new World(3);
-    cluster.start().pass(3);
+    SimulatedCluster cluster = new SimulatedCluster(3);
+    cluster.start().advance(3);
     for (int i = 0; i < 8; i++) {
-      assertEquals(201, cluster.submit("node-0", World.job("wk-" + i, 1, 1)).status());
+      assertEquals(201, cluster.submit("node-0", SimulatedCluster.job("wk-" + i, 1, 1)).status());
     }
-    cluster.pass(3);
+    cluster.advance(3);
     List<String> batch = new ArrayList<>();
-    cluster.fates =
+    cluster.deliveryPolicy =
         (from, path, body) -> {
           List<String> ids = path.equals("/txn") ? jobsWrittenBy(body) : List.of();
           if (!batch.isEmpty() || ids.size() <= index) {
-            return World.Fate.ON_TIME;
+            return SimulatedCluster.Delivery.ON_TIME;
           }
           batch.addAll(ids);
           String otherNode = from.equals("node-1") ? "node-2" : "node-1";
-          cluster.timers.after(
+          cluster.clock.after(
               0.3,
               () -> {
                 String id = ids.get(index);
-                cluster.cancelled.add(id);
-                cluster.user(
+                cluster.cancelRequestedJobs.add(id);
+                cluster.requestWithRetries(
                     "POST", "/v1/jobs/" + id + "/abort", null, id, otherNode.charAt(5) - '1', 8);
               });
-          return World.Fate.UNANSWERED;
+          return SimulatedCluster.Delivery.RESPONSE_DROPPED;
         };
     cluster.nodes.get("node-0").crash();
-    cluster.pass(16);
+    cluster.advance(16);
     assertTrue(batch.size() > index, "too few jobs are taken over in one transaction");
     String id = batch.get(index);
-    assertEquals("cancelled", cluster.poll("node-1", id).state());
-    assertEquals("cancelled", cluster.poll("node-2", id).state());
+    assertEquals("cancelled", cluster.poll("node-1", id).jobStatus());
+    assertEquals("cancelled", cluster.poll("node-2", id).jobStatus());
     for (int i = 0; i < 3; i++) {
-      cluster.machine("host-" + i, "small", "a", "node-1");
+      cluster.addMachine("host-" + i, "small", "a", "node-1");
     }
-    assertEquals(List.of(), cluster.dayEnds());
+    assertEquals(List.of(), cluster.drainAndCheck());
   }
 
   /**
@@ -81,32 +81,32 @@
    */
   @Example
   void jobCancelledWhileTaskEndOutcomeIsUnknownEnds() {
-    World cluster = World.limited(3, 3);
-    cluster.start().pass(3);
-    FakeWorker m = cluster.machine("host-1", "small", "a", "node-0");
-    cluster.pass(4);
-    assertEquals(201, cluster.submit("node-0", World.job("wk-1", 1, 3)).status());
-    cluster.pass(3);
+    SimulatedCluster cluster = SimulatedCluster.withTeamLimit(3, 3);
+    cluster.start().advance(3);
+    FakeWorker m = cluster.addMachine("host-1", "small", "a", "node-0");
+    cluster.advance(4);
+    assertEquals(201, cluster.submit("node-0", SimulatedCluster.job("wk-1", 1, 3)).status());
+    cluster.advance(3);
     assertEquals(1, m.running().size());
     BooleanSupplier responseDropped =
-        cluster.strikeOnce(
+        cluster.faultFirstTransaction(
             "put=w/j/wk-1",
-            World.Fate.UNANSWERED,
+            SimulatedCluster.Delivery.RESPONSE_DROPPED,
             from ->
-                cluster.timers.after(
+                cluster.clock.after(
                     0.3,
                     () -> {
-                      cluster.cancelled.add("wk-1");
-                      cluster.user("POST", "/v1/jobs/wk-1/abort", null, "wk-1", 1, 8);
+                      cluster.cancelRequestedJobs.add("wk-1");
+                      cluster.requestWithRetries("POST", "/v1/jobs/wk-1/abort", null, "wk-1", 1, 8);
                     }));
     // The only machine is lost, so nothing can be placed again.
     m.newSession();
-    cluster.silent.add("host-1");
-    cluster.pass(3 * World.LEASE_S);
+    cluster.isolatedHosts.add("host-1");
+    cluster.advance(3 * SimulatedCluster.LEASE_S);
     assertTrue(responseDropped.getAsBoolean(), "the end of the attempt was not recorded");
     for (String node : cluster.nodes.keySet()) {
-      assertEquals("cancelled", cluster.poll(node, "wk-1").state());
+      assertEquals("cancelled", cluster.poll(node, "wk-1").jobStatus());
     }
-    assertEquals(List.of(), cluster.dayEnds());
+    assertEquals(List.of(), cluster.drainAndCheck());
   }
 }
--- a/src/test/java/dev/dunefront/story/CancellationDuringOutageTest.java
+++ b/src/test/java/dev/dunefront/story/CancellationDuringOutageTest.java
@@ -18,13 +18,13 @@
  * may live, while workers report to the refused controller.
  */
 class CancellationDuringOutageTest {
-  private static World world() {
-    World w = new World(5);
-    w.start().pass(2);
+  private static SimulatedCluster world() {
+    SimulatedCluster w = new SimulatedCluster(5);
+    w.start().advance(2);
     for (int i = 0; i < 10; i++) {
-      w.machine("host-" + i, "small", "a", "node-" + i % 5);
+      w.addMachine("host-" + i, "small", "a", "node-" + i % 5);
     }
-    w.pass(5);
+    w.advance(5);
     return w;
   }
 
@@ -32,15 +32,15 @@
    * Two jobs of node-0, one of them a service, and an array of node-1, which are to be cancelled,
    * and an array that is not.
    */
-  private static List<String> submitJobs(World w, int round) {
+  private static List<String> submitJobs(SimulatedCluster w, int round) {
     List<String> ids = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       String id = "wk-" + round + i;
-      Document job = World.job(id, 6, 1).put("shape", i == 1 ? "daemon" : "sweep");
+      Document job = SimulatedCluster.job(id, 6, 1).put("shape", i == 1 ? "daemon" : "sweep");
       assertEquals(201, w.submit(i == 2 ? "node-1" : "node-0", job).status());
       ids.add(id);
     }
-    w.pass(2);
+    w.advance(2);
     return ids;
   }
 
@@ -53,36 +53,36 @@
       @ForAll @IntRange(min = 0, max = 3) int refusedNumber,
       @ForAll boolean longerThanItsLease,
       @ForAll boolean longerThanTasksMayLive) {
-    World w = world();
+    SimulatedCluster w = world();
     String refused = "node-" + refusedNumber;
     for (int round = 1; round <= 2; round++) {
       List<String> ids = submitJobs(w, round);
       List<String> toCancel = ids.subList(0, 3);
-      w.refusedByState.add(refused);
-      w.pass(longerThanItsLease ? 6 : 0.5);
+      w.refusedByStateService.add(refused);
+      w.advance(longerThanItsLease ? 6 : 0.5);
       for (String id : toCancel) {
-        w.cancelled.add(id);
-        w.user("POST", "/v1/jobs/" + id + "/abort", null, id, refusedNumber + 1, 60);
+        w.cancelRequestedJobs.add(id);
+        w.requestWithRetries("POST", "/v1/jobs/" + id + "/abort", null, id, refusedNumber + 1, 60);
       }
-      w.pass(0.2);
-      w.state.outage(true);
-      w.pass(6);
+      w.advance(0.2);
+      w.stateService.outage(true);
+      w.advance(6);
       for (String id : toCancel) {
-        assertEquals(0, w.running(id), id + " keeps running during the outage");
+        assertEquals(0, w.runningCount(id), id + " keeps running during the outage");
       }
-      w.pass(longerThanTasksMayLive ? 24 : 2);
-      w.state.outage(false);
-      w.pass(1);
-      w.refusedByState.clear();
-      w.pass(15);
+      w.advance(longerThanTasksMayLive ? 24 : 2);
+      w.stateService.outage(false);
+      w.advance(1);
+      w.refusedByStateService.clear();
+      w.advance(15);
       for (String id : toCancel) {
-        assertEquals("cancelled", w.poll(refused, id).state());
+        assertEquals("cancelled", w.poll(refused, id).jobStatus());
       }
-      assertEquals(6, w.running(ids.get(3)), "the job that was not cancelled keeps running");
-      w.finishAll();
-      w.pass(4);
+      assertEquals(6, w.runningCount(ids.get(3)), "the job that was not cancelled keeps running");
+      w.completeAllTasks();
+      w.advance(4);
     }
-    assertEquals(List.of(), w.dayEnds());
+    assertEquals(List.of(), w.drainAndCheck());
   }
 
   /**
@@ -93,37 +93,41 @@
    */
   @Property(generation = GenerationMode.EXHAUSTIVE)
   void cancellationIsForgottenWithoutJobEndedMessage(@ForAll boolean olderCancellationPending) {
-    World w = new World(5);
-    w.start().pass(4);
+    SimulatedCluster w = new SimulatedCluster(5);
+    w.start().advance(4);
     if (olderCancellationPending) {
-      w.machine("host-1", "small", "a", "node-0");
-      w.pass(5);
-      assertEquals(201, w.submit("node-0", World.job("wk-2", 1, 4)).status());
-      w.pass(2);
-      assertEquals(1, w.running("wk-2"));
+      w.addMachine("host-1", "small", "a", "node-0");
+      w.advance(5);
+      assertEquals(201, w.submit("node-0", SimulatedCluster.job("wk-2", 1, 4)).status());
+      w.advance(2);
+      assertEquals(1, w.runningCount("wk-2"));
       // The machine receives no command, and its reports keep its lease alive, so its task is not
       // proved to have ended.
-      w.fates = (from, path, body) -> path.equals("/orders") ? World.Fate.LOST : World.Fate.ON_TIME;
+      w.deliveryPolicy =
+          (from, path, body) ->
+              path.equals("/orders")
+                  ? SimulatedCluster.Delivery.DROPPED
+                  : SimulatedCluster.Delivery.ON_TIME;
       assertEquals(503, w.cancel("node-1", "wk-2").status());
-      w.pass(4);
+      w.advance(4);
     }
-    w.refusedByState.add("node-4");
-    w.late = message -> message instanceof Message.JobEnded;
-    assertEquals(201, w.submit("node-0", World.job("wk-1", 6, 1)).status());
-    w.pass(2);
+    w.refusedByStateService.add("node-4");
+    w.holdPeerMessage = message -> message instanceof Message.JobEnded;
+    assertEquals(201, w.submit("node-0", SimulatedCluster.job("wk-1", 6, 1)).status());
+    w.advance(2);
     w.cancel("node-1", "wk-1");
-    w.pass(2);
-    assertEquals("cancelled", w.poll("node-0", "wk-1").state());
+    w.advance(2);
+    assertEquals("cancelled", w.poll("node-0", "wk-1").jobStatus());
     // By then the open watch has been abandoned, and with it the changes it would have returned.
-    w.pass(15);
+    w.advance(15);
     int older = olderCancellationPending ? 1 : 0;
     assertEquals(older + 1, waitingCancellations(w, "node-4"));
-    w.refusedByState.clear();
-    w.pass(20);
+    w.refusedByStateService.clear();
+    w.advance(20);
     assertEquals(older, waitingCancellations(w, "node-4"));
   }
 
-  private static int waitingCancellations(World w, String node) {
+  private static int waitingCancellations(SimulatedCluster w, String node) {
     String name = "dunefront_cancellations_waiting ";
     String text = w.nodes.get(node).metrics();
     int at = text.indexOf("\n" + name) + 1 + name.length();
@@ -154,60 +158,62 @@
    */
   @Property(generation = GenerationMode.EXHAUSTIVE)
   void cancelledTasksStopDespiteObstacle(@ForAll Obstacle obstacle) {
-    World w = new World(5);
-    w.start().pass(2);
-    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
-    w.pass(5);
-    String holder = w.holder("host-1");
+    SimulatedCluster w = new SimulatedCluster(5);
+    w.start().advance(2);
+    FakeWorker m = w.addMachine("host-1", "small", "a", "node-0");
+    w.advance(5);
+    String holder = w.holderOf("host-1");
     List<String> others = new ArrayList<>(w.nodes.keySet());
     others.remove(holder);
-    w.refusedByState.add(holder);
+    w.refusedByStateService.add(holder);
     if (obstacle == Obstacle.COMMAND_UNANSWERED) {
-      w.fates =
+      w.deliveryPolicy =
           (from, path, body) ->
-              body.contains("verb=run") ? World.Fate.UNANSWERED : World.Fate.ON_TIME;
+              body.contains("verb=run")
+                  ? SimulatedCluster.Delivery.RESPONSE_DROPPED
+                  : SimulatedCluster.Delivery.ON_TIME;
     }
     if (obstacle == Obstacle.START_DELAYED) {
-      w.late = message -> message instanceof Message.StartTask;
+      w.holdPeerMessage = message -> message instanceof Message.StartTask;
     }
-    assertEquals(201, w.submit(others.get(0), World.job("wk-1", 3, 1)).status());
-    w.pass(0.7);
+    assertEquals(201, w.submit(others.get(0), SimulatedCluster.job("wk-1", 3, 1)).status());
+    w.advance(0.7);
     if (obstacle == Obstacle.MACHINE_CUT_OFF) {
-      w.lost = (from, to) -> from.equals("host-1:9") || to.equals("host-1:9");
-      w.timers.after(4, () -> w.lost = (from, to) -> false);
+      w.dropDelivery = (from, to) -> from.equals("host-1:9") || to.equals("host-1:9");
+      w.clock.after(4, () -> w.dropDelivery = (from, to) -> false);
     }
     if (obstacle == Obstacle.CANCELLATION_LOST) {
-      w.late =
+      w.holdPeerMessage =
           message -> message instanceof Message.JobCancelled || message instanceof Message.StopTask;
     }
     assertEquals(503, w.cancel(others.get(1), "wk-1").status());
-    w.state.outage(true);
+    w.stateService.outage(true);
     if (obstacle == Obstacle.CANCELLATION_LOST) {
       w.nodes.get(others.get(0)).crash();
-      w.timers.after(
+      w.clock.after(
           3,
           () -> {
-            w.late = message -> false;
-            w.linksBack(holder);
+            w.holdPeerMessage = message -> false;
+            w.reconnectLinks(holder);
           });
     }
     if (obstacle == Obstacle.START_DELAYED) {
       w.nodes.get(others.get(0)).crash();
-      w.pass(1);
+      w.advance(1);
       w.deliverHeld();
-      w.late = message -> false;
+      w.holdPeerMessage = message -> false;
     }
-    w.pass(12);
+    w.advance(12);
     assertEquals(List.of(), m.running());
-    w.pass(20);
-    w.state.outage(false);
-    w.refusedByState.clear();
-    w.fates = (from, path, body) -> World.Fate.ON_TIME;
+    w.advance(20);
+    w.stateService.outage(false);
+    w.refusedByStateService.clear();
+    w.deliveryPolicy = (from, path, body) -> SimulatedCluster.Delivery.ON_TIME;
     if (!w.nodes.get(others.get(0)).up()) {
       w.nodes.get(others.get(0)).start();
     }
-    w.pass(20);
-    assertEquals("cancelled", w.poll(others.get(1), "wk-1").state());
-    assertEquals(List.of(), w.dayEnds());
+    w.advance(20);
+    assertEquals("cancelled", w.poll(others.get(1), "wk-1").jobStatus());
+    assertEquals(List.of(), w.drainAndCheck());
   }
 }
--- a/src/test/java/dev/dunefront/story/CleanupTest.java
+++ b/src/test/java/dev/dunefront/story/CleanupTest.java
@@ -21,8 +21,8 @@
   private static final String CLEANUP_DUTY_KEY = "w/u/cleanup";
   private static final double RECORD_RETENTION_S = 60;
 
-  private static World newCluster() {
-    World cluster = new World(3);
+  private static SimulatedCluster newCluster() {
+    SimulatedCluster cluster = new SimulatedCluster(3);
     cluster.tunables =
         Tunables.withOverrides(Map.of("idle_boots", 1000.0, "burial_s", RECORD_RETENTION_S));
     return cluster;
@@ -32,29 +32,29 @@
    * Returns a cluster in which a machine has been deleted because it is unreachable while the cloud
    * still lists it.
    */
-  private static World clusterWithDeletedMachine() {
-    World cluster = newCluster();
-    cluster.machine("host-1", "small", "a", "node-0");
-    cluster.start().pass(3);
-    cluster.silent.add("host-1");
+  private static SimulatedCluster clusterWithDeletedMachine() {
+    SimulatedCluster cluster = newCluster();
+    cluster.addMachine("host-1", "small", "a", "node-0");
+    cluster.start().advance(3);
+    cluster.isolatedHosts.add("host-1");
     for (int i = 0; i < 90 && !cluster.cloud.deleted("host-1"); i++) {
-      cluster.pass(1);
+      cluster.advance(1);
     }
     assertTrue(cluster.cloud.deleted("host-1"));
-    cluster.pass(1);
-    assertTrue(cluster.state.value("w/h/host-1").has("dead"));
+    cluster.advance(1);
+    assertTrue(cluster.stateService.value("w/h/host-1").has("dead"));
     return cluster;
   }
 
   @Test
   void deletedMachineRecordIsRemovedAfterRetention() {
-    World cluster = clusterWithDeletedMachine();
-    cluster.pass(RECORD_RETENTION_S - 5);
+    SimulatedCluster cluster = clusterWithDeletedMachine();
+    cluster.advance(RECORD_RETENTION_S - 5);
     assertTrue(
-        cluster.state.value("w/h/host-1").has("dead"),
+        cluster.stateService.value("w/h/host-1").has("dead"),
         "the record was removed while delayed reports may still arrive");
-    cluster.pass(10);
-    assertNull(cluster.state.value("w/h/host-1"));
+    cluster.advance(10);
+    assertNull(cluster.stateService.value("w/h/host-1"));
   }
 
   /**
@@ -63,41 +63,42 @@
    */
   @Test
   void replacedDutyHolderRemovesNothingAndSuccessorContinues() {
-    World cluster = clusterWithDeletedMachine();
-    String replacedNode = cluster.named(CLEANUP_DUTY_KEY);
+    SimulatedCluster cluster = clusterWithDeletedMachine();
+    String replacedNode = cluster.recordedNode(CLEANUP_DUTY_KEY);
     // Its open watches are answered soon; from then on it receives no more updates.
     boolean[] renewalsPass = {true};
-    cluster.pass(RECORD_RETENTION_S - 16);
-    cluster.fates =
+    cluster.advance(RECORD_RETENTION_S - 16);
+    cluster.deliveryPolicy =
         (from, path, body) ->
             from.equals(replacedNode)
                     && (path.startsWith("/watch") || path.endsWith("/touch") && !renewalsPass[0])
-                ? World.Fate.LOST
-                : World.Fate.ON_TIME;
-    cluster.pass(12);
+                ? SimulatedCluster.Delivery.DROPPED
+                : SimulatedCluster.Delivery.ON_TIME;
+    cluster.advance(12);
     renewalsPass[0] = false;
     int[] removalAttempts = {0};
-    cluster.tap =
+    cluster.requestListener =
         (from, path, body) -> {
           if (from.equals(replacedNode) && body.contains("remove=w/h/host-1")) {
             removalAttempts[0]++;
-            assertTrue(cluster.state.value("w/h/host-1") != null);
+            assertTrue(cluster.stateService.value("w/h/host-1") != null);
           }
         };
     // No other controller can take the duty over yet, so only the replaced holder can attempt the
     // removal.
     cluster.nodes.keySet().stream()
         .filter(n -> !n.equals(replacedNode))
-        .forEach(cluster.refusedByState::add);
-    cluster.nodes.get(replacedNode).loseLease();
-    cluster.pass(8);
+        .forEach(cluster.refusedByStateService::add);
+    cluster.nodes.get(replacedNode).expireLease();
+    cluster.advance(8);
     assertTrue(removalAttempts[0] > 0, "the replaced holder made no attempt to remove the record");
-    assertTrue(cluster.state.value("w/h/host-1") != null, "the removal was not refused");
-    cluster.fates = (from, path, body) -> World.Fate.ON_TIME;
-    cluster.refusedByState.clear();
-    cluster.pass(20);
+    assertTrue(cluster.stateService.value("w/h/host-1") != null, "the removal was not refused");
+    cluster.deliveryPolicy = (from, path, body) -> SimulatedCluster.Delivery.ON_TIME;
+    cluster.refusedByStateService.clear();
+    cluster.advance(20);
     assertNull(
-        cluster.state.value("w/h/host-1"), "the next holder of the duty did not remove the record");
+        cluster.stateService.value("w/h/host-1"),
+        "the next holder of the duty did not remove the record");
   }
 
   /**
@@ -106,35 +107,35 @@
    */
   @Test
   void reportAfterRecordRemovalCausesNoDuplicateRun() {
-    World cluster = newCluster();
-    FakeWorker m = cluster.machine("host-1", "small", "a", "node-0");
-    cluster.start().pass(3);
-    assertEquals(201, cluster.submit("node-1", World.job("wk-1", 2, 1)).status());
-    cluster.pass(1);
+    SimulatedCluster cluster = newCluster();
+    FakeWorker m = cluster.addMachine("host-1", "small", "a", "node-0");
+    cluster.start().advance(3);
+    assertEquals(201, cluster.submit("node-1", SimulatedCluster.job("wk-1", 2, 1)).status());
+    cluster.advance(1);
     assertEquals(2, m.running().size());
     byte[] delayedReport = m.report();
-    cluster.silent.add("host-1");
-    cluster.pass(90);
+    cluster.isolatedHosts.add("host-1");
+    cluster.advance(90);
     assertTrue(cluster.cloud.deleted("host-1"));
-    FakeWorker otherWorker = cluster.machine("host-2", "small", "a", "node-0");
-    cluster.pass(RECORD_RETENTION_S + 10);
-    assertNull(cluster.state.value("w/h/host-1"));
+    FakeWorker otherWorker = cluster.addMachine("host-2", "small", "a", "node-0");
+    cluster.advance(RECORD_RETENTION_S + 10);
+    assertNull(cluster.stateService.value("w/h/host-1"));
     assertEquals(
         2, otherWorker.running().size(), "the tasks were not restarted on the other machine");
     for (String node : List.of("node-0", "node-1", "node-2")) {
-      cluster.ask(node, "POST", "/hello", delayedReport);
+      cluster.request(node, "POST", "/hello", delayedReport);
     }
-    cluster.submit("node-0", World.job("wk-2", 6, 1));
+    cluster.submit("node-0", SimulatedCluster.job("wk-2", 6, 1));
     for (int i = 0; i < 60; i++) {
-      cluster.pass(1);
+      cluster.advance(1);
       otherWorker.running().forEach(t -> otherWorker.exit(t, "done"));
     }
-    assertEquals("done", cluster.poll("node-0", "wk-1").state());
+    assertEquals("done", cluster.poll("node-0", "wk-1").jobStatus());
     assertEquals(
         "done",
-        cluster.poll("node-0", "wk-2").state(),
+        cluster.poll("node-0", "wk-2").jobStatus(),
         "tasks placed on the deleted machine did not run elsewhere");
-    assertEquals(List.of(), cluster.overlaps);
+    assertEquals(List.of(), cluster.overlappingRuns);
   }
 
   /**
@@ -143,18 +144,18 @@
    */
   @Test
   void holderReleasesMachineWhoseRecordIsRemoved() {
-    World cluster = newCluster();
-    FakeWorker m = cluster.machine("host-1", "small", "a", "node-0");
-    cluster.start().pass(3);
+    SimulatedCluster cluster = newCluster();
+    FakeWorker m = cluster.addMachine("host-1", "small", "a", "node-0");
+    cluster.start().advance(3);
     cluster.writeState("w/h/host-1", Document.create().put("holder", "node-9#1").put("baton", 7));
-    cluster.pass(20);
-    assertNotEquals(null, cluster.state.value("w/h/host-1"));
+    cluster.advance(20);
+    assertNotEquals(null, cluster.stateService.value("w/h/host-1"));
     cluster.removeState("w/h/host-1");
-    cluster.pass(6);
-    assertEquals(201, cluster.submit("node-0", World.job("wk-1", 4, 1)).status());
-    cluster.pass(4);
+    cluster.advance(6);
+    assertEquals(201, cluster.submit("node-0", SimulatedCluster.job("wk-1", 4, 1)).status());
+    cluster.advance(4);
     assertEquals(4, m.running().size(), "the machine is not held again, or its room is not used");
-    assertEquals(List.of(), cluster.overlaps);
+    assertEquals(List.of(), cluster.overlappingRuns);
   }
 
   /**
@@ -163,20 +164,20 @@
    */
   @Test
   void recordsOfReclaimedMachinesAreRemoved() {
-    World cluster = newCluster();
+    SimulatedCluster cluster = newCluster();
     for (int i = 0; i < 12; i++) {
-      cluster.machine("host-" + i, "small", "a", "node-0");
+      cluster.addMachine("host-" + i, "small", "a", "node-0");
       cluster.writeState(
           "w/h/host-" + i, Document.create().put("holder", "node-9#1").put("baton", 7));
     }
-    cluster.start().pass(20);
-    assertEquals(12, cluster.state.keys("w/h/").size());
+    cluster.start().advance(20);
+    assertEquals(12, cluster.stateService.keys("w/h/").size());
     for (int i = 0; i < 10; i++) {
-      cluster.silent.add("host-" + i);
+      cluster.isolatedHosts.add("host-" + i);
       cluster.cloud.reclaim("host-" + i);
     }
-    cluster.pass(90 + RECORD_RETENTION_S);
-    assertEquals(List.of("w/h/host-10", "w/h/host-11"), cluster.state.keys("w/h/"));
+    cluster.advance(90 + RECORD_RETENTION_S);
+    assertEquals(List.of("w/h/host-10", "w/h/host-11"), cluster.stateService.keys("w/h/"));
   }
 
   /**
@@ -185,28 +186,28 @@
    */
   @Test
   void longSilentMachineIsNoLongerHeld() {
-    World cluster = newCluster();
-    FakeWorker m = cluster.machine("host-1", "small", "a", "node-0");
+    SimulatedCluster cluster = newCluster();
+    FakeWorker m = cluster.addMachine("host-1", "small", "a", "node-0");
     int[] maxHeld = {0};
-    cluster.late =
+    cluster.holdPeerMessage =
         message -> {
           if (message instanceof Message.ControllerStatus status) {
             maxHeld[0] = Math.max(maxHeld[0], status.heldMachines());
           }
           return false;
         };
-    cluster.start().pass(5);
+    cluster.start().advance(5);
     assertEquals(1, maxHeld[0]);
-    cluster.silent.add("host-1");
+    cluster.isolatedHosts.add("host-1");
     cluster.cloud.reclaim("host-1");
-    cluster.pass(12 * World.LEASE_S);
+    cluster.advance(12 * SimulatedCluster.LEASE_S);
     maxHeld[0] = 0;
-    cluster.pass(2);
+    cluster.advance(2);
     assertEquals(0, maxHeld[0]);
-    cluster.silent.clear();
-    cluster.pass(5);
-    cluster.submit("node-1", World.job("wk-1", 4, 1));
-    cluster.pass(3);
+    cluster.isolatedHosts.clear();
+    cluster.advance(5);
+    cluster.submit("node-1", SimulatedCluster.job("wk-1", 4, 1));
+    cluster.advance(3);
     assertEquals(4, m.running().size(), "a machine that reports again is not held again");
   }
 
@@ -219,7 +220,7 @@
    */
   @Test
   void storedRecordsDoNotGrowWithMachineTurnover() {
-    World cluster = new World(3).renting(4, 2);
+    SimulatedCluster cluster = new SimulatedCluster(3).withRentingDelays(4, 2);
     cluster.tunables =
         Tunables.withOverrides(
             Map.of(
@@ -232,29 +233,31 @@
                 "burial_s",
                 RECORD_RETENTION_S));
     cluster.cloud.capacity(Integer.MAX_VALUE);
-    cluster.start().pass(3);
+    cluster.start().advance(3);
     int maxKeys = 0;
     for (int round = 0; round < RENTAL_ROUNDS; round++) {
       assertEquals(
           201,
           cluster
-              .submit("node-" + round % 3, World.job("wk-" + round, MACHINES_PER_ROUND, 4))
+              .submit(
+                  "node-" + round % 3, SimulatedCluster.job("wk-" + round, MACHINES_PER_ROUND, 4))
               .status());
       for (int i = 0; i < 12; i++) {
-        cluster.pass(2);
-        cluster.finishAll();
+        cluster.advance(2);
+        cluster.completeAllTasks();
       }
       if (round >= RENTAL_ROUNDS / 2) {
-        maxKeys = Math.max(maxKeys, cluster.state.keys("w/").size());
+        maxKeys = Math.max(maxKeys, cluster.stateService.keys("w/").size());
       }
     }
     assertTrue(
-        cluster.hired() >= RENTAL_ROUNDS * MACHINES_PER_ROUND * 0.9,
-        cluster.hired() + " machines were rented");
+        cluster.rentedCount() >= RENTAL_ROUNDS * MACHINES_PER_ROUND * 0.9,
+        cluster.rentedCount() + " machines were rented");
     assertTrue(maxKeys < 10 * MACHINES_PER_ROUND, maxKeys + " keys");
-    cluster.pass(3 * RECORD_RETENTION_S + RENTAL_ROUNDS * MACHINES_PER_ROUND / 9.0 / 2);
+    cluster.advance(3 * RECORD_RETENTION_S + RENTAL_ROUNDS * MACHINES_PER_ROUND / 9.0 / 2);
     assertEquals(0, cluster.workers.size());
-    assertEquals(List.of(), cluster.state.keys("w/h/"), "machine records are left");
-    assertEquals(0, cluster.state.keys("w/j/").size() + cluster.state.keys("t/").size());
+    assertEquals(List.of(), cluster.stateService.keys("w/h/"), "machine records are left");
+    assertEquals(
+        0, cluster.stateService.keys("w/j/").size() + cluster.stateService.keys("t/").size());
   }
 }
--- a/src/test/java/dev/dunefront/story/ClearCommandTest.java
+++ b/src/test/java/dev/dunefront/story/ClearCommandTest.java
@@ -14,50 +14,50 @@
   private static final int MACHINES = 8;
   private static final int TASKS = 24;
 
-  private static World startCluster() {
-    World cluster = new World(2);
-    cluster.start().pass(2);
+  private static SimulatedCluster startCluster() {
+    SimulatedCluster cluster = new SimulatedCluster(2);
+    cluster.start().advance(2);
     for (int i = 0; i < MACHINES; i++) {
-      cluster.machine("host-" + i, "small", "a", "node-" + i % 2);
+      cluster.addMachine("host-" + i, "small", "a", "node-" + i % 2);
     }
-    cluster.pass(6);
+    cluster.advance(6);
     return cluster;
   }
 
   /**
    * Runs a job to its end and returns the number of direct commands that contained clears alone.
    */
-  private static int countClearOnlyCommands(World cluster, String job) {
+  private static int countClearOnlyCommands(SimulatedCluster cluster, String job) {
     int[] clearOnlyCommands = {0};
-    cluster.tap =
+    cluster.requestListener =
         (from, path, body) -> {
           boolean clearsAlone = body.contains("clear") && !body.contains("verb=run");
           clearOnlyCommands[0] += path.equals("/orders") && clearsAlone ? 1 : 0;
         };
-    assertEquals(201, cluster.submit("node-0", World.job(job, TASKS, 1)).status());
-    cluster.pass(2);
-    assertEquals(TASKS, cluster.running());
+    assertEquals(201, cluster.submit("node-0", SimulatedCluster.job(job, TASKS, 1)).status());
+    cluster.advance(2);
+    assertEquals(TASKS, cluster.runningCount());
     // Tasks end one after the other, so that each end is reported separately.
     for (FakeWorker m : List.copyOf(cluster.workers.values())) {
       for (String task : m.running()) {
         m.exit(task, "done");
-        cluster.pass(0.5);
+        cluster.advance(0.5);
       }
     }
-    cluster.pass(4);
-    assertEquals("done", cluster.poll("node-1", job).state());
+    cluster.advance(4);
+    assertEquals("done", cluster.poll("node-1", job).jobStatus());
     return clearOnlyCommands[0];
   }
 
-  private static int tasksKnownToWorkers(World cluster) {
+  private static int tasksKnownToWorkers(SimulatedCluster cluster) {
     return cluster.workers.values().stream().mapToInt(FakeWorker::taskCount).sum();
   }
 
   @Test
   void taskEndNeedsNoClearOnlyCommand() {
-    World cluster = startCluster();
+    SimulatedCluster cluster = startCluster();
     int clearOnlyCommands = countClearOnlyCommands(cluster, "wk-1");
-    cluster.pass(3 * World.REPORT_S);
+    cluster.advance(3 * SimulatedCluster.REPORT_S);
     assertEquals(0, tasksKnownToWorkers(cluster), "not all ended tasks are cleared");
     assertEquals(0, clearOnlyCommands, "commands with clears alone");
   }
@@ -68,23 +68,23 @@
    */
   @Test
   void clearLostWithReportResponseIsResent() {
-    World cluster = startCluster();
+    SimulatedCluster cluster = startCluster();
     countClearOnlyCommands(cluster, "wk-1");
-    assertEquals(201, cluster.submit("node-0", World.job("wk-2", TASKS, 1)).status());
-    cluster.pass(2);
-    assertEquals(TASKS, cluster.running());
+    assertEquals(201, cluster.submit("node-0", SimulatedCluster.job("wk-2", TASKS, 1)).status());
+    cluster.advance(2);
+    assertEquals(TASKS, cluster.runningCount());
     // For a while the reports of one worker arrive, but neither their responses nor direct
     // commands reach it.
-    cluster.finishAll();
-    cluster.pass(0.5);
+    cluster.completeAllTasks();
+    cluster.advance(0.5);
     String blockedHost = List.copyOf(cluster.workers.values()).get(0).host();
-    cluster.deaf.add(blockedHost);
-    cluster.pass(3);
-    cluster.deaf.clear();
-    cluster.pass(8);
+    cluster.inboundBlockedHosts.add(blockedHost);
+    cluster.advance(3);
+    cluster.inboundBlockedHosts.clear();
+    cluster.advance(8);
     assertEquals(0, tasksKnownToWorkers(cluster));
-    assertEquals("done", cluster.poll("node-1", "wk-2").state());
-    assertEquals(List.of(), cluster.overlaps);
+    assertEquals("done", cluster.poll("node-1", "wk-2").jobStatus());
+    assertEquals(List.of(), cluster.overlappingRuns);
   }
 
   /**
@@ -93,23 +93,23 @@
    */
   @Test
   void clearOfEarlierAttemptDoesNotEndLaterAttempt() {
-    World cluster = new World(1);
-    cluster.start().pass(2);
-    FakeWorker worker = cluster.machine("host-0", "small", "a", "node-0");
-    cluster.pass(6);
-    assertEquals(201, cluster.submit("node-0", World.job("wk-1", 1, 1)).status());
-    cluster.pass(2);
+    SimulatedCluster cluster = new SimulatedCluster(1);
+    cluster.start().advance(2);
+    FakeWorker worker = cluster.addMachine("host-0", "small", "a", "node-0");
+    cluster.advance(6);
+    assertEquals(201, cluster.submit("node-0", SimulatedCluster.job("wk-1", 1, 1)).status());
+    cluster.advance(2);
     assertEquals(List.of("wk-1/0"), worker.running());
     worker.exit("wk-1/0", "error");
     for (int i = 0; i < 120 && worker.running().isEmpty(); i++) {
-      cluster.pass(1);
+      cluster.advance(1);
     }
     assertEquals(List.of("wk-1/0"), worker.running());
-    cluster.pass(5);
+    cluster.advance(5);
     assertEquals(List.of("wk-1/0"), worker.running(), "the new attempt was ended");
     assertEquals(2, worker.starts().size());
-    cluster.finishAll();
-    cluster.pass(4);
-    assertEquals("done", cluster.poll("node-0", "wk-1").state());
+    cluster.completeAllTasks();
+    cluster.advance(4);
+    assertEquals("done", cluster.poll("node-0", "wk-1").jobStatus());
   }
 }
--- a/src/test/java/dev/dunefront/story/ClusterScenarioTest.java
+++ b/src/test/java/dev/dunefront/story/ClusterScenarioTest.java
@@ -26,35 +26,36 @@
    */
   @Test
   void everyControllerReportsACompletedJobAsDone() {
-    World w = new World(3);
-    FakeWorker m = w.machine("host-1", "small", "a", "node-1");
-    w.start().pass(2);
-    assertEquals(201, w.submit("node-0", World.job("wk-1", 2, 2)).status());
-    w.pass(1);
+    SimulatedCluster w = new SimulatedCluster(3);
+    FakeWorker m = w.addMachine("host-1", "small", "a", "node-1");
+    w.start().advance(2);
+    assertEquals(201, w.submit("node-0", SimulatedCluster.job("wk-1", 2, 2)).status());
+    w.advance(1);
     assertEquals(Set.of("wk-1/0", "wk-1/1"), new HashSet<>(m.running()));
-    assertEquals("running", w.poll("node-2", "wk-1").state());
+    assertEquals("running", w.poll("node-2", "wk-1").jobStatus());
     m.exit("wk-1/0", "done");
-    w.pass(2);
-    assertEquals("running", w.poll("node-1", "wk-1").state());
+    w.advance(2);
+    assertEquals("running", w.poll("node-1", "wk-1").jobStatus());
     m.exit("wk-1/1", "done");
-    w.pass(3);
+    w.advance(3);
     for (String node : w.nodes.keySet()) {
-      assertEquals("done", w.poll(node, "wk-1").state());
-      assertEquals(200, w.submit(node, World.job("wk-1", 2, 2)).status());
+      assertEquals("done", w.poll(node, "wk-1").jobStatus());
+      assertEquals(200, w.submit(node, SimulatedCluster.job("wk-1", 2, 2)).status());
     }
     assertEquals(0, m.taskCount(), "ended tasks are cleared from the machine");
-    assertEquals(List.of(), w.state.keys("t/"), "nothing of a finished job but its end is kept");
+    assertEquals(
+        List.of(), w.stateService.keys("t/"), "nothing of a finished job but its end is kept");
   }
 
   /** A client that resubmits a job to a second controller must not start its tasks twice. */
   @Test
   void resubmissionToAnotherControllerCreatesNoSecondJob() {
-    World w = new World(2);
-    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
-    w.start().pass(2);
-    assertEquals(201, w.submit("node-0", World.job("wk-1", 1, 1)).status());
-    assertEquals(200, w.submit("node-1", World.job("wk-1", 1, 1)).status());
-    w.pass(2);
+    SimulatedCluster w = new SimulatedCluster(2);
+    FakeWorker m = w.addMachine("host-1", "small", "a", "node-0");
+    w.start().advance(2);
+    assertEquals(201, w.submit("node-0", SimulatedCluster.job("wk-1", 1, 1)).status());
+    assertEquals(200, w.submit("node-1", SimulatedCluster.job("wk-1", 1, 1)).status());
+    w.advance(2);
     assertEquals(List.of("wk-1/0#1"), m.starts());
   }
 
@@ -65,51 +66,51 @@
    */
   @Test
   void jobWhoseAcceptanceWasUnconfirmedIsClaimed() {
-    World w = new World(2);
-    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
-    w.start().pass(2);
-    w.unanswered = (from, to) -> from.equals("node-0") && to.equals("10.2.0.1:1");
-    assertEquals(503, w.submit("node-0", World.job("wk-1", 1, 1)).status());
-    w.unanswered = (from, to) -> false;
-    assertEquals(200, w.submit("node-1", World.job("wk-1", 1, 1)).status());
+    SimulatedCluster w = new SimulatedCluster(2);
+    FakeWorker m = w.addMachine("host-1", "small", "a", "node-0");
+    w.start().advance(2);
+    w.dropResponse = (from, to) -> from.equals("node-0") && to.equals("10.2.0.1:1");
+    assertEquals(503, w.submit("node-0", SimulatedCluster.job("wk-1", 1, 1)).status());
+    w.dropResponse = (from, to) -> false;
+    assertEquals(200, w.submit("node-1", SimulatedCluster.job("wk-1", 1, 1)).status());
     // The watch response was lost as well; the claimant reads the record after the watch times out.
-    w.pass(16);
+    w.advance(16);
     assertEquals(List.of("wk-1/0#1"), m.starts());
   }
 
   /** Freed room goes to the task of the highest priority, even if it was submitted last. */
   @Test
   void higherPriorityTaskIsPlacedFirst() {
-    World w = new World(2);
-    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
-    w.start().pass(2);
-    w.submit("node-0", World.job("wk-1", 1, 4));
-    w.pass(1);
-    w.submit("node-0", World.job("wk-2", 1, 4));
-    w.pass(1);
-    w.submit("node-1", World.job("wk-3", 1, 4).put("urgency", "high"));
-    w.pass(1);
+    SimulatedCluster w = new SimulatedCluster(2);
+    FakeWorker m = w.addMachine("host-1", "small", "a", "node-0");
+    w.start().advance(2);
+    w.submit("node-0", SimulatedCluster.job("wk-1", 1, 4));
+    w.advance(1);
+    w.submit("node-0", SimulatedCluster.job("wk-2", 1, 4));
+    w.advance(1);
+    w.submit("node-1", SimulatedCluster.job("wk-3", 1, 4).put("urgency", "high"));
+    w.advance(1);
     m.exit("wk-1/0", "done");
-    w.pass(3);
+    w.advance(3);
     assertEquals(List.of("wk-3/0"), m.running());
   }
 
   /** Many waiting small tasks must not keep a job with a large task from being claimed. */
   @Test
   void jobWithALargeTaskIsClaimedBehindManySmallTasks() {
-    World w = new World(1);
+    SimulatedCluster w = new SimulatedCluster(1);
     for (int i = 0; i < 6; i++) {
-      w.machine("small-" + i, "small", "a", "node-0");
+      w.addMachine("small-" + i, "small", "a", "node-0");
     }
-    w.machine("large-1", "large", "a", "node-0");
-    w.start().pass(2);
+    w.addMachine("large-1", "large", "a", "node-0");
+    w.start().advance(2);
     // The machines have 40 CPUs in total, so that 60 of the small tasks wait.
-    w.submit("node-0", World.job("wk-1", 100, 1));
-    w.pass(1);
-    w.submit("node-0", World.job("wk-2", 1, 12));
-    w.pass(1);
+    w.submit("node-0", SimulatedCluster.job("wk-1", 100, 1));
+    w.advance(1);
+    w.submit("node-0", SimulatedCluster.job("wk-2", 1, 12));
+    w.advance(1);
     assertFalse(
-        w.state.value("w/j/wk-2").toString().contains("claim=null"),
+        w.stateService.value("w/j/wk-2").toString().contains("claim=null"),
         "the job is claimed within 1 s");
   }
 
@@ -119,24 +120,24 @@
    */
   @Test
   void onlyRecentlyStartedTasksArePreempted() {
-    World w = new World(2);
-    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
-    w.start().pass(2);
-    w.submit("node-0", World.job("wk-1", 4, 1));
-    w.pass(2);
+    SimulatedCluster w = new SimulatedCluster(2);
+    FakeWorker m = w.addMachine("host-1", "small", "a", "node-0");
+    w.start().advance(2);
+    w.submit("node-0", SimulatedCluster.job("wk-1", 4, 1));
+    w.advance(2);
     assertEquals(4, m.running().size());
-    w.submit("node-1", World.job("wk-2", 2, 1).put("urgency", "high"));
-    w.pass(4);
+    w.submit("node-1", SimulatedCluster.job("wk-2", 2, 1).put("urgency", "high"));
+    w.advance(4);
     assertTrue(m.running().containsAll(List.of("wk-2/0", "wk-2/1")));
     assertEquals(4, m.running().size());
     m.exit("wk-2/0", "done");
     m.exit("wk-2/1", "done");
-    w.pass(30);
+    w.advance(30);
     assertEquals(4, m.running().stream().filter(t -> t.startsWith("wk-1")).count());
-    w.submit("node-1", World.job("wk-3", 2, 1).put("urgency", "high"));
-    w.pass(5);
+    w.submit("node-1", SimulatedCluster.job("wk-3", 2, 1).put("urgency", "high"));
+    w.advance(5);
     assertEquals(4, m.running().stream().filter(t -> t.startsWith("wk-1")).count());
-    assertEquals(List.of(), w.overlaps);
+    assertEquals(List.of(), w.overlappingRuns);
   }
 
   /**
@@ -145,27 +146,27 @@
    */
   @Test
   void preemptedTaskIsNotPreemptedAgain() {
-    World w = new World(2);
-    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
-    w.start().pass(2);
-    w.submit("node-0", World.job("wk-1", 4, 1));
-    w.pass(2);
-    w.submit("node-1", World.job("wk-2", 2, 1).put("urgency", "high"));
-    w.pass(3);
+    SimulatedCluster w = new SimulatedCluster(2);
+    FakeWorker m = w.addMachine("host-1", "small", "a", "node-0");
+    w.start().advance(2);
+    w.submit("node-0", SimulatedCluster.job("wk-1", 4, 1));
+    w.advance(2);
+    w.submit("node-1", SimulatedCluster.job("wk-2", 2, 1).put("urgency", "high"));
+    w.advance(3);
     assertTrue(m.running().containsAll(List.of("wk-2/0", "wk-2/1")));
     m.exit("wk-2/0", "done");
     m.exit("wk-2/1", "done");
-    w.pass(3);
+    w.advance(3);
     assertEquals(4, m.running().size());
     List<String> restarted = m.starts().stream().filter(s -> s.endsWith("#2")).toList();
     assertEquals(2, restarted.size(), "two preempted tasks have restarted");
-    w.submit("node-1", World.job("wk-3", 4, 1).put("urgency", "high"));
-    w.pass(4);
+    w.submit("node-1", SimulatedCluster.job("wk-3", 4, 1).put("urgency", "high"));
+    w.advance(4);
     assertEquals(2, m.running().stream().filter(t -> t.startsWith("wk-3")).count());
     for (String start : restarted) {
       assertTrue(m.running().contains(start.substring(0, start.indexOf('#'))), start);
     }
-    assertEquals(List.of(), w.overlaps);
+    assertEquals(List.of(), w.overlappingRuns);
   }
 
   /**
@@ -174,19 +175,19 @@
    */
   @Test
   void startWithLostResponseIsNotRepeatedElsewhere() {
-    World w = new World(2);
-    FakeWorker a = w.machine("host-1", "small", "a", "node-0");
-    FakeWorker b = w.machine("host-2", "small", "a", "node-1");
-    w.start().pass(2);
-    w.unanswered = (from, to) -> to.endsWith(":9");
-    w.submit("node-0", World.job("wk-1", 1, 1));
-    w.pass(5);
-    w.unanswered = (from, to) -> false;
-    w.pass(10);
+    SimulatedCluster w = new SimulatedCluster(2);
+    FakeWorker a = w.addMachine("host-1", "small", "a", "node-0");
+    FakeWorker b = w.addMachine("host-2", "small", "a", "node-1");
+    w.start().advance(2);
+    w.dropResponse = (from, to) -> to.endsWith(":9");
+    w.submit("node-0", SimulatedCluster.job("wk-1", 1, 1));
+    w.advance(5);
+    w.dropResponse = (from, to) -> false;
+    w.advance(10);
     assertEquals(1, a.running().size() + b.running().size());
     assertEquals(
         1, a.starts().size() + b.starts().size(), "the task is started once and keeps running");
-    assertEquals(List.of(), w.overlaps);
+    assertEquals(List.of(), w.overlappingRuns);
   }
 
   /**
@@ -195,22 +196,22 @@
    */
   @Test
   void delayedStartCommandIsRefused() {
-    World w = new World(2);
-    FakeWorker a = w.machine("host-1", "small", "a", "node-0");
-    FakeWorker b = w.machine("host-2", "small", "a", "node-1");
-    w.start().pass(2);
-    w.heldBack = (from, to) -> to.endsWith(":9");
-    w.submit("node-0", World.job("wk-1", 1, 1));
-    w.pass(2);
+    SimulatedCluster w = new SimulatedCluster(2);
+    FakeWorker a = w.addMachine("host-1", "small", "a", "node-0");
+    FakeWorker b = w.addMachine("host-2", "small", "a", "node-1");
+    w.start().advance(2);
+    w.holdRequest = (from, to) -> to.endsWith(":9");
+    w.submit("node-0", SimulatedCluster.job("wk-1", 1, 1));
+    w.advance(2);
     assertTrue(w.heldCount() > 0, "the start command is held");
-    w.heldBack = (from, to) -> false;
-    w.pass(10);
+    w.holdRequest = (from, to) -> false;
+    w.advance(10);
     assertEquals(
         1, a.running().size() + b.running().size(), "the task is placed again under a new token");
     w.deliverHeld();
-    w.pass(3);
+    w.advance(3);
     assertEquals(1, a.running().size() + b.running().size());
-    assertEquals(List.of(), w.overlaps);
+    assertEquals(List.of(), w.overlappingRuns);
   }
 
   /**
@@ -219,18 +220,18 @@
    */
   @Test
   void tasksKeepRunningWhenTheirClaimantCrashes() {
-    World w = new World(3);
-    FakeWorker m = w.machine("host-1", "small", "a", "node-1");
-    w.start().pass(2);
-    w.submit("node-0", World.job("wk-1", 3, 1));
-    w.pass(1);
+    SimulatedCluster w = new SimulatedCluster(3);
+    FakeWorker m = w.addMachine("host-1", "small", "a", "node-1");
+    w.start().advance(2);
+    w.submit("node-0", SimulatedCluster.job("wk-1", 3, 1));
+    w.advance(1);
     assertEquals(3, m.running().size());
     w.nodes.get("node-0").crash();
-    w.pass(12);
+    w.advance(12);
     assertEquals(3, m.running().size());
     m.running().forEach(id -> m.exit(id, "done"));
-    w.pass(4);
-    assertEquals("done", w.poll("node-2", "wk-1").state());
+    w.advance(4);
+    assertEquals("done", w.poll("node-2", "wk-1").jobStatus());
     assertEquals(3, m.starts().size());
   }
 
@@ -240,21 +241,21 @@
    */
   @Test
   void tasksKeepRunningWhenAllControllersCrash() {
-    World w = new World(3);
-    FakeWorker m = w.machine("host-1", "small", "a", "node-1");
-    w.start().pass(2);
-    w.submit("node-0", World.job("wk-1", 3, 2));
-    w.pass(1);
-    w.nodes.values().forEach(World.Node::crash);
-    w.pass(3);
-    w.nodes.values().forEach(World.Node::start);
-    w.pass(6);
+    SimulatedCluster w = new SimulatedCluster(3);
+    FakeWorker m = w.addMachine("host-1", "small", "a", "node-1");
+    w.start().advance(2);
+    w.submit("node-0", SimulatedCluster.job("wk-1", 3, 2));
+    w.advance(1);
+    w.nodes.values().forEach(SimulatedCluster.Node::crash);
+    w.advance(3);
+    w.nodes.values().forEach(SimulatedCluster.Node::start);
+    w.advance(6);
     assertEquals(2, m.running().size());
     m.running().forEach(id -> m.exit(id, "done"));
-    w.pass(4);
+    w.advance(4);
     m.running().forEach(id -> m.exit(id, "done"));
-    w.pass(4);
-    assertEquals("done", w.poll("node-2", "wk-1").state());
+    w.advance(4);
+    assertEquals("done", w.poll("node-2", "wk-1").jobStatus());
     assertEquals(3, m.starts().size());
   }
 
@@ -264,18 +265,18 @@
    */
   @Test
   void placementIsStartedWhenTheHolderCrashesBeforeSendingIt() {
-    World w = new World(3);
-    FakeWorker m = w.machine("host-1", "small", "a", "node-1");
-    w.start().pass(2);
+    SimulatedCluster w = new SimulatedCluster(3);
+    FakeWorker m = w.addMachine("host-1", "small", "a", "node-1");
+    w.start().advance(2);
     // The placement is recorded, but the holder cannot send the start command to the worker.
-    w.lost = (from, to) -> from.equals("node-1") && to.endsWith(":9");
-    w.submit("node-0", World.job("wk-1", 1, 1));
-    w.pass(1);
+    w.dropDelivery = (from, to) -> from.equals("node-1") && to.endsWith(":9");
+    w.submit("node-0", SimulatedCluster.job("wk-1", 1, 1));
+    w.advance(1);
     w.nodes.get("node-1").crash();
-    w.lost = (from, to) -> false;
-    w.pass(20);
+    w.dropDelivery = (from, to) -> false;
+    w.advance(20);
     assertEquals(List.of("wk-1/0"), m.running());
-    assertEquals(List.of(), w.overlaps);
+    assertEquals(List.of(), w.overlappingRuns);
   }
 
   /**
@@ -284,20 +285,20 @@
    */
   @Test
   void tasksOfAnUnreachableMachineRestartOnlyAfterItsLeaseExpires() {
-    World w = new World(2);
-    FakeWorker a = w.machine("host-1", "small", "a", "node-0");
-    w.start().pass(2);
-    w.submit("node-0", World.job("wk-1", 1, 1));
-    w.pass(1);
+    SimulatedCluster w = new SimulatedCluster(2);
+    FakeWorker a = w.addMachine("host-1", "small", "a", "node-0");
+    w.start().advance(2);
+    w.submit("node-0", SimulatedCluster.job("wk-1", 1, 1));
+    w.advance(1);
     assertEquals(1, a.running().size());
-    FakeWorker b = w.machine("host-2", "small", "a", "node-1");
-    w.pass(1);
-    w.silent.add("host-1");
-    w.pass(World.LEASE_S - 3);
+    FakeWorker b = w.addMachine("host-2", "small", "a", "node-1");
+    w.advance(1);
+    w.isolatedHosts.add("host-1");
+    w.advance(SimulatedCluster.LEASE_S - 3);
     assertEquals(0, b.running().size(), "the lease of the unreachable machine may still be valid");
-    w.pass(8);
+    w.advance(8);
     assertEquals(List.of("wk-1/0"), b.running());
-    assertEquals(List.of(), w.overlaps);
+    assertEquals(List.of(), w.overlappingRuns);
   }
 
   /**
@@ -306,13 +307,13 @@
    */
   @Test
   void machineThatCannotReachItsHolderMovesToAnother() {
-    World w = new World(3);
-    FakeWorker m = w.machine("host-1", "small", "a", "node-1");
-    w.start().pass(2);
-    w.submit("node-0", World.job("wk-1", 1, 1));
-    w.pass(1);
-    w.lost = (from, to) -> from.equals(m.endpoint()) && to.equals("node-1");
-    w.pass(12);
+    SimulatedCluster w = new SimulatedCluster(3);
+    FakeWorker m = w.addMachine("host-1", "small", "a", "node-1");
+    w.start().advance(2);
+    w.submit("node-0", SimulatedCluster.job("wk-1", 1, 1));
+    w.advance(1);
+    w.dropDelivery = (from, to) -> from.equals(m.endpoint()) && to.equals("node-1");
+    w.advance(12);
     assertEquals(List.of("wk-1/0"), m.running(), "another controller renewed the lease");
     assertEquals(1, m.starts().size());
   }
@@ -323,16 +324,16 @@
    */
   @Test
   void reportWithAHigherTokenIsRedirected() throws MalformedMessageException {
-    World w = new World(1);
-    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
-    w.start().pass(2);
+    SimulatedCluster w = new SimulatedCluster(1);
+    FakeWorker m = w.addMachine("host-1", "small", "a", "node-0");
+    w.start().advance(2);
     m.handleReportResponse(
         Document.create().put("baton", m.token() + 5).put("orders", List.of()).encode());
-    int status = w.ask("node-0", "POST", "/hello", m.report()).status();
+    int status = w.request("node-0", "POST", "/hello", m.report()).status();
     assertEquals(421, status, "a 200 with a lower token would keep the worker at this controller");
-    w.pass(6);
-    w.submit("node-0", World.job("wk-1", 1, 1));
-    w.pass(2);
+    w.advance(6);
+    w.submit("node-0", SimulatedCluster.job("wk-1", 1, 1));
+    w.advance(2);
     assertEquals(
         1, m.running().size(), "the machine is held again under a token above the one it has seen");
   }
@@ -342,22 +343,22 @@
    */
   @Test
   void cancellationStopsAllTasksAndStatusNeverReverts() {
-    World w = new World(3);
-    FakeWorker m = w.machine("host-1", "small", "a", "node-1");
-    w.start().pass(2);
-    w.submit("node-0", World.job("wk-1", 4, 1));
-    w.pass(1);
-    assertEquals("cancelled", w.cancel("node-2", "wk-1").state());
+    SimulatedCluster w = new SimulatedCluster(3);
+    FakeWorker m = w.addMachine("host-1", "small", "a", "node-1");
+    w.start().advance(2);
+    w.submit("node-0", SimulatedCluster.job("wk-1", 4, 1));
+    w.advance(1);
+    assertEquals("cancelled", w.cancel("node-2", "wk-1").jobStatus());
     for (String node : w.nodes.keySet()) {
-      assertEquals("cancelled", w.poll(node, "wk-1").state());
+      assertEquals("cancelled", w.poll(node, "wk-1").jobStatus());
     }
-    w.pass(3);
+    w.advance(3);
     assertEquals(List.of(), m.running());
     int starts = m.starts().size();
-    w.pass(10);
+    w.advance(10);
     assertEquals(starts, m.starts().size());
-    assertEquals("cancelled", w.poll("node-0", "wk-1").state());
-    assertEquals(List.of(), w.state.keys("t/"));
+    assertEquals("cancelled", w.poll("node-0", "wk-1").jobStatus());
+    assertEquals(List.of(), w.stateService.keys("t/"));
   }
 
   /**
@@ -366,18 +367,18 @@
    */
   @Test
   void cancellationCompletesAfterATakeover() {
-    World w = new World(3);
-    FakeWorker m = w.machine("host-1", "small", "a", "node-1");
-    w.start().pass(2);
-    w.submit("node-0", World.job("wk-1", 4, 1));
-    w.pass(1);
+    SimulatedCluster w = new SimulatedCluster(3);
+    FakeWorker m = w.addMachine("host-1", "small", "a", "node-1");
+    w.start().advance(2);
+    w.submit("node-0", SimulatedCluster.job("wk-1", 4, 1));
+    w.advance(1);
     w.nodes.get("node-0").crash();
     assertEquals(503, w.cancel("node-2", "wk-1").status());
-    w.pass(15);
-    assertEquals("cancelled", w.cancel("node-2", "wk-1").state());
+    w.advance(15);
+    assertEquals("cancelled", w.cancel("node-2", "wk-1").jobStatus());
     assertEquals(List.of(), m.running());
-    assertEquals(List.of(), w.state.keys("w/j/"));
-    assertEquals("cancelled", w.poll("node-1", "wk-1").state());
+    assertEquals(List.of(), w.stateService.keys("w/j/"));
+    assertEquals("cancelled", w.poll("node-1", "wk-1").jobStatus());
   }
 
   /**
@@ -387,31 +388,31 @@
    */
   @Test
   void jobIsNotReportedCancelledWhileAPartitionedTaskRuns() {
-    World w = new World(3);
-    FakeWorker m = w.machine("host-1", "small", "a", "node-1");
-    w.start().pass(2);
-    String holder = w.holder("host-1");
+    SimulatedCluster w = new SimulatedCluster(3);
+    FakeWorker m = w.addMachine("host-1", "small", "a", "node-1");
+    w.start().advance(2);
+    String holder = w.holderOf("host-1");
     List<String> others = w.nodes.keySet().stream().filter(n -> !n.equals(holder)).toList();
-    w.submit(others.get(0), World.job("wk-1", 2, 1));
-    w.pass(1);
+    w.submit(others.get(0), SimulatedCluster.job("wk-1", 2, 1));
+    w.advance(1);
     assertEquals(2, m.running().size());
-    w.lost =
+    w.dropDelivery =
         (from, to) ->
             (from.equals(holder) || to.equals(holder))
                 && !from.endsWith(":9")
                 && !to.endsWith(":9");
-    w.unanswered = w.lost;
+    w.dropResponse = w.dropDelivery;
     for (int i = 0; i < 15; i++) {
       assertEquals(503, w.cancel(others.get(0), "wk-1").status());
       assertEquals(1, w.cancel(others.get(1), "wk-1").retryAfterS());
-      assertEquals("running", w.poll(others.get(0), "wk-1").state());
-      w.pass(2);
+      assertEquals("running", w.poll(others.get(0), "wk-1").jobStatus());
+      w.advance(2);
     }
     assertEquals(2, m.running().size());
-    w.unanswered = (from, to) -> false;
-    w.lost = (from, to) -> false;
-    w.pass(10);
-    assertEquals("cancelled", w.cancel(others.get(1), "wk-1").state());
+    w.dropResponse = (from, to) -> false;
+    w.dropDelivery = (from, to) -> false;
+    w.advance(10);
+    assertEquals("cancelled", w.cancel(others.get(1), "wk-1").jobStatus());
     assertEquals(List.of(), m.running());
   }
 
@@ -421,15 +422,15 @@
    */
   @Test
   void doneJobWithUndeletedChunksCannotBeCancelled() throws MalformedMessageException {
-    World w = new World(2);
-    w.start().pass(2);
-    JobSpec spec = JobSpec.fromDocument(World.job("wk-1", 20_000, 1));
+    SimulatedCluster w = new SimulatedCluster(2);
+    w.start().advance(2);
+    JobSpec spec = JobSpec.fromDocument(SimulatedCluster.job("wk-1", 20_000, 1));
     JobRecord done = new JobRecord(spec, 1, "node-9#1", 1, JobRecord.Status.DONE, 0);
     w.writeState(JobRecord.key("wk-1"), done.toDocument("m"));
-    assertEquals("done", w.cancel("node-0", "wk-1").state());
-    w.pass(10);
-    assertEquals("done", w.poll("node-1", "wk-1").state());
-    assertEquals("done", w.cancel("node-1", "wk-1").state());
+    assertEquals("done", w.cancel("node-0", "wk-1").jobStatus());
+    w.advance(10);
+    assertEquals("done", w.poll("node-1", "wk-1").jobStatus());
+    assertEquals("done", w.cancel("node-1", "wk-1").jobStatus());
   }
 
   /**
@@ -438,19 +439,20 @@
    */
   @Test
   void teamLimitHoldsAcrossAControllerCrash() {
-    World w = new World(3, "[[facts.teams]]\nname = \"t\"\ncpus = 1.0\ncpus_max = 3.0\n");
-    FakeWorker a = w.machine("host-1", "large", "a", "node-0");
-    FakeWorker b = w.machine("host-2", "large", "a", "node-1");
-    w.start().pass(2);
-    w.submit("node-0", World.job("wk-1", 6, 1));
-    w.submit("node-1", World.job("wk-2", 6, 1));
-    w.submit("node-2", World.job("wk-3", 6, 1));
-    w.pass(3);
+    SimulatedCluster w =
+        new SimulatedCluster(3, "[[facts.teams]]\nname = \"t\"\ncpus = 1.0\ncpus_max = 3.0\n");
+    FakeWorker a = w.addMachine("host-1", "large", "a", "node-0");
+    FakeWorker b = w.addMachine("host-2", "large", "a", "node-1");
+    w.start().advance(2);
+    w.submit("node-0", SimulatedCluster.job("wk-1", 6, 1));
+    w.submit("node-1", SimulatedCluster.job("wk-2", 6, 1));
+    w.submit("node-2", SimulatedCluster.job("wk-3", 6, 1));
+    w.advance(3);
     assertEquals(3, a.running().size() + b.running().size());
     w.nodes.get("node-0").crash();
     int done = 0;
     for (int i = 0; i < 60 && done < 18; i++) {
-      w.pass(2);
+      w.advance(2);
       assertTrue(a.running().size() + b.running().size() <= 3);
       for (FakeWorker m : List.of(a, b)) {
         for (String id : m.running()) {
@@ -459,11 +461,11 @@
         }
       }
     }
-    w.pass(3);
+    w.advance(3);
     for (String id : List.of("wk-1", "wk-2", "wk-3")) {
-      assertEquals("done", w.poll("node-1", id).state());
+      assertEquals("done", w.poll("node-1", id).jobStatus());
     }
-    assertEquals(422, w.submit("node-1", World.job("wk-9", 1, 4)).status());
+    assertEquals(422, w.submit("node-1", SimulatedCluster.job("wk-9", 1, 4)).status());
   }
 
   /**
@@ -472,29 +474,29 @@
    */
   @Test
   void stateServiceOutageFailsRequestsFastWhileTasksRun() {
-    World w = new World(2);
-    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
-    w.start().pass(2);
-    w.submit("node-0", World.job("wk-1", 1, 1));
-    w.submit("node-0", World.job("wk-2", 1, 1));
-    w.pass(1);
+    SimulatedCluster w = new SimulatedCluster(2);
+    FakeWorker m = w.addMachine("host-1", "small", "a", "node-0");
+    w.start().advance(2);
+    w.submit("node-0", SimulatedCluster.job("wk-1", 1, 1));
+    w.submit("node-0", SimulatedCluster.job("wk-2", 1, 1));
+    w.advance(1);
     m.exit("wk-2/0", "done");
-    w.pass(3);
-    assertEquals("done", w.poll("node-0", "wk-2").state());
-    w.state.outage(true);
-    w.pass(3);
-    World.Said response = w.submit("node-0", World.job("wk-3", 1, 1));
+    w.advance(3);
+    assertEquals("done", w.poll("node-0", "wk-2").jobStatus());
+    w.stateService.outage(true);
+    w.advance(3);
+    SimulatedCluster.ApiResponse response = w.submit("node-0", SimulatedCluster.job("wk-3", 1, 1));
     assertEquals(503, response.status());
     assertTrue(response.retryAfterS() > 0);
     assertEquals(503, w.poll("node-0", "wk-1").status());
-    assertEquals("done", w.poll("node-0", "wk-2").state(), "a final status never changes");
-    w.pass(3 * World.LEASE_S);
+    assertEquals("done", w.poll("node-0", "wk-2").jobStatus(), "a final status never changes");
+    w.advance(3 * SimulatedCluster.LEASE_S);
     assertEquals(List.of("wk-1/0"), m.running(), "the lease is renewed during the outage");
-    w.state.outage(false);
-    w.pass(4);
+    w.stateService.outage(false);
+    w.advance(4);
     m.exit("wk-1/0", "done");
-    w.pass(3);
-    assertEquals("done", w.poll("node-1", "wk-1").state());
+    w.advance(3);
+    assertEquals("done", w.poll("node-1", "wk-1").jobStatus());
   }
 
   /**
@@ -503,35 +505,35 @@
    */
   @Test
   void controllerRefusedByTheStateServiceReportsUnhealthy() {
-    World w = new World(3);
-    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
-    w.start().pass(2);
-    w.submit("node-0", World.job("wk-1", 2, 1));
-    w.pass(1);
+    SimulatedCluster w = new SimulatedCluster(3);
+    FakeWorker m = w.addMachine("host-1", "small", "a", "node-0");
+    w.start().advance(2);
+    w.submit("node-0", SimulatedCluster.job("wk-1", 2, 1));
+    w.advance(1);
     assertEquals(2, m.running().size());
-    w.refusedByState.add("node-0");
-    w.pass(3);
-    assertEquals(503, w.ask("node-0", "GET", "/up", new byte[0]).status());
-    assertEquals(200, w.ask("node-1", "GET", "/up", new byte[0]).status());
-    w.pass(10);
+    w.refusedByStateService.add("node-0");
+    w.advance(3);
+    assertEquals(503, w.request("node-0", "GET", "/up", new byte[0]).status());
+    assertEquals(200, w.request("node-1", "GET", "/up", new byte[0]).status());
+    w.advance(10);
     m.exit("wk-1/0", "done");
     m.exit("wk-1/1", "done");
-    w.pass(4);
+    w.advance(4);
     assertEquals(
-        "done", w.poll("node-1", "wk-1").state(), "another controller has claimed the job");
-    assertEquals(201, w.submit("node-2", World.job("wk-2", 1, 1)).status());
-    w.pass(3);
+        "done", w.poll("node-1", "wk-1").jobStatus(), "another controller has claimed the job");
+    assertEquals(201, w.submit("node-2", SimulatedCluster.job("wk-2", 1, 1)).status());
+    w.advance(3);
     assertEquals(
         List.of("wk-2/0"),
         m.running(),
         "the refused controller still allocates room on its machines");
-    w.refusedByState.clear();
-    w.pass(8);
-    assertEquals(200, w.ask("node-0", "GET", "/up", new byte[0]).status());
+    w.refusedByStateService.clear();
+    w.advance(8);
+    assertEquals(200, w.request("node-0", "GET", "/up", new byte[0]).status());
     assertEquals(List.of("wk-2/0"), m.running());
-    w.state.outage(true);
-    w.pass(3);
-    assertEquals(200, w.ask("node-0", "GET", "/up", new byte[0]).status());
+    w.stateService.outage(true);
+    w.advance(3);
+    assertEquals(200, w.request("node-0", "GET", "/up", new byte[0]).status());
   }
 
   /**
@@ -540,19 +542,19 @@
    */
   @Test
   void delayedTransactionDoesNotCreateTheJobTwice() {
-    World w = new World(2);
-    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
-    w.start().pass(2);
-    w.heldBack = (from, to) -> to.equals("10.2.0.1:1") && from.equals("node-0");
-    World.Said response = w.submit("node-0", World.job("wk-1", 1, 1));
+    SimulatedCluster w = new SimulatedCluster(2);
+    FakeWorker m = w.addMachine("host-1", "small", "a", "node-0");
+    w.start().advance(2);
+    w.holdRequest = (from, to) -> to.equals("10.2.0.1:1") && from.equals("node-0");
+    SimulatedCluster.ApiResponse response = w.submit("node-0", SimulatedCluster.job("wk-1", 1, 1));
     assertEquals(
         503, response.status(), "the job is not accepted before its record is known to be written");
-    w.heldBack = (from, to) -> false;
-    assertEquals(201, w.submit("node-1", World.job("wk-1", 1, 1)).status());
+    w.holdRequest = (from, to) -> false;
+    assertEquals(201, w.submit("node-1", SimulatedCluster.job("wk-1", 1, 1)).status());
     w.deliverHeld();
-    w.pass(12);
+    w.advance(12);
     assertEquals(List.of("wk-1/0"), m.running());
-    assertEquals(List.of(), w.overlaps);
+    assertEquals(List.of(), w.overlappingRuns);
   }
 
   /**
@@ -561,18 +563,18 @@
    */
   @Test
   void hugeJobStaysWithinStateServiceLimits() {
-    World w = new World(2);
-    w.machine("host-1", "large", "a", "node-0");
-    w.start().pass(2);
-    assertEquals(201, w.submit("node-0", World.job("wk-1", 100_000, 0.001)).status());
-    w.pass(20);
-    assertFalse(w.state.keys("t/wk-1/").isEmpty());
-    for (String key : w.state.keys("t/wk-1/")) {
-      assertTrue(w.state.value(key).encode().length < 16 * 1024);
+    SimulatedCluster w = new SimulatedCluster(2);
+    w.addMachine("host-1", "large", "a", "node-0");
+    w.start().advance(2);
+    assertEquals(201, w.submit("node-0", SimulatedCluster.job("wk-1", 100_000, 0.001)).status());
+    w.advance(20);
+    assertFalse(w.stateService.keys("t/wk-1/").isEmpty());
+    for (String key : w.stateService.keys("t/wk-1/")) {
+      assertTrue(w.stateService.value(key).encode().length < 16 * 1024);
     }
-    assertEquals("cancelled", w.cancel("node-1", "wk-1").state());
-    w.pass(60);
-    assertEquals(List.of(), w.state.keys("t/"));
+    assertEquals("cancelled", w.cancel("node-1", "wk-1").jobStatus());
+    w.advance(60);
+    assertEquals(List.of(), w.stateService.keys("t/"));
   }
 
   /**
@@ -581,42 +583,42 @@
    */
   @Test
   void failuresAreAttributedToTheMachineOrToTheJob() {
-    World w = new World(2);
-    FakeWorker bad = w.machine("host-1", "large", "a", "node-0");
-    w.start().pass(2);
+    SimulatedCluster w = new SimulatedCluster(2);
+    FakeWorker bad = w.addMachine("host-1", "large", "a", "node-0");
+    w.start().advance(2);
     // Two jobs fail on the only machine, both at first and when they are retried.
     for (String id : List.of("wk-1", "wk-2")) {
-      w.submit("node-0", World.job(id, 1, 1));
+      w.submit("node-0", SimulatedCluster.job(id, 1, 1));
     }
     for (int i = 0; i < 80; i++) {
-      w.pass(1);
+      w.advance(1);
       bad.running().forEach(t -> bad.exit(t, "error"));
     }
     assertTrue(w.cloud.deleted("host-1"));
 
     // With a second machine on which the same jobs succeed, the fault is attributed at once.
-    World u = new World(2);
-    FakeWorker faulty = u.machine("host-1", "large", "a", "node-0");
-    FakeWorker good = u.machine("host-2", "small", "a", "node-1");
-    u.start().pass(2);
+    SimulatedCluster u = new SimulatedCluster(2);
+    FakeWorker faulty = u.addMachine("host-1", "large", "a", "node-0");
+    FakeWorker good = u.addMachine("host-2", "small", "a", "node-1");
+    u.start().advance(2);
     for (int i = 0; i < 20; i++) {
       if (i % 3 == 0) {
-        u.submit("node-0", World.job("wk-" + i, 5, 1));
+        u.submit("node-0", SimulatedCluster.job("wk-" + i, 5, 1));
       }
-      u.pass(1);
+      u.advance(1);
       faulty.running().forEach(t -> faulty.exit(t, "error"));
       good.running().forEach(t -> good.exit(t, "done"));
     }
     assertTrue(u.cloud.deleted("host-1"));
     assertFalse(u.cloud.deleted("host-2"));
 
-    World v = new World(2);
-    FakeWorker a = v.machine("host-1", "large", "a", "node-0");
-    FakeWorker b = v.machine("host-2", "large", "a", "node-1");
-    v.start().pass(2);
-    v.submit("node-0", World.job("wk-1", 8, 1));
+    SimulatedCluster v = new SimulatedCluster(2);
+    FakeWorker a = v.addMachine("host-1", "large", "a", "node-0");
+    FakeWorker b = v.addMachine("host-2", "large", "a", "node-1");
+    v.start().advance(2);
+    v.submit("node-0", SimulatedCluster.job("wk-1", 8, 1));
     for (int i = 0; i < 60; i++) {
-      v.pass(1);
+      v.advance(1);
       for (FakeWorker m : List.of(a, b)) {
         m.running().forEach(t -> m.exit(t, "error"));
       }
@@ -624,8 +626,8 @@
     assertFalse(v.cloud.deleted("host-1") || v.cloud.deleted("host-2"));
     assertTrue(
         a.starts().size() + b.starts().size() < 40, "retries of the failing job are limited");
-    v.submit("node-1", World.job("wk-2", 1, 1));
-    v.pass(3);
+    v.submit("node-1", SimulatedCluster.job("wk-2", 1, 1));
+    v.advance(3);
     assertEquals(
         1,
         a.running().stream().filter(t -> t.startsWith("wk-2")).count()
@@ -638,15 +640,15 @@
    */
   @Test
   void rentingRequestWithoutAResponseIsRetriedUnderTheSameName() {
-    World w = new World(2);
+    SimulatedCluster w = new SimulatedCluster(2);
     w.cloud.capacity(5);
-    w.start().pass(2);
+    w.start().advance(2);
     boolean[] dropping = {true};
-    w.unanswered = (from, to) -> to.equals("10.2.0.2:1") && dropping[0];
-    w.submit("node-0", World.job("wk-1", 1, 1));
-    w.pass(9);
+    w.dropResponse = (from, to) -> to.equals("10.2.0.2:1") && dropping[0];
+    w.submit("node-0", SimulatedCluster.job("wk-1", 1, 1));
+    w.advance(9);
     dropping[0] = false;
-    w.pass(9);
+    w.advance(9);
     assertEquals(1, w.cloud.hostsByRequest().size());
     assertEquals(1, w.cloud.hostsByRequest().values().iterator().next().size());
   }
@@ -657,19 +659,19 @@
    */
   @Test
   void deletingAnUnreachableMachineProvesThatItsTasksEnded() {
-    World w = new World(2);
-    FakeWorker a = w.machine("host-1", "small", "a", "node-0");
-    w.start().pass(2);
-    w.submit("node-1", World.job("wk-1", 1, 1));
-    w.pass(1);
+    SimulatedCluster w = new SimulatedCluster(2);
+    FakeWorker a = w.addMachine("host-1", "small", "a", "node-0");
+    w.start().advance(2);
+    w.submit("node-1", SimulatedCluster.job("wk-1", 1, 1));
+    w.advance(1);
     assertEquals(1, a.running().size());
     // Machine and holder fail together, so that no controller knows when the lease expired.
-    w.silent.add("host-1");
+    w.isolatedHosts.add("host-1");
     w.nodes.get("node-0").crash();
-    w.pass(60);
+    w.advance(60);
     assertTrue(w.cloud.deleted("host-1"));
-    FakeWorker b = w.machine("host-2", "small", "a", "node-1");
-    w.pass(5);
+    FakeWorker b = w.addMachine("host-2", "small", "a", "node-1");
+    w.advance(5);
     assertEquals(List.of("wk-1/0"), b.running());
   }
 
@@ -680,25 +682,25 @@
    */
   @Test
   void reclaimNoticeMovesTasksThatCannotFinishInTime() {
-    World w = new World(2);
-    FakeWorker a = w.machine("host-1", "small", "a", "node-0");
-    w.start().pass(2);
-    w.submit("node-0", World.job("wk-1", 1, 1).put("expect_s", 60.0));
-    w.submit("node-0", World.job("wk-2", 1, 1).put("expect_s", 9.0));
-    w.pass(5);
+    SimulatedCluster w = new SimulatedCluster(2);
+    FakeWorker a = w.addMachine("host-1", "small", "a", "node-0");
+    w.start().advance(2);
+    w.submit("node-0", SimulatedCluster.job("wk-1", 1, 1).put("expect_s", 60.0));
+    w.submit("node-0", SimulatedCluster.job("wk-2", 1, 1).put("expect_s", 9.0));
+    w.advance(5);
     assertEquals(2, a.running().size());
-    FakeWorker b = w.machine("host-2", "small", "a", "node-1");
-    w.pass(1);
+    FakeWorker b = w.addMachine("host-2", "small", "a", "node-1");
+    w.advance(1);
     a.setReclaimNotice(6);
-    w.pass(2);
+    w.advance(2);
     assertEquals(List.of("wk-1/0"), b.running());
     assertEquals(
         List.of("wk-2/0"), a.running(), "the task can finish before the machine is reclaimed");
     a.setReclaimNotice(1);
-    w.pass(2);
+    w.advance(2);
     assertEquals(List.of(), a.running(), "no task is left on the machine when it is reclaimed");
     assertEquals(Set.of("wk-1/0", "wk-2/0"), new HashSet<>(b.running()));
-    assertEquals(List.of(), w.overlaps);
+    assertEquals(List.of(), w.overlappingRuns);
   }
 
   /**
@@ -707,18 +709,18 @@
    */
   @Test
   void tasksAreReplacedWhenAMachineIsReclaimedAfterItsTokenRise() {
-    World w = new World(1);
-    w.machine("host-1", "small", "a", "node-0");
-    w.start().pass(2);
-    w.unanswered = (from, to) -> to.equals("host-1:9");
-    assertEquals(201, w.submit("node-0", World.job("wk-1", 1, 1)).status());
-    for (int i = 0; i < 200 && w.state.value("w/h/host-1") == null; i++) {
-      w.pass(0.05);
+    SimulatedCluster w = new SimulatedCluster(1);
+    w.addMachine("host-1", "small", "a", "node-0");
+    w.start().advance(2);
+    w.dropResponse = (from, to) -> to.equals("host-1:9");
+    assertEquals(201, w.submit("node-0", SimulatedCluster.job("wk-1", 1, 1)).status());
+    for (int i = 0; i < 200 && w.stateService.value("w/h/host-1") == null; i++) {
+      w.advance(0.05);
     }
-    w.silent.add("host-1");
+    w.isolatedHosts.add("host-1");
     w.cloud.reclaim("host-1");
-    FakeWorker b = w.machine("host-2", "small", "a", "node-0");
-    w.pass(World.LEASE_S + 4);
+    FakeWorker b = w.addMachine("host-2", "small", "a", "node-0");
+    w.advance(SimulatedCluster.LEASE_S + 4);
     assertEquals(List.of("wk-1/0"), b.running());
   }
 
@@ -728,23 +730,23 @@
    */
   @Test
   void tasksAreReplacedWhenAMachineWithoutHolderIsReclaimed() {
-    World w = new World(2);
-    FakeWorker a = w.machine("host-1", "small", "a", "node-0");
-    w.start().pass(2);
-    w.submit("node-1", World.job("wk-1", 1, 1));
-    w.pass(1);
+    SimulatedCluster w = new SimulatedCluster(2);
+    FakeWorker a = w.addMachine("host-1", "small", "a", "node-0");
+    w.start().advance(2);
+    w.submit("node-1", SimulatedCluster.job("wk-1", 1, 1));
+    w.advance(1);
     assertEquals(1, a.running().size());
     // All controllers crash, and the cloud reclaims the machine before any restarts: the machine is
     // not listed, and no holder knows when its lease expired.
-    w.nodes.values().forEach(World.Node::crash);
-    w.silent.add("host-1");
+    w.nodes.values().forEach(SimulatedCluster.Node::crash);
+    w.isolatedHosts.add("host-1");
     w.cloud.reclaim("host-1");
-    w.pass(2);
-    w.nodes.values().forEach(World.Node::start);
-    FakeWorker b = w.machine("host-2", "small", "a", "node-1");
-    w.pass(World.LEASE_S + 3);
+    w.advance(2);
+    w.nodes.values().forEach(SimulatedCluster.Node::start);
+    FakeWorker b = w.addMachine("host-2", "small", "a", "node-1");
+    w.advance(SimulatedCluster.LEASE_S + 3);
     assertEquals(List.of(), b.running(), "the end of the task is not proven yet");
-    w.pass(40);
+    w.advance(40);
     assertEquals(List.of("wk-1/0"), b.running());
   }
 
@@ -754,16 +756,17 @@
    */
   @Test
   void zoneConstraintsOfAJobAreHonored() {
-    World w = new World(2);
-    FakeWorker a = w.machine("host-1", "large", "a", "node-0");
-    FakeWorker b = w.machine("host-2", "large", "b", "node-1");
-    w.start().pass(2);
-    w.submit("node-0", World.job("wk-1", 5, 1).put("shape", "daemon").put("apart", true));
-    w.pass(6);
+    SimulatedCluster w = new SimulatedCluster(2);
+    FakeWorker a = w.addMachine("host-1", "large", "a", "node-0");
+    FakeWorker b = w.addMachine("host-2", "large", "b", "node-1");
+    w.start().advance(2);
+    w.submit(
+        "node-0", SimulatedCluster.job("wk-1", 5, 1).put("shape", "daemon").put("apart", true));
+    w.advance(6);
     assertEquals(5, a.running().size() + b.running().size());
     assertTrue(a.running().size() <= 3 && b.running().size() <= 3);
-    w.submit("node-0", World.job("wk-2", 4, 1).put("same_place", true));
-    w.pass(6);
+    w.submit("node-0", SimulatedCluster.job("wk-2", 4, 1).put("same_place", true));
+    w.advance(6);
     long inA = a.running().stream().filter(t -> t.startsWith("wk-2")).count();
     assertTrue(inA == 4 || inA == 0);
   }
@@ -774,24 +777,25 @@
    */
   @Test
   void spreadTasksWaitForTheirZoneWithoutBlockingOtherJobs() {
-    World w = new World(2);
-    FakeWorker a = w.machine("host-1", "large", "a", "node-0");
-    w.machine("host-2", "large", "b", "node-1");
-    w.start().pass(2);
-    w.submit("node-0", World.job("wk-1", 4, 1).put("shape", "daemon").put("apart", true));
-    w.pass(3);
+    SimulatedCluster w = new SimulatedCluster(2);
+    FakeWorker a = w.addMachine("host-1", "large", "a", "node-0");
+    w.addMachine("host-2", "large", "b", "node-1");
+    w.start().advance(2);
+    w.submit(
+        "node-0", SimulatedCluster.job("wk-1", 4, 1).put("shape", "daemon").put("apart", true));
+    w.advance(3);
     assertEquals(2, a.running().size());
-    w.silent.add("host-2");
+    w.isolatedHosts.add("host-2");
     w.cloud.reclaim("host-2");
-    w.pass(World.LEASE_S + 4);
-    w.submit("node-1", World.job("wk-2", 2, 1));
-    w.pass(4);
+    w.advance(SimulatedCluster.LEASE_S + 4);
+    w.submit("node-1", SimulatedCluster.job("wk-2", 2, 1));
+    w.advance(4);
     assertEquals(2, a.running().stream().filter(t -> t.startsWith("wk-1")).count());
     assertEquals(2, a.running().stream().filter(t -> t.startsWith("wk-2")).count());
-    FakeWorker c = w.machine("host-3", "large", "b", "node-0");
-    w.pass(6);
+    FakeWorker c = w.addMachine("host-3", "large", "b", "node-0");
+    w.advance(6);
     assertEquals(2, c.running().stream().filter(t -> t.startsWith("wk-1")).count());
-    assertEquals(List.of(), w.overlaps);
+    assertEquals(List.of(), w.overlappingRuns);
   }
 
   /**
@@ -800,30 +804,32 @@
    */
   @Test
   void partlyFilledRentingRequestIsCompletedLater() {
-    World w = new World(2);
+    SimulatedCluster w = new SimulatedCluster(2);
     w.cloud.capacity(1);
-    w.start().pass(2);
-    w.submit("node-0", World.job("wk-1", 3, 4));
-    w.pass(8);
-    assertEquals(1, w.hired());
+    w.start().advance(2);
+    w.submit("node-0", SimulatedCluster.job("wk-1", 3, 4));
+    w.advance(8);
+    assertEquals(1, w.rentedCount());
     w.cloud.capacity(10);
-    w.pass(14);
-    assertEquals(3, w.hired(), "exactly the machines that are needed");
+    w.advance(14);
+    assertEquals(3, w.rentedCount(), "exactly the machines that are needed");
   }
 
   /** Requests that can never succeed get a 4xx status, so that clients don't retry them. */
   @Test
   void malformedAndUnsatisfiableRequestsAreRejected() {
-    World w = new World(1);
-    w.start().pass(2);
-    assertEquals(400, w.ask("node-0", "POST", "/v1/jobs", new byte[] {1, 2, 3}).status());
-    assertEquals(400, w.submit("node-0", World.job("nonsense", 1, 1)).status());
-    assertEquals(400, w.submit("node-0", World.job("wk-1", 0, 1)).status());
-    assertEquals(400, w.submit("node-0", World.job("wk-1", 1, 1).put("shape", "choir")).status());
-    assertEquals(422, w.submit("node-0", World.job("wk-1", 1, 1).put("owner", "x")).status());
-    assertEquals(422, w.submit("node-0", World.job("wk-1", 1, 99)).status());
+    SimulatedCluster w = new SimulatedCluster(1);
+    w.start().advance(2);
+    assertEquals(400, w.request("node-0", "POST", "/v1/jobs", new byte[] {1, 2, 3}).status());
+    assertEquals(400, w.submit("node-0", SimulatedCluster.job("nonsense", 1, 1)).status());
+    assertEquals(400, w.submit("node-0", SimulatedCluster.job("wk-1", 0, 1)).status());
+    assertEquals(
+        400, w.submit("node-0", SimulatedCluster.job("wk-1", 1, 1).put("shape", "choir")).status());
+    assertEquals(
+        422, w.submit("node-0", SimulatedCluster.job("wk-1", 1, 1).put("owner", "x")).status());
+    assertEquals(422, w.submit("node-0", SimulatedCluster.job("wk-1", 1, 99)).status());
     assertEquals(404, w.poll("node-0", "wk-1").status());
-    assertEquals(404, w.ask("node-0", "GET", "/v2", new byte[0]).status());
-    assertEquals(405, w.ask("node-0", "DELETE", "/v1/jobs/wk-1", new byte[0]).status());
+    assertEquals(404, w.request("node-0", "GET", "/v2", new byte[0]).status());
+    assertEquals(405, w.request("node-0", "DELETE", "/v1/jobs/wk-1", new byte[0]).status());
   }
 }
--- a/src/test/java/dev/dunefront/story/CombinedFaultsTest.java
+++ b/src/test/java/dev/dunefront/story/CombinedFaultsTest.java
@@ -62,54 +62,56 @@
     REPEATED_CONTROLLER_CRASHES
   }
 
-  private static void injectFault(World w, Fault fault, Random random) {
+  private static void injectFault(SimulatedCluster w, Fault fault, Random random) {
     String node = "node-" + random.nextInt(5);
     double forS = 1 + random.nextInt(24);
     switch (fault) {
       case ZONE_PARTITION, WORKERS_RESTART, MACHINES_STOP, MACHINES_HANG, MACHINES_CANNOT_SEND ->
           injectMachineFault(w, fault, random, forS);
       case LOST_RESPONSES -> {
-        World.Fates before = w.fates;
-        w.fates =
+        SimulatedCluster.DeliveryPolicy before = w.deliveryPolicy;
+        w.deliveryPolicy =
             (from, path, body) ->
                 path.equals("/txn") && random.nextInt(8) == 0
-                    ? World.Fate.UNANSWERED
-                    : before.of(from, path, body);
-        w.timers.after(forS, () -> w.fates = (from, path, body) -> World.Fate.ON_TIME);
+                    ? SimulatedCluster.Delivery.RESPONSE_DROPPED
+                    : before.choose(from, path, body);
+        w.clock.after(
+            forS, () -> w.deliveryPolicy = (from, path, body) -> SimulatedCluster.Delivery.ON_TIME);
       }
       case OLD_REPORTS_AFTER_RESTART -> {
-        w.keptForNext = to -> random.nextInt(3) == 0;
-        w.timers.after(forS, () -> w.keptForNext = to -> false);
-        w.timers.after(forS * random.nextDouble(), () -> crash(w, node, random.nextInt(80) / 10.0));
+        w.replayReportsAtNextStart = to -> random.nextInt(3) == 0;
+        w.clock.after(forS, () -> w.replayReportsAtNextStart = to -> false);
+        w.clock.after(forS * random.nextDouble(), () -> crash(w, node, random.nextInt(80) / 10.0));
       }
       case REPEATED_CONTROLLER_CRASHES -> {
         for (int i = 0; i < 10; i++) {
           String next = "node-" + random.nextInt(5);
-          w.timers.after(i * 1.2, () -> crash(w, next, 0.05 + random.nextInt(20) / 10.0));
+          w.clock.after(i * 1.2, () -> crash(w, next, 0.05 + random.nextInt(20) / 10.0));
         }
       }
       case DELAYED_WRITES -> {
-        World.Fates before = w.fates;
-        w.lateS = 2 + random.nextInt(30);
-        w.fates =
+        SimulatedCluster.DeliveryPolicy before = w.deliveryPolicy;
+        w.deliveryDelayS = 2 + random.nextInt(30);
+        w.deliveryPolicy =
             (from, path, body) ->
                 path.equals("/txn") && random.nextInt(12) == 0
-                    ? World.Fate.LATE
-                    : before.of(from, path, body);
-        w.timers.after(forS, () -> w.fates = (from, path, body) -> World.Fate.ON_TIME);
+                    ? SimulatedCluster.Delivery.DELAYED
+                    : before.choose(from, path, body);
+        w.clock.after(
+            forS, () -> w.deliveryPolicy = (from, path, body) -> SimulatedCluster.Delivery.ON_TIME);
       }
       case REFUSED_THEN_OUTAGE -> {
-        w.refusedByState.add(node);
+        w.refusedByStateService.add(node);
         double refusedAloneS = 0.3 + random.nextInt(60) / 10.0;
-        w.timers.after(refusedAloneS, () -> w.state.outage(true));
-        w.timers.after(refusedAloneS + forS, () -> w.state.outage(false));
-        w.timers.after(
-            refusedAloneS + forS + random.nextInt(3), () -> w.refusedByState.remove(node));
+        w.clock.after(refusedAloneS, () -> w.stateService.outage(true));
+        w.clock.after(refusedAloneS + forS, () -> w.stateService.outage(false));
+        w.clock.after(
+            refusedAloneS + forS + random.nextInt(3), () -> w.refusedByStateService.remove(node));
       }
       case GRACEFUL_RESTART -> {
-        World.Node n = w.nodes.get(node);
+        SimulatedCluster.Node n = w.nodes.get(node);
         if (n.up()) {
-          n.end();
+          n.shutDown();
           startAfter(w, n, 0.6 + random.nextInt(40) / 10.0);
         }
       }
@@ -121,35 +123,35 @@
       case CONTROLLER_LINK_DOWN -> cutControllerLink(w, node, "node-" + random.nextInt(5), forS);
       case SLOW_STATE_SERVICE -> {
         double worstS = 0.2 + random.nextInt(40) / 10.0;
-        w.stateSlowS = () -> random.nextDouble() * worstS;
-        w.timers.after(forS, () -> w.stateSlowS = () -> 0);
+        w.stateServiceDelayS = () -> random.nextDouble() * worstS;
+        w.clock.after(forS, () -> w.stateServiceDelayS = () -> 0);
       }
       case DELAYED_REPORT_COPIES -> {
-        w.copiesAfterS = List.of(0.5 + random.nextInt(30), World.LEASE_S * 2);
-        w.timers.after(forS, () -> w.copiesAfterS = List.of());
+        w.duplicateReportDelaysS = List.of(0.5 + random.nextInt(30), SimulatedCluster.LEASE_S * 2);
+        w.clock.after(forS, () -> w.duplicateReportDelaysS = List.of());
       }
       case CONTROLLER_ISOLATED -> {
-        dropMessages(w, World.withoutPeersAndState(node), forS);
-        w.unanswered = (from, to) -> from.equals(node) && to.equals(STATE_SERVICE);
-        w.timers.after(5, () -> w.linksSilent(node));
-        w.timers.after(
+        dropMessages(w, SimulatedCluster.isolatedFromPeersAndState(node), forS);
+        w.dropResponse = (from, to) -> from.equals(node) && to.equals(STATE_SERVICE);
+        w.clock.after(5, () -> w.timeOutLinks(node));
+        w.clock.after(
             forS,
             () -> {
-              w.unanswered = (from, to) -> false;
-              w.linksBack(node);
+              w.dropResponse = (from, to) -> false;
+              w.reconnectLinks(node);
             });
       }
       case CRASH_WITH_SILENT_MACHINES -> {
         for (int i = 0; i < 5; i++) {
           String host = "host-" + random.nextInt(10);
-          w.silent.add(host);
-          w.timers.after(forS, () -> w.silent.remove(host));
+          w.isolatedHosts.add(host);
+          w.clock.after(forS, () -> w.isolatedHosts.remove(host));
         }
         crash(w, node, 0.05 + random.nextInt(100) / 20.0);
       }
       case DELAYED_COMMANDS -> {
         w.heldPath = "/orders";
-        w.timers.after(
+        w.clock.after(
             forS,
             () -> {
               w.heldPath = null;
@@ -159,34 +161,36 @@
       case MACHINES_CANNOT_RECEIVE -> {
         for (int i = 0; i < 4; i++) {
           String host = "host-" + random.nextInt(10);
-          w.deaf.add(host);
-          w.timers.after(forS, () -> w.deaf.remove(host));
+          w.inboundBlockedHosts.add(host);
+          w.clock.after(forS, () -> w.inboundBlockedHosts.remove(host));
         }
       }
       case ALL_CONTROLLERS_CRASH ->
           w.nodes.keySet().forEach(n -> crash(w, n, 0.05 + random.nextInt(120) / 20.0));
       case PROCESS_PAUSE -> {
         if (w.nodes.get(node).up()) {
-          w.nodes.get(node).standStill(forS);
+          w.nodes.get(node).pause(forS);
         }
       }
       case STATE_SERVICE_REFUSES_CONTROLLER -> {
-        w.refusedByState.add(node);
-        w.timers.after(forS, () -> w.refusedByState.remove(node));
+        w.refusedByStateService.add(node);
+        w.clock.after(forS, () -> w.refusedByStateService.remove(node));
       }
       case LOST_COMMANDS -> {
-        World.Fates before = w.fates;
-        w.fates =
+        SimulatedCluster.DeliveryPolicy before = w.deliveryPolicy;
+        w.deliveryPolicy =
             (from, path, body) ->
                 path.equals("/orders") && random.nextInt(3) == 0
-                    ? World.Fate.values()[1 + random.nextInt(3)]
-                    : before.of(from, path, body);
-        w.timers.after(forS, () -> w.fates = (from, path, body) -> World.Fate.ON_TIME);
+                    ? SimulatedCluster.Delivery.values()[1 + random.nextInt(3)]
+                    : before.choose(from, path, body);
+        w.clock.after(
+            forS, () -> w.deliveryPolicy = (from, path, body) -> SimulatedCluster.Delivery.ON_TIME);
       }
     }
   }
 
-  private static void injectMachineFault(World w, Fault fault, Random random, double forS) {
+  private static void injectMachineFault(
+      SimulatedCluster w, Fault fault, Random random, double forS) {
     String host = "host-" + random.nextInt(10);
     if (fault == Fault.MACHINES_HANG) {
       for (int i = 0; i < 4; i++) {
@@ -204,8 +208,8 @@
       return;
     }
     if (fault == Fault.ZONE_PARTITION) {
-      w.cut("b");
-      w.timers.after(forS, w::heal);
+      w.partitionZone("b");
+      w.clock.after(forS, w::healPartition);
       return;
     }
     for (int i = 0; i < 3; i++) {
@@ -215,39 +219,41 @@
       } else if (m != null && !KEPT_MACHINES.contains(m.host())) {
         // The machine stops with all its tasks, and no report announces it.
         m.newSession();
-        w.silent.add(m.host());
-        w.timers.after(LISTED_AS_FAILED_AFTER_S, () -> w.cloud.markFailed(m.host()));
+        w.isolatedHosts.add(m.host());
+        w.clock.after(LISTED_AS_FAILED_AFTER_S, () -> w.cloud.markFailed(m.host()));
       }
     }
-    w.silent.remove(host);
+    w.isolatedHosts.remove(host);
   }
 
   /**
    * Blocks the link between two controllers, as a packet filter would; all other controllers reach
    * both.
    */
-  private static void cutControllerLink(World w, String first, String second, double forS) {
+  private static void cutControllerLink(
+      SimulatedCluster w, String first, String second, double forS) {
     dropMessages(
         w,
         (from, to) ->
             from.equals(first) && to.equals(second) || from.equals(second) && to.equals(first),
         forS);
-    w.timers.after(5, () -> w.linksSilent(first));
-    w.timers.after(forS, () -> w.linksBack(first));
+    w.clock.after(5, () -> w.timeOutLinks(first));
+    w.clock.after(forS, () -> w.reconnectLinks(first));
   }
 
   /** Drops further messages for a while. When that ends, all other message loss ends as well. */
-  private static void dropMessages(World w, BiPredicate<String, String> lost, double forS) {
-    w.lost = w.lost.or(lost);
-    w.timers.after(forS, () -> w.lost = (from, to) -> false);
+  private static void dropMessages(
+      SimulatedCluster w, BiPredicate<String, String> lost, double forS) {
+    w.dropDelivery = w.dropDelivery.or(lost);
+    w.clock.after(forS, () -> w.dropDelivery = (from, to) -> false);
   }
 
   private static boolean isWorker(String address) {
     return address.endsWith(":9");
   }
 
-  private static void crash(World w, String node, double restartAfterS) {
-    World.Node n = w.nodes.get(node);
+  private static void crash(SimulatedCluster w, String node, double restartAfterS) {
+    SimulatedCluster.Node n = w.nodes.get(node);
     if (n.up()) {
       n.crash();
       startAfter(w, n, restartAfterS);
@@ -255,8 +261,8 @@
   }
 
   /** Starts the controller after a delay unless it is already up. */
-  private static void startAfter(World w, World.Node n, double afterS) {
-    w.timers.after(
+  private static void startAfter(SimulatedCluster w, SimulatedCluster.Node n, double afterS) {
+    w.clock.after(
         afterS,
         () -> {
           if (!n.up()) {
@@ -266,7 +272,7 @@
   }
 
   /** Finishes the first task of some machines, so that tasks end one at a time. */
-  private static void finishSomeTasks(World w, Random random) {
+  private static void finishSomeTasks(SimulatedCluster w, Random random) {
     for (FakeWorker m : w.workers.values()) {
       if (random.nextInt(4) == 0) {
         m.running().stream().limit(1).forEach(t -> m.exit(t, "done"));
@@ -274,9 +280,9 @@
     }
   }
 
-  private static void submit(World w, int n, int node, Random random) {
+  private static void submit(SimulatedCluster w, int n, int node, Random random) {
     int cpus = 1 + random.nextInt(2);
-    Document job = World.job("wk-" + n, 1 + random.nextInt(6), cpus);
+    Document job = SimulatedCluster.job("wk-" + n, 1 + random.nextInt(6), cpus);
     if (random.nextInt(5) == 0) {
       job.put("shape", "daemon");
     }
@@ -289,57 +295,58 @@
     }
     if (random.nextInt(4) == 0) {
       // The submission is sent twice and the status is polled at all controllers meanwhile.
-      new Crowd(w).submit(job, node);
+      new RedundantClients(w).submit(job, node);
     } else {
-      w.user("POST", "/v1/jobs", job, "wk-" + n, node, 40);
+      w.requestWithRetries("POST", "/v1/jobs", job, "wk-" + n, node, 40);
     }
   }
 
-  private static World simulate(List<Fault> faults, int seed) {
+  private static SimulatedCluster simulate(List<Fault> faults, int seed) {
     return simulate(faults, seed, key -> false);
   }
 
-  private static World simulate(
+  private static SimulatedCluster simulate(
       List<Fault> faults, int seed, Predicate<String> preconditionIgnored) {
     Random random = new Random(seed);
-    World w = World.limited(List.of("a", "a", "a", "b", "b"), TEAM_CPU_LIMIT);
-    w.unconditional = preconditionIgnored;
+    SimulatedCluster w =
+        SimulatedCluster.withTeamLimit(List.of("a", "a", "a", "b", "b"), TEAM_CPU_LIMIT);
+    w.ignoreConditionOn = preconditionIgnored;
     if (random.nextBoolean()) {
-      w.renting(random.nextBoolean() ? 3 : 1, 3);
+      w.withRentingDelays(random.nextBoolean() ? 3 : 1, 3);
       w.cloud.capacity(12);
     }
-    w.start().pass(2);
+    w.start().advance(2);
     for (int i = 0; i < 10; i++) {
-      w.machine("host-" + i, i == 3 ? "large" : "small", i < 6 ? "a" : "b", "node-" + i % 5);
+      w.addMachine("host-" + i, i == 3 ? "large" : "small", i < 6 ? "a" : "b", "node-" + i % 5);
     }
-    w.pass(4);
+    w.advance(4);
     int n = 0;
     for (int i = 0; i < 5; i++) {
       submit(w, n++, i, random);
     }
-    w.pass(1.5);
+    w.advance(1.5);
     for (Fault fault : faults) {
       injectFault(w, fault, random);
       for (int i = random.nextInt(5); i >= 0; i--) {
-        w.pass(random.nextInt(40) / 10.0);
+        w.advance(random.nextInt(40) / 10.0);
         submit(w, n++, random.nextInt(5), random);
         String id = "wk-" + random.nextInt(n);
         if (random.nextInt(2) == 0) {
-          new Crowd(w).cancel(id, random.nextInt(5));
+          new RedundantClients(w).cancel(id, random.nextInt(5));
         }
         finishSomeTasks(w, random);
       }
     }
     for (int i = 0; i < 40; i++) {
-      w.pass(1);
+      w.advance(1);
       String id = "wk-" + random.nextInt(n);
-      w.user("GET", "/v1/jobs/" + id, null, id, random.nextInt(5), 1);
+      w.requestWithRetries("GET", "/v1/jobs/" + id, null, id, random.nextInt(5), 1);
       if (i % 4 == 0) {
         finishSomeTasks(w, random);
       }
     }
     // The only large machine may have been returned as silent; allow another to be rented.
-    w.renting(3, 3);
+    w.withRentingDelays(3, 3);
     w.cloud.capacity(6);
     return w;
   }
@@ -348,11 +355,11 @@
   void noInvariantBreaksUnderCombinedFaults(
       @ForAll @Size(min = 1, max = 4) List<Fault> faults,
       @ForAll @IntRange(max = 1_000_000) int seed) {
-    World w = simulate(faults, seed);
+    SimulatedCluster w = simulate(faults, seed);
     if (seed % 4 == 0) {
-      w.rest();
+      w.checkStarvationWhileTasksRun();
     }
-    assertEquals(List.of(), w.dayEnds());
+    assertEquals(List.of(), w.drainAndCheck());
   }
 
   /**
@@ -369,7 +376,7 @@
                 Fault.values()[seed % Fault.values().length],
                 Fault.values()[seed / 3 % Fault.values().length]);
         try {
-          found = !simulate(faults, seed, key -> key.startsWith(ignored)).dayEnds().isEmpty();
+          found = !simulate(faults, seed, key -> key.startsWith(ignored)).drainAndCheck().isEmpty();
         } catch (AssertionError e) {
           found = true;
         }
--- a/src/test/java/dev/dunefront/story/ControllerMembershipTest.java
+++ b/src/test/java/dev/dunefront/story/ControllerMembershipTest.java
@@ -20,57 +20,65 @@
    * Submits jobs and completes tasks for some seconds; requests are sent to any controller that is
    * up.
    */
-  private void runWorkload(World cluster, int seconds) {
+  private void runWorkload(SimulatedCluster cluster, int seconds) {
     for (int s = 0; s < seconds; s++) {
       if (s % 4 == 0) {
-        String node = cluster.nodes.values().stream().filter(World.Node::up).findFirst().get().name;
-        World.Said response = cluster.submit(node, World.job("wk-" + ++submittedJobs, 20, 1));
+        String node =
+            cluster.nodes.values().stream()
+                .filter(SimulatedCluster.Node::up)
+                .findFirst()
+                .get()
+                .name;
+        SimulatedCluster.ApiResponse response =
+            cluster.submit(node, SimulatedCluster.job("wk-" + ++submittedJobs, 20, 1));
         assertTrue(response != null && (response.status() == 201 || response.status() == 503));
       }
-      cluster.pass(1);
+      cluster.advance(1);
       if (s % 6 == 5) {
-        cluster.finishAll();
+        cluster.completeAllTasks();
       }
     }
   }
 
   /** Returns the number of machines that report to each controller. */
-  private static Map<String, Integer> machinesPerController(World cluster) {
+  private static Map<String, Integer> machinesPerController(SimulatedCluster cluster) {
     Map<String, Integer> machineCounts = new HashMap<>();
     cluster
         .workers
         .values()
-        .forEach(m -> machineCounts.merge(cluster.holder(m.host()), 1, Integer::sum));
+        .forEach(m -> machineCounts.merge(cluster.holderOf(m.host()), 1, Integer::sum));
     return machineCounts;
   }
 
-  private static List<String> rosterNodes(World cluster) throws MalformedMessageException {
-    return cluster.state.value("w/roster").texts("nodes").stream().sorted().toList();
+  private static List<String> rosterNodes(SimulatedCluster cluster)
+      throws MalformedMessageException {
+    return cluster.stateService.value("w/roster").texts("nodes").stream().sorted().toList();
   }
 
-  private void finishAllJobs(World cluster) {
+  private void finishAllJobs(SimulatedCluster cluster) {
     for (int s = 0; s < 40; s++) {
-      cluster.pass(1);
-      cluster.finishAll();
+      cluster.advance(1);
+      cluster.completeAllTasks();
     }
-    assertEquals(0, cluster.running());
-    assertEquals(List.of(), cluster.state.keys("w/j/"), "accepted jobs have not ended");
-    assertEquals(List.of(), cluster.overlaps);
+    assertEquals(0, cluster.runningCount());
+    assertEquals(List.of(), cluster.stateService.keys("w/j/"), "accepted jobs have not ended");
+    assertEquals(List.of(), cluster.overlappingRuns);
   }
 
   @Test
   void growsFromThreeToSevenControllersAndShrinksBackUnderLoad() throws MalformedMessageException {
-    World cluster = new World(List.of("a", "b", "a"), World.ONE_TEAM);
-    cluster.start().pass(3);
+    SimulatedCluster cluster =
+        new SimulatedCluster(List.of("a", "b", "a"), SimulatedCluster.ONE_TEAM);
+    cluster.start().advance(3);
     for (int i = 0; i < MACHINES; i++) {
-      cluster.machine("host-" + i, "small", i % 2 == 0 ? "a" : "b", "node-" + i % 3);
+      cluster.addMachine("host-" + i, "small", i % 2 == 0 ? "a" : "b", "node-" + i % 3);
     }
     runWorkload(cluster, 10);
     for (String zone : List.of("b", "a", "b", "a")) {
-      cluster.add(zone);
+      cluster.addController(zone);
     }
     // Restarts one controller after the other with settings that name all seven, or starts it.
-    for (World.Node n : cluster.nodes.values()) {
+    for (SimulatedCluster.Node n : cluster.nodes.values()) {
       if (n.up()) {
         n.crash();
         runWorkload(cluster, 3);
@@ -82,12 +90,12 @@
     assertEquals(7, rosterNodes(cluster).size());
     Map<String, Integer> machineCounts = machinesPerController(cluster);
     assertEquals(7, machineCounts.size(), "not every controller holds machines: " + machineCounts);
-    assertTrue(cluster.state.keys("w/h/").size() < MACHINES, "every machine has a record");
+    assertTrue(cluster.stateService.keys("w/h/").size() < MACHINES, "every machine has a record");
 
     for (int i = 3; i < 7; i++) {
-      cluster.strike("node-" + i);
+      cluster.removeFromSettings("node-" + i);
     }
-    for (World.Node n : List.copyOf(cluster.nodes.values())) {
+    for (SimulatedCluster.Node n : List.copyOf(cluster.nodes.values())) {
       n.crash();
       runWorkload(cluster, 3);
       if (rosterNodes(cluster).indexOf(n.name) < 3 && Integer.parseInt(n.name.substring(5)) < 3) {
@@ -109,51 +117,53 @@
    */
   @Test
   void controllerWithStaleRosterCannotProveTaskEnds() throws MalformedMessageException {
-    World cluster = new World(3);
-    cluster.start().pass(3);
+    SimulatedCluster cluster = new SimulatedCluster(3);
+    cluster.start().advance(3);
     for (int i = 0; i < 120; i++) {
-      cluster.machine("host-" + i, "small", "a", "node-" + i % 3);
+      cluster.addMachine("host-" + i, "small", "a", "node-" + i % 3);
     }
-    cluster.pass(8);
-    assertEquals(201, cluster.submit("node-0", World.job("wk-1", 480, 1)).status());
-    cluster.pass(4);
-    assertEquals(480, cluster.running());
+    cluster.advance(8);
+    assertEquals(201, cluster.submit("node-0", SimulatedCluster.job("wk-1", 480, 1)).status());
+    cluster.advance(4);
+    assertEquals(480, cluster.runningCount());
     List<String> ownHosts =
         cluster.workers.values().stream()
             .map(FakeWorker::host)
-            .filter(host -> cluster.holder(host).equals("node-0"))
+            .filter(host -> cluster.holderOf(host).equals("node-0"))
             .toList();
-    cluster.add("a");
+    cluster.addController("a");
     for (String node : List.of("node-1", "node-2", "node-3")) {
       if (cluster.nodes.get(node).up()) {
         cluster.nodes.get(node).crash();
-        cluster.pass(1);
+        cluster.advance(1);
       }
       cluster.nodes.get(node).start();
-      cluster.pass(6);
+      cluster.advance(6);
     }
-    cluster.fates =
+    cluster.deliveryPolicy =
         (from, path, body) ->
             from.equals("node-0") && path.startsWith("/watch")
-                ? World.Fate.LOST
-                : World.Fate.ON_TIME;
-    cluster.pass(25);
+                ? SimulatedCluster.Delivery.DROPPED
+                : SimulatedCluster.Delivery.ON_TIME;
+    cluster.advance(25);
     assertEquals(4, rosterNodes(cluster).size());
-    cluster.lost = (from, to) -> to.equals("node-0") && from.startsWith("host-");
-    cluster.pass(World.LEASE_S + 6);
+    cluster.dropDelivery = (from, to) -> to.equals("node-0") && from.startsWith("host-");
+    cluster.advance(SimulatedCluster.LEASE_S + 6);
     long moved =
         ownHosts.stream()
             .filter(
-                h -> cluster.holder(h).equals("node-3") && cluster.state.value("w/h/" + h) == null)
+                h ->
+                    cluster.holderOf(h).equals("node-3")
+                        && cluster.stateService.value("w/h/" + h) == null)
             .count();
     assertTrue(moved > 3, moved + " machines are held by the new controller without a record");
     // Room for tasks that would wrongly be placed again.
     for (int i = 120; i < 160; i++) {
-      cluster.machine("host-" + i, "small", "a", "node-" + i % 3);
+      cluster.addMachine("host-" + i, "small", "a", "node-" + i % 3);
     }
-    cluster.pass(15);
-    assertEquals(List.of(), cluster.overlaps);
-    assertEquals(480, cluster.running(), "tasks were lost");
+    cluster.advance(15);
+    assertEquals(List.of(), cluster.overlappingRuns);
+    assertEquals(480, cluster.runningCount(), "tasks were lost");
   }
 
   /**
@@ -163,34 +173,34 @@
   @Test
   void noMachineIsHeldTwiceWhileRosterUpdateIsDelayed() throws MalformedMessageException {
     for (String delayedNode : List.of("node-0", "node-1", "node-2", "node-3")) {
-      World cluster = new World(3);
-      cluster.start().pass(3);
+      SimulatedCluster cluster = new SimulatedCluster(3);
+      cluster.start().advance(3);
       for (int i = 0; i < 20; i++) {
-        cluster.machine("host-" + i, "small", "a", "node-" + i % 3);
+        cluster.addMachine("host-" + i, "small", "a", "node-" + i % 3);
       }
       runWorkload(cluster, 8);
-      cluster.add("a");
-      for (World.Node n : cluster.nodes.values()) {
+      cluster.addController("a");
+      for (SimulatedCluster.Node n : cluster.nodes.values()) {
         if (n.up()) {
           n.crash();
-          cluster.pass(2);
+          cluster.advance(2);
         }
         n.start();
         runWorkload(cluster, 6);
       }
       // Its watches are lost, so it receives no writes; all other messages reach it.
-      cluster.fates =
+      cluster.deliveryPolicy =
           (from, path, body) ->
               from.equals(delayedNode) && path.startsWith("/watch")
-                  ? World.Fate.LOST
-                  : World.Fate.ON_TIME;
+                  ? SimulatedCluster.Delivery.DROPPED
+                  : SimulatedCluster.Delivery.ON_TIME;
       runWorkload(cluster, 40);
-      cluster.fates = (from, path, body) -> World.Fate.ON_TIME;
+      cluster.deliveryPolicy = (from, path, body) -> SimulatedCluster.Delivery.ON_TIME;
       runWorkload(cluster, 20);
       assertEquals(4, rosterNodes(cluster).size(), delayedNode + " receives the roster late");
-      assertEquals(List.of(), cluster.overlaps, delayedNode + " receives the roster late");
+      assertEquals(List.of(), cluster.overlappingRuns, delayedNode + " receives the roster late");
       for (FakeWorker m : cluster.workers.values()) {
-        assertTrue(cluster.nodes.get(cluster.holder(m.host())).up());
+        assertTrue(cluster.nodes.get(cluster.holderOf(m.host())).up());
       }
       finishAllJobs(cluster);
     }
--- a/src/test/java/dev/dunefront/story/ControllerOutageTest.java
+++ b/src/test/java/dev/dunefront/story/ControllerOutageTest.java
@@ -15,23 +15,24 @@
 class ControllerOutageTest {
   private static final String STATE_SERVICE_ADDRESS = "10.2.0.1:1";
 
-  private static World startCluster() {
-    World cluster = World.of(9);
+  private static SimulatedCluster startCluster() {
+    SimulatedCluster cluster = SimulatedCluster.withSmallMachines(9);
     for (int i = 0; i < 6; i++) {
-      assertEquals(201, cluster.submit("node-" + i % 3, World.job("wk-" + i, 5, 1)).status());
+      assertEquals(
+          201, cluster.submit("node-" + i % 3, SimulatedCluster.job("wk-" + i, 5, 1)).status());
     }
-    cluster.pass(2);
-    assertEquals(30, cluster.running());
+    cluster.advance(2);
+    assertEquals(30, cluster.runningCount());
     return cluster;
   }
 
   /** Submits and completes jobs at the unaffected controllers while time advances. */
-  private static void advanceUnderLoad(World cluster, double seconds) {
-    int jobCount = cluster.accepted.size();
+  private static void advanceUnderLoad(SimulatedCluster cluster, double seconds) {
+    int jobCount = cluster.acceptedJobs.size();
     for (double s = 0; s < seconds; s += 4) {
-      cluster.submit("node-" + (1 + jobCount % 2), World.job("wk-1" + jobCount++, 3, 1));
-      cluster.pass(Math.min(4, seconds - s));
-      cluster.finishAll();
+      cluster.submit("node-" + (1 + jobCount % 2), SimulatedCluster.job("wk-1" + jobCount++, 3, 1));
+      cluster.advance(Math.min(4, seconds - s));
+      cluster.completeAllTasks();
     }
   }
 
@@ -43,16 +44,16 @@
   void controllerPausesOnceOrTwice() {
     for (double pauseS : new double[] {2, 7, 10, 25, 30}) {
       for (boolean twice : new boolean[] {false, true}) {
-        World cluster = startCluster();
+        SimulatedCluster cluster = startCluster();
         cluster.cancel("node-1", "wk-5");
-        cluster.nodes.get("node-0").standStill(pauseS);
+        cluster.nodes.get("node-0").pause(pauseS);
         advanceUnderLoad(cluster, pauseS + 0.5);
         if (twice) {
-          cluster.nodes.get("node-0").standStill(pauseS);
+          cluster.nodes.get("node-0").pause(pauseS);
           advanceUnderLoad(cluster, pauseS + 1);
         }
-        assertEquals(List.of(), cluster.dayEnds(), pauseS + " s, twice: " + twice);
-        assertEquals("cancelled", cluster.poll("node-0", "wk-5").state());
+        assertEquals(List.of(), cluster.drainAndCheck(), pauseS + " s, twice: " + twice);
+        assertEquals("cancelled", cluster.poll("node-0", "wk-5").jobStatus());
       }
     }
   }
@@ -64,22 +65,22 @@
   @Test
   void controllerPausesDuringRequest() {
     for (String step : List.of("/touch", "put=t/", "/orders", "put=w/h/", "put=u/rent")) {
-      World cluster = startCluster().renting(5, 4);
+      SimulatedCluster cluster = startCluster().withRentingDelays(5, 4);
       boolean[] paused = {false};
-      cluster.fates =
+      cluster.deliveryPolicy =
           (from, path, body) -> {
             if (!paused[0]
                 && from.equals("node-0")
                 && (path.endsWith(step) || body.contains(step))) {
               paused[0] = true;
-              cluster.timers.after(0.001, () -> cluster.nodes.get("node-0").standStill(11));
+              cluster.clock.after(0.001, () -> cluster.nodes.get("node-0").pause(11));
             }
-            return World.Fate.ON_TIME;
+            return SimulatedCluster.Delivery.ON_TIME;
           };
-      cluster.submit("node-0", World.job("wk-20", 30, 1));
+      cluster.submit("node-0", SimulatedCluster.job("wk-20", 30, 1));
       advanceUnderLoad(cluster, 24);
-      cluster.fates = (from, path, body) -> World.Fate.ON_TIME;
-      assertEquals(List.of(), cluster.dayEnds(), "during a request with " + step);
+      cluster.deliveryPolicy = (from, path, body) -> SimulatedCluster.Delivery.ON_TIME;
+      assertEquals(List.of(), cluster.drainAndCheck(), "during a request with " + step);
     }
   }
 
@@ -109,31 +110,31 @@
     for (int kind = 0; kind < partitions.size(); kind++) {
       for (double partitionS : new double[] {5, 20, 60}) {
         for (boolean held : new boolean[] {false, true}) {
-          World cluster = startCluster();
+          SimulatedCluster cluster = startCluster();
           BiPredicate<String, String> partition = partitions.get(kind);
           if (held) {
-            cluster.heldBack = (from, to) -> partition.test(from, to) && !to.startsWith("node-");
-            cluster.lost = (from, to) -> partition.test(from, to) && to.startsWith("node-");
+            cluster.holdRequest = (from, to) -> partition.test(from, to) && !to.startsWith("node-");
+            cluster.dropDelivery = (from, to) -> partition.test(from, to) && to.startsWith("node-");
           } else {
-            cluster.lost = partition;
+            cluster.dropDelivery = partition;
           }
-          cluster.unanswered = partition.and(stateServiceRequests);
-          cluster.timers.after(5, () -> cluster.linksSilent("node-0"));
+          cluster.dropResponse = partition.and(stateServiceRequests);
+          cluster.clock.after(5, () -> cluster.timeOutLinks("node-0"));
           advanceUnderLoad(cluster, partitionS);
           if (kind == 0 && partitionS > 10) {
-            assertEquals(503, cluster.ask("node-0", "GET", "/up", new byte[0]).status());
+            assertEquals(503, cluster.request("node-0", "GET", "/up", new byte[0]).status());
           }
-          cluster.heldBack = (from, to) -> false;
-          cluster.lost = (from, to) -> false;
-          cluster.unanswered = (from, to) -> false;
+          cluster.holdRequest = (from, to) -> false;
+          cluster.dropDelivery = (from, to) -> false;
+          cluster.dropResponse = (from, to) -> false;
           cluster.deliverHeld();
-          cluster.linksBack("node-0");
-          cluster.pass(2);
+          cluster.reconnectLinks("node-0");
+          cluster.advance(2);
           assertEquals(
               List.of(),
-              cluster.dayEnds(),
+              cluster.drainAndCheck(),
               "partition " + kind + " for " + partitionS + " s, held: " + held);
-          assertEquals(200, cluster.ask("node-0", "GET", "/up", new byte[0]).status());
+          assertEquals(200, cluster.request("node-0", "GET", "/up", new byte[0]).status());
         }
       }
     }
@@ -142,35 +143,35 @@
   /** A controller that alone has lost the state service refuses requests of users at once. */
   @Test
   void controllerWithoutStateServiceRejectsRequestsAtOnce() {
-    World cluster = startCluster();
-    cluster.lost = (from, to) -> from.equals("node-0") && to.equals(STATE_SERVICE_ADDRESS);
-    cluster.unanswered = (from, to) -> from.equals("node-0") && to.equals(STATE_SERVICE_ADDRESS);
-    cluster.pass(4);
-    double requestedAtS = cluster.timers.now();
-    assertEquals(503, cluster.submit("node-0", World.job("wk-9", 1, 1)).status());
-    double elapsedS = cluster.timers.now() - requestedAtS;
-    assertEquals(503, cluster.ask("node-0", "GET", "/up", new byte[0]).status());
-    requestedAtS = cluster.timers.now();
-    assertEquals(201, cluster.submit("node-1", World.job("wk-9", 1, 1)).status());
+    SimulatedCluster cluster = startCluster();
+    cluster.dropDelivery = (from, to) -> from.equals("node-0") && to.equals(STATE_SERVICE_ADDRESS);
+    cluster.dropResponse = (from, to) -> from.equals("node-0") && to.equals(STATE_SERVICE_ADDRESS);
+    cluster.advance(4);
+    double requestedAtS = cluster.clock.now();
+    assertEquals(503, cluster.submit("node-0", SimulatedCluster.job("wk-9", 1, 1)).status());
+    double elapsedS = cluster.clock.now() - requestedAtS;
+    assertEquals(503, cluster.request("node-0", "GET", "/up", new byte[0]).status());
+    requestedAtS = cluster.clock.now();
+    assertEquals(201, cluster.submit("node-1", SimulatedCluster.job("wk-9", 1, 1)).status());
     assertTrue(
-        elapsedS <= cluster.timers.now() - requestedAtS + 0.01,
+        elapsedS <= cluster.clock.now() - requestedAtS + 0.01,
         "the refusal takes longer than a successful request");
   }
 
   /** The holder of the rent duty pauses for 90 seconds and continues with outdated state. */
   @Test
   void rentDutyHolderPausesForNinetySeconds() {
-    World cluster = startCluster().renting(5, 4);
-    World.Node node = cluster.nodes.get(cluster.named("w/u/rent"));
-    node.standStill(90);
+    SimulatedCluster cluster = startCluster().withRentingDelays(5, 4);
+    SimulatedCluster.Node node = cluster.nodes.get(cluster.recordedNode("w/u/rent"));
+    node.pause(90);
     for (int i = 0; i < 10; i++) {
       String otherNode = node.name.equals("node-1") ? "node-2" : "node-1";
-      cluster.submit(otherNode, World.job("wk-5" + i, 2, 1));
-      cluster.pass(9);
-      cluster.finishAll();
+      cluster.submit(otherNode, SimulatedCluster.job("wk-5" + i, 2, 1));
+      cluster.advance(9);
+      cluster.completeAllTasks();
     }
-    cluster.pass(3);
-    assertEquals(List.of(), cluster.dayEnds());
-    assertEquals(List.of(), cluster.misused);
+    cluster.advance(3);
+    assertEquals(List.of(), cluster.drainAndCheck());
+    assertEquals(List.of(), cluster.deletedWhileInUse);
   }
 }
--- a/src/test/java/dev/dunefront/story/ControllerRestartTest.java
+++ b/src/test/java/dev/dunefront/story/ControllerRestartTest.java
@@ -17,13 +17,13 @@
  * service, and further restarts in quick succession.
  */
 class ControllerRestartTest {
-  private static World world() {
-    World w = World.limited(3, 24);
-    w.start().pass(2);
+  private static SimulatedCluster world() {
+    SimulatedCluster w = SimulatedCluster.withTeamLimit(3, 24);
+    w.start().advance(2);
     for (int i = 0; i < 6; i++) {
-      w.machine("host-" + i, "small", "a", "node-" + i % 3);
+      w.addMachine("host-" + i, "small", "a", "node-" + i % 3);
     }
-    w.pass(5);
+    w.advance(5);
     return w;
   }
 
@@ -56,61 +56,61 @@
       @ForAll boolean all,
       @ForAll @IntRange(max = 2) int delay)
       throws Exception {
-    World w = world();
-    Crowd users = new Crowd(w);
+    SimulatedCluster w = world();
+    RedundantClients users = new RedundantClients(w);
     List<FakeWorker> machines = List.copyOf(w.workers.values());
     List<byte[]> reports = new ArrayList<>();
     if (reportTime == ReportTime.BEFORE_ANY_TASK_RAN) {
       machines.forEach(m -> reports.add(m.report()));
     }
     for (int i = 0; i < 4; i++) {
-      users.submit(World.job("wk-" + i, 5, 1), i);
+      users.submit(SimulatedCluster.job("wk-" + i, 5, 1), i);
     }
-    w.pass(3);
+    w.advance(3);
     if (reportTime != ReportTime.BEFORE_ANY_TASK_RAN) {
       machines.forEach(m -> reports.add(m.report()));
     }
     if (reportTime == ReportTime.IN_AN_EARLIER_SESSION) {
       machines.forEach(FakeWorker::newSession);
-      w.pass(5);
+      w.advance(5);
     } else if (reportTime == ReportTime.BEFORE_THE_WORKER_RESTARTED) {
       machines.forEach(FakeWorker::restart);
-      w.pass(5);
+      w.advance(5);
     }
     users.cancel("wk-0", 1);
-    w.pass(0.01);
-    List<World.Node> restarted = new ArrayList<>(w.nodes.values());
+    w.advance(0.01);
+    List<SimulatedCluster.Node> restarted = new ArrayList<>(w.nodes.values());
     if (!all) {
       restarted.remove(2);
     }
-    restarted.forEach(World.Node::crash);
+    restarted.forEach(SimulatedCluster.Node::crash);
     switch (change) {
       case NONE -> {}
-      case TASKS_ENDED -> w.finishAll();
+      case TASKS_ENDED -> w.completeAllTasks();
       case SESSION_ENDED -> machines.forEach(FakeWorker::newSession);
       case MACHINES_SILENT -> {
-        machines.forEach(m -> w.silent.add(m.host()));
-        w.timers.after(12, w.silent::clear);
+        machines.forEach(m -> w.isolatedHosts.add(m.host()));
+        w.clock.after(12, w.isolatedHosts::clear);
       }
       case REPORTS_LOST -> {
-        w.lost = (from, to) -> from.startsWith("host-");
-        w.timers.after(12, () -> w.lost = (from, to) -> false);
+        w.dropDelivery = (from, to) -> from.startsWith("host-");
+        w.clock.after(12, () -> w.dropDelivery = (from, to) -> false);
       }
     }
-    w.pass(1);
-    restarted.forEach(World.Node::start);
-    w.pass(new double[] {0.2, 0.6, 2.5}[delay]);
+    w.advance(1);
+    restarted.forEach(SimulatedCluster.Node::start);
+    w.advance(new double[] {0.2, 0.6, 2.5}[delay]);
     for (int i = 0; i < 3; i++) {
-      w.nodes.keySet().forEach(n -> reports.forEach(r -> w.hello(n, r)));
-      w.pass(1.7);
+      w.nodes.keySet().forEach(n -> reports.forEach(r -> w.deliverReport(n, r)));
+      w.advance(1.7);
     }
-    w.pass(20);
-    w.nodes.keySet().forEach(n -> reports.forEach(r -> w.hello(n, r)));
-    w.pass(10);
-    assertEquals("cancelled", w.poll("node-1", "wk-0").state());
+    w.advance(20);
+    w.nodes.keySet().forEach(n -> reports.forEach(r -> w.deliverReport(n, r)));
+    w.advance(10);
+    assertEquals("cancelled", w.poll("node-1", "wk-0").jobStatus());
     assertEquals(
-        change == MachineChange.TASKS_ENDED ? 0 : 15, w.running(), "all remaining tasks run");
-    assertEquals(List.of(), w.dayEnds());
+        change == MachineChange.TASKS_ENDED ? 0 : 15, w.runningCount(), "all remaining tasks run");
+    assertEquals(List.of(), w.drainAndCheck());
   }
 
   /**
@@ -120,35 +120,37 @@
    */
   @Property(generation = GenerationMode.EXHAUSTIVE)
   void machineWithOnlyAnOldReportIsReturned(@ForAll boolean cancelled) {
-    World w = world();
+    SimulatedCluster w = world();
     FakeWorker m = w.workers.get("host-1:9");
     byte[] oldReport = m.report();
-    w.fates =
+    w.deliveryPolicy =
         (from, path, body) ->
-            body.contains("verb=run") ? World.Fate.UNANSWERED : World.Fate.ON_TIME;
-    assertEquals(201, w.submit("node-0", World.job("wk-1", 24, 1)).status());
-    w.pass(2);
-    w.fates = (from, path, body) -> World.Fate.ON_TIME;
-    w.pass(4);
-    assertEquals(24, w.running());
-    w.silent.add("host-1");
-    w.nodes.values().forEach(World.Node::crash);
+            body.contains("verb=run")
+                ? SimulatedCluster.Delivery.RESPONSE_DROPPED
+                : SimulatedCluster.Delivery.ON_TIME;
+    assertEquals(201, w.submit("node-0", SimulatedCluster.job("wk-1", 24, 1)).status());
+    w.advance(2);
+    w.deliveryPolicy = (from, path, body) -> SimulatedCluster.Delivery.ON_TIME;
+    w.advance(4);
+    assertEquals(24, w.runningCount());
+    w.isolatedHosts.add("host-1");
+    w.nodes.values().forEach(SimulatedCluster.Node::crash);
     if (cancelled) {
-      w.cancelled.add("wk-1");
-      w.user("POST", "/v1/jobs/wk-1/abort", null, "wk-1", 1, 90);
+      w.cancelRequestedJobs.add("wk-1");
+      w.requestWithRetries("POST", "/v1/jobs/wk-1/abort", null, "wk-1", 1, 90);
     }
-    w.pass(1);
-    w.nodes.values().forEach(World.Node::start);
-    w.pass(1);
-    w.nodes.keySet().forEach(n -> w.hello(n, oldReport));
-    w.pass(100);
+    w.advance(1);
+    w.nodes.values().forEach(SimulatedCluster.Node::start);
+    w.advance(1);
+    w.nodes.keySet().forEach(n -> w.deliverReport(n, oldReport));
+    w.advance(100);
     assertTrue(
         w.cloud.deleted("host-1"),
         "the machine is returned, which proves that its tasks have ended");
     if (cancelled) {
-      assertEquals("cancelled", w.poll("node-0", "wk-1").state());
+      assertEquals("cancelled", w.poll("node-0", "wk-1").jobStatus());
     }
-    assertEquals(List.of(), w.dayEnds());
+    assertEquals(List.of(), w.drainAndCheck());
   }
 
   /**
@@ -161,41 +163,41 @@
       @ForAll @IntRange(max = 9) int when,
       @ForAll boolean restartsSoon,
       @ForAll boolean responsesLost) {
-    World w = new World(3).renting(1, 6);
+    SimulatedCluster w = new SimulatedCluster(3).withRentingDelays(1, 6);
     w.cloud.capacity(12);
-    w.start().pass(3);
-    String renter = w.named("w/u/rent");
+    w.start().advance(3);
+    String renter = w.recordedNode("w/u/rent");
     double[] writeDelaysS = {0.02, 0.7, 0.2, 1.1, 0.4};
     int[] n = {0};
-    w.stateSlowS = () -> writeDelaysS[n[0]++ % writeDelaysS.length];
-    w.fates =
+    w.stateServiceDelayS = () -> writeDelaysS[n[0]++ % writeDelaysS.length];
+    w.deliveryPolicy =
         (from, path, body) ->
             responsesLost && path.equals("/txn") && n[0] % 5 == 2
-                ? World.Fate.UNANSWERED
-                : World.Fate.ON_TIME;
-    Crowd users = new Crowd(w);
-    users.submit(World.job("wk-1", 8, 2), 0);
-    users.submit(World.job("wk-2", 8, 1), 1);
-    w.pass(0.4 * when);
+                ? SimulatedCluster.Delivery.RESPONSE_DROPPED
+                : SimulatedCluster.Delivery.ON_TIME;
+    RedundantClients users = new RedundantClients(w);
+    users.submit(SimulatedCluster.job("wk-1", 8, 2), 0);
+    users.submit(SimulatedCluster.job("wk-2", 8, 1), 1);
+    w.advance(0.4 * when);
     String crashed = renter == null ? "node-0" : renter;
     w.nodes.get(crashed).crash();
     if (restartsSoon) {
-      w.pass(0.3);
+      w.advance(0.3);
       w.nodes.get(crashed).start();
     }
-    w.pass(14);
-    w.stateSlowS = () -> 0;
-    w.fates = (from, path, body) -> World.Fate.ON_TIME;
-    w.pass(20);
+    w.advance(14);
+    w.stateServiceDelayS = () -> 0;
+    w.deliveryPolicy = (from, path, body) -> SimulatedCluster.Delivery.ON_TIME;
+    w.advance(20);
     // Six machines suffice. One or two extra machines are known to be rented occasionally; renting
     // twice would give twelve.
-    assertTrue(w.hired() <= 8, w.hired() + " machines were rented");
-    assertEquals(16, w.running(), "all tasks run");
-    assertEquals(List.of(), w.misused);
+    assertTrue(w.rentedCount() <= 8, w.rentedCount() + " machines were rented");
+    assertEquals(16, w.runningCount(), "all tasks run");
+    assertEquals(List.of(), w.deletedWhileInUse);
     if (!restartsSoon) {
       w.nodes.get(crashed).start();
     }
-    assertEquals(List.of(), w.dayEnds());
+    assertEquals(List.of(), w.drainAndCheck());
   }
 
   /**
@@ -205,62 +207,62 @@
   @Property(generation = GenerationMode.EXHAUSTIVE)
   void controllersCrashTenTimesAlsoDuringAnOutage(
       @ForAll @IntRange(max = 2) int restartDelay, @ForAll boolean outage) {
-    World w = world();
-    Crowd users = new Crowd(w);
+    SimulatedCluster w = world();
+    RedundantClients users = new RedundantClients(w);
     int n = 0;
     for (int change = 0; change < 10; change++) {
-      users.submit(World.job("wk-" + n, 2 + change % 3, 1), change);
-      if (change % 3 == 2 && w.accepted.containsKey("wk-" + (n - 1))) {
+      users.submit(SimulatedCluster.job("wk-" + n, 2 + change % 3, 1), change);
+      if (change % 3 == 2 && w.acceptedJobs.containsKey("wk-" + (n - 1))) {
         users.cancel("wk-" + (n - 1), change);
       }
       n++;
-      World.Node node = w.nodes.get("node-" + change % 3);
+      SimulatedCluster.Node node = w.nodes.get("node-" + change % 3);
       if (node.up()) {
         node.crash();
-        w.timers.after(new double[] {0.1, 3, 9}[restartDelay], node::start);
+        w.clock.after(new double[] {0.1, 3, 9}[restartDelay], node::start);
       }
       if (outage && change == 4) {
-        w.state.outage(true);
-        w.timers.after(25, () -> w.state.outage(false));
+        w.stateService.outage(true);
+        w.clock.after(25, () -> w.stateService.outage(false));
       }
-      w.pass(12);
+      w.advance(12);
       if (change % 2 == 1) {
         w.workers
             .values()
             .forEach(m -> m.running().stream().limit(1).forEach(t -> m.exit(t, "done")));
       }
     }
-    w.pass(10);
-    for (String id : w.cancelled) {
-      assertEquals("cancelled", w.poll("node-0", id).state());
+    w.advance(10);
+    for (String id : w.cancelRequestedJobs) {
+      assertEquals("cancelled", w.poll("node-0", id).jobStatus());
     }
-    assertEquals(List.of(), w.dayEnds());
+    assertEquals(List.of(), w.drainAndCheck());
   }
 
   /** All controllers are down for longer than a lease, so that the workers have ended all tasks. */
   @Property(generation = GenerationMode.EXHAUSTIVE)
   void allControllersAreDownForLongerThanALease(@ForAll boolean outage, @ForAll boolean cancelled) {
-    World w = world();
+    SimulatedCluster w = world();
     for (int i = 0; i < 4; i++) {
-      assertEquals(201, w.submit("node-" + i % 3, World.job("wk-" + i, 4, 1)).status());
+      assertEquals(201, w.submit("node-" + i % 3, SimulatedCluster.job("wk-" + i, 4, 1)).status());
     }
-    w.pass(3);
+    w.advance(3);
     if (cancelled) {
-      w.cancelled.add("wk-0");
-      w.user("POST", "/v1/jobs/wk-0/abort", null, "wk-0", 1, 40);
-      w.pass(0.005);
+      w.cancelRequestedJobs.add("wk-0");
+      w.requestWithRetries("POST", "/v1/jobs/wk-0/abort", null, "wk-0", 1, 40);
+      w.advance(0.005);
     }
-    w.nodes.values().forEach(World.Node::crash);
-    w.state.outage(outage);
-    w.pass(World.LEASE_S + 4);
-    assertEquals(0, w.running(), "the workers' leases have expired");
-    w.nodes.values().forEach(World.Node::start);
-    w.pass(outage ? 5 : 0);
-    w.state.outage(false);
-    w.pass(12);
-    assertEquals(cancelled ? 12 : 16, w.running());
-    w.rest();
-    assertEquals(List.of(), w.dayEnds());
+    w.nodes.values().forEach(SimulatedCluster.Node::crash);
+    w.stateService.outage(outage);
+    w.advance(SimulatedCluster.LEASE_S + 4);
+    assertEquals(0, w.runningCount(), "the workers' leases have expired");
+    w.nodes.values().forEach(SimulatedCluster.Node::start);
+    w.advance(outage ? 5 : 0);
+    w.stateService.outage(false);
+    w.advance(12);
+    assertEquals(cancelled ? 12 : 16, w.runningCount());
+    w.checkStarvationWhileTasksRun();
+    assertEquals(List.of(), w.drainAndCheck());
   }
 
   /**
@@ -270,21 +272,21 @@
   @Example
   void controllersRestartWhileMachinesAreUnreachable() {
     for (boolean cannotReceive : List.of(true, false)) {
-      World w = world();
-      assertEquals(201, w.submit("node-0", World.job("wk-1", 20, 1)).status());
-      w.pass(3);
+      SimulatedCluster w = world();
+      assertEquals(201, w.submit("node-0", SimulatedCluster.job("wk-1", 20, 1)).status());
+      w.advance(3);
       for (int i = 0; i < 3; i++) {
-        (cannotReceive ? w.deaf : w.silent).add("host-" + i);
+        (cannotReceive ? w.inboundBlockedHosts : w.isolatedHosts).add("host-" + i);
       }
-      w.nodes.values().forEach(World.Node::crash);
-      w.pass(0.5);
-      w.nodes.values().forEach(World.Node::start);
-      w.pass(4);
-      w.deaf.clear();
-      w.silent.clear();
-      w.pass(20);
-      assertEquals(20, w.running("wk-1"));
-      assertEquals(List.of(), w.dayEnds());
+      w.nodes.values().forEach(SimulatedCluster.Node::crash);
+      w.advance(0.5);
+      w.nodes.values().forEach(SimulatedCluster.Node::start);
+      w.advance(4);
+      w.inboundBlockedHosts.clear();
+      w.isolatedHosts.clear();
+      w.advance(20);
+      assertEquals(20, w.runningCount("wk-1"));
+      assertEquals(List.of(), w.drainAndCheck());
     }
   }
 }
--- a/src/test/java/dev/dunefront/story/DelayedMessageTest.java
+++ b/src/test/java/dev/dunefront/story/DelayedMessageTest.java
@@ -26,42 +26,42 @@
    */
   @Test
   void deniedAttemptStaysRefusedWhenMachineReturnsToItsHolder() {
-    World w = new World(List.of("a", "a", "b"), World.ONE_TEAM);
-    FakeWorker a = w.machine("host-1", "small", "b", "node-0");
+    SimulatedCluster w = new SimulatedCluster(List.of("a", "a", "b"), SimulatedCluster.ONE_TEAM);
+    FakeWorker a = w.addMachine("host-1", "small", "b", "node-0");
     w.nodes.get("node-0").start();
     w.nodes.get("node-1").start();
-    w.pass(8);
-    assertEquals("node-0", w.holder("host-1"), "no controller of the machine's zone is up");
+    w.advance(8);
+    assertEquals("node-0", w.holderOf("host-1"), "no controller of the machine's zone is up");
     // From the start request on, all messages about room on that machine are held back.
-    w.late =
+    w.holdPeerMessage =
         m ->
             m instanceof Message.StartTask s && s.host().equals("host-1")
                 || m instanceof Message.Offer o && o.host().equals("host-1") && w.heldCount() > 0;
-    assertEquals(201, w.submit("node-1", World.job("wk-1", 1, 1)).status());
-    w.pass(3);
+    assertEquals(201, w.submit("node-1", SimulatedCluster.job("wk-1", 1, 1)).status());
+    w.advance(3);
     assertTrue(w.heldCount() > 0, "the start is held back, and the attempt is denied meanwhile");
-    FakeWorker b = w.machine("host-2", "small", "a", "node-0");
+    FakeWorker b = w.addMachine("host-2", "small", "a", "node-0");
     for (int i = 0; i < 60 && b.running().isEmpty(); i++) {
-      w.pass(1);
+      w.advance(1);
     }
     assertEquals(List.of("wk-1/0"), b.running());
     // The controller in the machine's zone starts, is assigned the machine, and cannot be reached
     // by it.
-    w.lost = (from, to) -> from.equals("host-1:9") && to.equals("node-2");
+    w.dropDelivery = (from, to) -> from.equals("host-1:9") && to.equals("node-2");
     long token = a.token();
     w.nodes.get("node-2").start();
     for (String next : List.of("node-2", "node-0")) {
-      for (int i = 0; i < 100 && !next.equals(w.holder("host-1")); i++) {
-        w.pass(0.1);
+      for (int i = 0; i < 100 && !next.equals(w.holderOf("host-1")); i++) {
+        w.advance(0.1);
       }
-      assertEquals(next, w.holder("host-1"));
+      assertEquals(next, w.holderOf("host-1"));
     }
-    w.pass(World.REPORT_S);
+    w.advance(SimulatedCluster.REPORT_S);
     assertEquals(token, a.token(), "the hold is kept without a write");
     w.deliverHeld();
-    w.pass(4);
+    w.advance(4);
     assertEquals(List.of(), a.starts());
-    assertEquals(List.of(), w.overlaps);
+    assertEquals(List.of(), w.overlappingRuns);
   }
 
   /**
@@ -71,39 +71,40 @@
    */
   @Test
   void messagesOfFormerClaimantChangeNothing() throws MalformedMessageException {
-    World w = new World(3);
-    FakeWorker a = w.machine("host-1", "small", "a", "node-0");
-    w.start().pass(3);
-    assertEquals(201, w.submit("node-1", World.job("wk-1", 2, 1)).status());
-    w.pass(2);
+    SimulatedCluster w = new SimulatedCluster(3);
+    FakeWorker a = w.addMachine("host-1", "small", "a", "node-0");
+    w.start().advance(3);
+    assertEquals(201, w.submit("node-1", SimulatedCluster.job("wk-1", 2, 1)).status());
+    w.advance(2);
     assertEquals(2, a.running().size());
-    long term = w.state.value("w/j/wk-1").count("term");
+    long term = w.stateService.value("w/j/wk-1").count("term");
     w.nodes.get("node-1").crash();
-    w.pass(World.LEASE_S + 4);
+    w.advance(SimulatedCluster.LEASE_S + 4);
     assertEquals(
         term + 1,
-        w.state.value("w/j/wk-1").count("term"),
+        w.stateService.value("w/j/wk-1").count("term"),
         "another controller has claimed the job");
-    FakeWorker b = w.machine("host-2", "small", "a", "node-0");
-    w.pass(4);
-    assertEquals("node-0", w.holder("host-2"));
+    FakeWorker b = w.addMachine("host-2", "small", "a", "node-0");
+    w.advance(4);
+    assertEquals("node-0", w.holderOf("host-2"));
 
-    w.say("node-1", "node-0", new Message.StopTask("host-1", term, "wk-1", 0, 1, 0));
-    w.say("node-1", "node-0", new Message.StartTask(0, "host-2", b.token(), 1, term, "wk-1", 0, 1));
-    w.pass(3);
+    w.deliverPeerMessage("node-1", "node-0", new Message.StopTask("host-1", term, "wk-1", 0, 1, 0));
+    w.deliverPeerMessage(
+        "node-1", "node-0", new Message.StartTask(0, "host-2", b.token(), 1, term, "wk-1", 0, 1));
+    w.advance(3);
     assertEquals(2, a.running().size());
     assertEquals(List.of(), b.starts());
 
-    w.refusedByState.addAll(List.of("node-0", "node-2"));
+    w.refusedByStateService.addAll(List.of("node-0", "node-2"));
     a.exit("wk-1/0", "done");
-    w.pass(World.REPORT_S + 0.1);
-    w.say("node-1", "node-0", new Message.ClearTask("host-1", term, "wk-1", 0, 1));
-    w.pass(2);
-    w.refusedByState.clear();
-    w.pass(3);
-    w.finishAll();
-    w.pass(5);
-    assertEquals("done", w.poll("node-0", "wk-1").state());
+    w.advance(SimulatedCluster.REPORT_S + 0.1);
+    w.deliverPeerMessage("node-1", "node-0", new Message.ClearTask("host-1", term, "wk-1", 0, 1));
+    w.advance(2);
+    w.refusedByStateService.clear();
+    w.advance(3);
+    w.completeAllTasks();
+    w.advance(5);
+    assertEquals("done", w.poll("node-0", "wk-1").jobStatus());
     assertEquals(2, a.starts().size() + b.starts().size(), "no task was run again");
   }
 
@@ -114,18 +115,18 @@
    */
   @Test
   void nodeKeyWithAnotherIncarnationIsRewritten() throws MalformedMessageException {
-    World w = new World(2);
-    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
-    w.start().pass(3);
-    assertEquals(201, w.submit("node-0", World.job("wk-1", 2, 1)).status());
-    w.pass(1);
-    String incarnation = w.state.value("w/n/node-0").text("inc");
+    SimulatedCluster w = new SimulatedCluster(2);
+    FakeWorker m = w.addMachine("host-1", "small", "a", "node-0");
+    w.start().advance(3);
+    assertEquals(201, w.submit("node-0", SimulatedCluster.job("wk-1", 2, 1)).status());
+    w.advance(1);
+    String incarnation = w.stateService.value("w/n/node-0").text("inc");
     w.writeState("w/n/node-0", Document.create().put("inc", "node-0#1"));
-    w.pass(1);
-    assertEquals(incarnation, w.state.value("w/n/node-0").text("inc"));
-    w.finishAll();
-    w.pass(4);
-    assertEquals("done", w.poll("node-1", "wk-1").state());
+    w.advance(1);
+    assertEquals(incarnation, w.stateService.value("w/n/node-0").text("inc"));
+    w.completeAllTasks();
+    w.advance(4);
+    assertEquals("done", w.poll("node-1", "wk-1").jobStatus());
     assertEquals(2, m.starts().size());
   }
 
@@ -137,28 +138,28 @@
    */
   @Test
   void delayedNodeKeyWriteOfEarlierIncarnationIsRefused() throws MalformedMessageException {
-    World w = new World(3);
-    w.machine("host-1", "small", "a", "node-0");
-    w.start().pass(3);
-    assertEquals(201, w.submit("node-0", World.job("wk-1", 2, 1)).status());
-    w.pass(1);
+    SimulatedCluster w = new SimulatedCluster(3);
+    w.addMachine("host-1", "small", "a", "node-0");
+    w.start().advance(3);
+    assertEquals(201, w.submit("node-0", SimulatedCluster.job("wk-1", 2, 1)).status());
+    w.advance(1);
     w.nodes.get("node-0").crash();
-    int before = w.state.writes("w/n/node-0");
+    int before = w.stateService.writes("w/n/node-0");
     int[] puts = new int[1];
-    w.lateS = 2.2;
-    w.fates =
+    w.deliveryDelayS = 2.2;
+    w.deliveryPolicy =
         (from, path, body) ->
             path.equals("/txn") && body.contains("put=w/n/node-0") && puts[0]++ == 0
-                ? World.Fate.LATE
-                : World.Fate.ON_TIME;
+                ? SimulatedCluster.Delivery.DELAYED
+                : SimulatedCluster.Delivery.ON_TIME;
     w.nodes.get("node-0").start();
-    w.pass(1.9);
-    String incarnation = w.state.value("w/n/node-0").text("inc");
-    w.pass(1);
+    w.advance(1.9);
+    String incarnation = w.stateService.value("w/n/node-0").text("inc");
+    w.advance(1);
     assertEquals(2, puts[0], "the first write had no response, the second had one");
-    assertEquals(incarnation, w.state.value("w/n/node-0").text("inc"));
-    assertEquals(1, w.state.writes("w/n/node-0") - before, "the delayed write was refused");
-    assertEquals(List.of(), w.dayEnds());
+    assertEquals(incarnation, w.stateService.value("w/n/node-0").text("inc"));
+    assertEquals(1, w.stateService.writes("w/n/node-0") - before, "the delayed write was refused");
+    assertEquals(List.of(), w.drainAndCheck());
   }
 
   /**
@@ -168,23 +169,23 @@
    */
   @Test
   void reportCopyDoesNotMoveMachineFromItsReachableHolder() {
-    World w = new World(List.of("a", "a", "b"), World.ONE_TEAM);
-    w.start().pass(2);
-    FakeWorker m = w.machine("host-1", "small", "b", "node-2");
-    w.pass(6);
-    assertEquals("node-2", w.holder("host-1"));
+    SimulatedCluster w = new SimulatedCluster(List.of("a", "a", "b"), SimulatedCluster.ONE_TEAM);
+    w.start().advance(2);
+    FakeWorker m = w.addMachine("host-1", "small", "b", "node-2");
+    w.advance(6);
+    assertEquals("node-2", w.holderOf("host-1"));
     byte[] report = m.report();
-    w.pass(1);
-    w.cut("b");
-    for (int i = 0; i < 2 * World.LEASE_S; i++) {
-      w.pass(1);
-      w.hello("node-" + i % 2, report);
+    w.advance(1);
+    w.partitionZone("b");
+    for (int i = 0; i < 2 * SimulatedCluster.LEASE_S; i++) {
+      w.advance(1);
+      w.deliverReport("node-" + i % 2, report);
     }
-    assertEquals(List.of(), w.state.keys("w/h/"));
-    w.heal();
-    w.pass(4);
-    assertEquals("node-2", w.holder("host-1"));
-    assertEquals(List.of(), w.dayEnds());
+    assertEquals(List.of(), w.stateService.keys("w/h/"));
+    w.healPartition();
+    w.advance(4);
+    assertEquals("node-2", w.holderOf("host-1"));
+    assertEquals(List.of(), w.drainAndCheck());
   }
 
   /**
@@ -202,32 +203,32 @@
   }
 
   private static List<String> overlapsWithFormerHolder(boolean ignorePrecondition) {
-    World w = new World(4);
-    w.start().pass(2);
-    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
-    w.pass(6);
-    String former = w.holder("host-1");
+    SimulatedCluster w = new SimulatedCluster(4);
+    w.start().advance(2);
+    FakeWorker m = w.addMachine("host-1", "small", "a", "node-0");
+    w.advance(6);
+    String former = w.holderOf("host-1");
     int f = Integer.parseInt(former.substring("node-".length()));
     String next = "node-" + (f + 1) % 4;
     String claimant = "node-" + (f + 2) % 4;
-    assertEquals(201, w.submit(claimant, World.job("wk-1", 2, 1)).status());
-    w.pass(2);
+    assertEquals(201, w.submit(claimant, SimulatedCluster.job("wk-1", 2, 1)).status());
+    w.advance(2);
     assertEquals(2, m.running().size());
-    w.unconditional = key -> ignorePrecondition && key.startsWith("w/h/");
-    w.refusedByState.add(former);
-    w.lost =
+    w.ignoreConditionOn = key -> ignorePrecondition && key.startsWith("w/h/");
+    w.refusedByStateService.add(former);
+    w.dropDelivery =
         (from, to) ->
             from.equals("host-1:9") && to.equals(former)
                 || from.equals(former) && to.equals("host-1:9")
                 || from.equals(next) && to.equals(claimant)
                 || from.equals(claimant) && to.equals(next);
-    w.timers.after(5, () -> w.linksSilent(next));
+    w.clock.after(5, () -> w.timeOutLinks(next));
     for (int i = 2; i < 8; i++) {
-      w.machine("host-" + i, "small", "a", claimant);
+      w.addMachine("host-" + i, "small", "a", claimant);
     }
-    w.pass(2 * World.LEASE_S);
-    assertEquals(next, w.holder("host-1"));
-    return w.overlaps;
+    w.advance(2 * SimulatedCluster.LEASE_S);
+    assertEquals(next, w.holderOf("host-1"));
+    return w.overlappingRuns;
   }
 
   /**
@@ -237,30 +238,30 @@
    */
   @Test
   void deletionConfirmedWhileLeaseExpiryIsRecordedCounts() {
-    World w = World.limited(3, 2);
-    w.start().pass(2);
-    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
-    w.pass(5);
-    assertEquals(201, w.submit("node-1", World.job("wk-1", 1, 2)).status());
-    w.pass(2);
+    SimulatedCluster w = SimulatedCluster.withTeamLimit(3, 2);
+    w.start().advance(2);
+    FakeWorker m = w.addMachine("host-1", "small", "a", "node-0");
+    w.advance(5);
+    assertEquals(201, w.submit("node-1", SimulatedCluster.job("wk-1", 1, 2)).status());
+    w.advance(2);
     assertEquals(1, m.running().size());
     BooleanSupplier intercepted =
-        w.strikeOnce(
+        w.faultFirstTransaction(
             "t/wk-1/0",
-            World.Fate.LOST,
+            SimulatedCluster.Delivery.DROPPED,
             from -> {
-              Document dead = HoldTable.writeDeleted(w.timers.wallClockMs(), "x");
-              w.timers.after(0.05, () -> w.writeState("w/h/host-1", dead));
+              Document dead = HoldTable.writeDeleted(w.clock.wallClockMs(), "x");
+              w.clock.after(0.05, () -> w.writeState("w/h/host-1", dead));
             });
-    w.silent.add("host-1");
-    w.timers.after(5, () -> w.cloud.reclaim("host-1"));
-    FakeWorker next = w.machine("host-2", "small", "a", "node-0");
-    w.pass(2 * World.LEASE_S);
+    w.isolatedHosts.add("host-1");
+    w.clock.after(5, () -> w.cloud.reclaim("host-1"));
+    FakeWorker next = w.addMachine("host-2", "small", "a", "node-0");
+    w.advance(2 * SimulatedCluster.LEASE_S);
     assertTrue(
         intercepted.getAsBoolean(),
         "the lease has expired, and the write that records it was intercepted");
-    w.pass(10);
+    w.advance(10);
     assertEquals(1, next.running().size());
-    assertEquals(List.of(), w.dayEnds());
+    assertEquals(List.of(), w.drainAndCheck());
   }
 }
--- a/src/test/java/dev/dunefront/story/DutyFaultScheduleTest.java
+++ b/src/test/java/dev/dunefront/story/DutyFaultScheduleTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dev.dunefront.config.Tunables;
-import dev.dunefront.story.World.Fate;
+import dev.dunefront.story.SimulatedCluster.Delivery;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -35,17 +35,21 @@
   }
 
   private static int countRentedMachines(
-      Fate record, Fate call, Fate nextRecord, Replacement replacement, boolean preconditions) {
-    World w = new World(2).renting(100, 4);
+      Delivery record,
+      Delivery call,
+      Delivery nextRecord,
+      Replacement replacement,
+      boolean preconditions) {
+    SimulatedCluster w = new SimulatedCluster(2).withRentingDelays(100, 4);
     w.cloud.capacity(50);
     if (!preconditions) {
-      w.unconditional = key -> key.equals("u/rent") || key.equals(RENT);
+      w.ignoreConditionOn = key -> key.equals("u/rent") || key.equals(RENT);
     }
-    w.start().pass(3);
-    String first = w.named(RENT);
+    w.start().advance(3);
+    String first = w.recordedNode(RENT);
     String second = first.equals("node-0") ? "node-1" : "node-0";
     int[] matched = new int[3];
-    w.fates =
+    w.deliveryPolicy =
         (from, path, body) -> {
           boolean ledgerWrite = path.equals("/txn") && body.contains("put=u/rent");
           if (from.equals(first) && ledgerWrite && matched[0]++ == 0) {
@@ -58,30 +62,30 @@
           if (from.equals(second) && ledgerWrite && matched[2]++ == 0) {
             return nextRecord;
           }
-          return Fate.ON_TIME;
+          return Delivery.ON_TIME;
         };
-    w.submit(second, World.job("wk-1", MACHINES_NEEDED, 4));
-    w.pass(55);
-    return w.hired();
+    w.submit(second, SimulatedCluster.job("wk-1", MACHINES_NEEDED, 4));
+    w.advance(55);
+    return w.rentedCount();
   }
 
-  private static void replace(World w, String node, Replacement replacement) {
+  private static void replace(SimulatedCluster w, String node, Replacement replacement) {
     switch (replacement) {
       case NONE -> {}
       // Delayed by 3 ms, so that the record is in transit or has just been written.
-      case CRASH -> w.timers.after(0.003, () -> w.nodes.get(node).crash());
-      case PAUSE_OF_6_S -> w.timers.after(0.003, () -> w.nodes.get(node).standStill(6));
-      case PAUSE_OF_30_S -> w.timers.after(0.003, () -> w.nodes.get(node).standStill(30));
+      case CRASH -> w.clock.after(0.003, () -> w.nodes.get(node).crash());
+      case PAUSE_OF_6_S -> w.clock.after(0.003, () -> w.nodes.get(node).pause(6));
+      case PAUSE_OF_30_S -> w.clock.after(0.003, () -> w.nodes.get(node).pause(30));
       case UNNOTICED_LEASE_LOSS -> {
         // The lease ends, and the notifications of that do not reach the holder for 12 s.
-        w.nodes.get(node).loseLease();
-        World.Fates before = w.fates;
-        w.fates =
+        w.nodes.get(node).expireLease();
+        SimulatedCluster.DeliveryPolicy before = w.deliveryPolicy;
+        w.deliveryPolicy =
             (from, path, body) ->
                 from.equals(node) && (path.startsWith("/watch") || path.endsWith("/touch"))
-                    ? Fate.LOST
-                    : before.of(from, path, body);
-        w.timers.after(12, () -> w.fates = before);
+                    ? Delivery.DROPPED
+                    : before.choose(from, path, body);
+        w.clock.after(12, () -> w.deliveryPolicy = before);
       }
     }
   }
@@ -89,9 +93,9 @@
   /** Exhaustive: all fates of three messages and all five kinds of replacement. */
   @Property(generation = GenerationMode.EXHAUSTIVE, tries = 700)
   void nothingIsRentedTwiceUnderAnyMessageFate(
-      @ForAll Fate record,
-      @ForAll Fate call,
-      @ForAll Fate nextRecord,
+      @ForAll Delivery record,
+      @ForAll Delivery call,
+      @ForAll Delivery nextRecord,
       @ForAll Replacement replacement) {
     assertEquals(MACHINES_NEEDED, countRentedMachines(record, call, nextRecord, replacement, true));
   }
@@ -103,10 +107,10 @@
   @Example
   void searchFindsMachinesRentedTwiceWithoutPreconditions() {
     List<String> found = new ArrayList<>();
-    for (Fate record : Fate.values()) {
-      for (Fate call : Fate.values()) {
+    for (Delivery record : Delivery.values()) {
+      for (Delivery call : Delivery.values()) {
         for (Replacement replacement : Replacement.values()) {
-          if (countRentedMachines(record, call, Fate.ON_TIME, replacement, false)
+          if (countRentedMachines(record, call, Delivery.ON_TIME, replacement, false)
               > MACHINES_NEEDED) {
             found.add(record + " " + call + " " + replacement);
           }
@@ -123,12 +127,12 @@
   @Property(tries = 60, seed = "21", shrinking = ShrinkingMode.BOUNDED)
   void allWorkEndsAndNoMachineInUseIsDeletedUnderRandomFaults(
       @ForAll @Size(max = 5) List<@IntRange(min = 0, max = 4_999) Integer> faults) {
-    World w = new World(3).renting(5, 4);
+    SimulatedCluster w = new SimulatedCluster(3).withRentingDelays(5, 4);
     w.tunables = Tunables.withOverrides(Map.of("idle_boots", 2.0, "idle_warm_s", 0.0));
     w.cloud.capacity(60);
-    w.start().pass(3);
+    w.start().advance(3);
     for (int fault : faults) {
-      w.timers.after(
+      w.clock.after(
           fault % 250 / 10.0,
           () -> injectFault(w, "node-" + fault / 250 % 3, fault / 750 % 4, 2 + fault % 17));
     }
@@ -136,27 +140,27 @@
       if (second % 8 == 0) {
         // If the chosen controller is down, the user submits to the next one that is up.
         int node = firstUpController(w, second);
-        w.submit("node-" + node, World.job("wk-" + second, 3, 2));
+        w.submit("node-" + node, SimulatedCluster.job("wk-" + second, 3, 2));
       }
-      w.pass(1);
+      w.advance(1);
       if (second % 5 == 4) {
-        w.finishAll();
+        w.completeAllTasks();
       }
     }
     for (int second = 0; second < 110; second++) {
-      w.pass(1);
+      w.advance(1);
       if (second % 5 == 4) {
-        w.finishAll();
+        w.completeAllTasks();
       }
     }
-    assertEquals(List.of(), w.misused);
-    assertEquals(List.of(), w.overlaps);
-    assertEquals(0, w.running(), "all accepted tasks have ended");
-    assertEquals(List.of(), w.state.keys("w/j/"), "the end of every job is recorded");
+    assertEquals(List.of(), w.deletedWhileInUse);
+    assertEquals(List.of(), w.overlappingRuns);
+    assertEquals(0, w.runningCount(), "all accepted tasks have ended");
+    assertEquals(List.of(), w.stateService.keys("w/j/"), "the end of every job is recorded");
     assertEquals(0, w.workers.size(), "all machines are returned");
   }
 
-  private static int firstUpController(World w, int from) {
+  private static int firstUpController(SimulatedCluster w, int from) {
     for (int i = 0; i < 3; i++) {
       if (w.nodes.get("node-" + (from + i) % 3).up()) {
         return (from + i) % 3;
@@ -165,21 +169,21 @@
     return 0;
   }
 
-  private static void injectFault(World w, String node, int kind, int forS) {
-    World.Node n = w.nodes.get(node);
+  private static void injectFault(SimulatedCluster w, String node, int kind, int forS) {
+    SimulatedCluster.Node n = w.nodes.get(node);
     if (!n.up()) {
       return;
     }
     switch (kind) {
       case 0 -> {
         n.crash();
-        w.timers.after(forS, n::start);
+        w.clock.after(forS, n::start);
       }
-      case 1 -> n.standStill(forS);
-      case 2 -> n.loseLease();
+      case 1 -> n.pause(forS);
+      case 2 -> n.expireLease();
       default -> {
-        w.refusedByState.add(node);
-        w.timers.after(forS, () -> w.refusedByState.remove(node));
+        w.refusedByStateService.add(node);
+        w.clock.after(forS, () -> w.refusedByStateService.remove(node));
       }
     }
   }
--- a/src/test/java/dev/dunefront/story/DutyTest.java
+++ b/src/test/java/dev/dunefront/story/DutyTest.java
@@ -43,11 +43,11 @@
       this.pauseS = pauseS;
     }
 
-    void inject(World w, String node) {
+    void inject(SimulatedCluster w, String node) {
       switch (this) {
         case CRASHES -> {
           w.nodes.get(node).crash();
-          w.timers.after(12, () -> w.nodes.get(node).start());
+          w.clock.after(12, () -> w.nodes.get(node).start());
         }
         case LOSES_STATE_SERVICE ->
             dropMessages(w, (f, t) -> f.equals(node) && t.equals(STATE_SERVICE));
@@ -59,14 +59,15 @@
                         && (f.equals(node) && t.startsWith("node")
                             || t.equals(node) && f.startsWith("node")));
         case LOSES_CLOUD -> dropMessages(w, (f, t) -> f.equals(node) && t.equals(CLOUD));
-        case LOSES_LEASE -> w.nodes.get(node).loseLease();
-        default -> w.nodes.get(node).standStill(pauseS);
+        case LOSES_LEASE -> w.nodes.get(node).expireLease();
+        default -> w.nodes.get(node).pause(pauseS);
       }
     }
 
-    private static void dropMessages(World w, java.util.function.BiPredicate<String, String> lost) {
-      w.lost = lost;
-      w.timers.after(15, () -> w.lost = (f, t) -> false);
+    private static void dropMessages(
+        SimulatedCluster w, java.util.function.BiPredicate<String, String> lost) {
+      w.dropDelivery = lost;
+      w.clock.after(15, () -> w.dropDelivery = (f, t) -> false);
     }
   }
 
@@ -99,13 +100,13 @@
    * Injects the failure once, at the next occurrence of the step. The returned list receives the
    * name of the failed controller.
    */
-  private static List<String> failAt(World w, Step step, Failure failure) {
+  private static List<String> failAt(SimulatedCluster w, Step step, Failure failure) {
     List<String> failed = new ArrayList<>();
-    w.tap =
+    w.requestListener =
         (from, path, body) -> {
           if (failed.isEmpty() && step.matches(path, body)) {
             failed.add(from);
-            w.timers.after(step.afterS, () -> failure.inject(w, from));
+            w.clock.after(step.afterS, () -> failure.inject(w, from));
           }
         };
     return failed;
@@ -122,18 +123,18 @@
       for (Failure failure : Failure.values()) {
         String scenario = failure + " when " + step;
         // Machines boot slowly, so that a paused controller resumes before there is any room.
-        World w = new World(3).renting(48, 4);
+        SimulatedCluster w = new SimulatedCluster(3).withRentingDelays(48, 4);
         w.cloud.capacity(50);
-        w.start().pass(3);
+        w.start().advance(3);
         List<String> failed = failAt(w, step, failure);
-        String user = w.named(RENT).equals("node-0") ? "node-1" : "node-0";
-        assertEquals(201, w.submit(user, World.job("wk-1", 6, 4)).status(), scenario);
-        w.pass(44);
+        String user = w.recordedNode(RENT).equals("node-0") ? "node-1" : "node-0";
+        assertEquals(201, w.submit(user, SimulatedCluster.job("wk-1", 6, 4)).status(), scenario);
+        w.advance(44);
         assertEquals(1, failed.size(), scenario);
-        assertEquals(6, w.hired(), scenario);
-        w.pass(40);
-        assertEquals(6, w.running(), scenario);
-        assertEquals(List.of(), w.overlaps, scenario);
+        assertEquals(6, w.rentedCount(), scenario);
+        w.advance(40);
+        assertEquals(6, w.runningCount(), scenario);
+        assertEquals(List.of(), w.overlappingRuns, scenario);
       }
     }
   }
@@ -147,29 +148,29 @@
     for (Step step : Step.values()) {
       for (Failure failure : Failure.values()) {
         String scenario = failure + " when " + step;
-        World w = new World(3);
+        SimulatedCluster w = new SimulatedCluster(3);
         w.tunables = Tunables.withOverrides(Map.of("idle_boots", 1.0, "idle_warm_s", 0.0));
         for (int i = 0; i < 5; i++) {
-          w.machine("host-" + i, "small", "a", "node-" + i % 3);
+          w.addMachine("host-" + i, "small", "a", "node-" + i % 3);
         }
-        w.start().pass(3);
+        w.start().advance(3);
         List<String> failed = failAt(w, step, failure);
         for (int second = 0; second < 20 && failed.isEmpty(); second++) {
-          w.pass(0.5);
+          w.advance(0.5);
         }
         assertEquals(1, failed.size(), scenario);
         // Another controller has work for all the machines while the return is in progress.
-        w.pass(1);
+        w.advance(1);
         String user = failed.get(0).equals("node-0") ? "node-1" : "node-0";
-        w.submit(user, World.job("wk-1", 5, 4));
+        w.submit(user, SimulatedCluster.job("wk-1", 5, 4));
         for (int second = 0; second < 60; second++) {
-          w.pass(1);
+          w.advance(1);
           if (second % 12 == 11) {
-            w.finishAll();
+            w.completeAllTasks();
           }
         }
-        assertEquals(List.of(), w.misused, scenario);
-        assertEquals(List.of(), w.overlaps, scenario);
+        assertEquals(List.of(), w.deletedWhileInUse, scenario);
+        assertEquals(List.of(), w.overlappingRuns, scenario);
         for (FakeWorker m : w.workers.values()) {
           assertEquals(List.of(), m.running(), scenario);
         }
@@ -180,14 +181,14 @@
   /**
    * Seconds until another controller that is up holds the duty; fails after {@code limitS} seconds.
    */
-  private static double vacancyS(World w, double limitS) {
-    double since = w.timers.now();
-    String before = w.named(RENT);
-    while (w.timers.now() - since < limitS) {
-      w.pass(0.02);
-      String now = w.named(RENT);
+  private static double vacancyS(SimulatedCluster w, double limitS) {
+    double since = w.clock.now();
+    String before = w.recordedNode(RENT);
+    while (w.clock.now() - since < limitS) {
+      w.advance(0.02);
+      String now = w.recordedNode(RENT);
       if (now != null && !now.equals(before) && w.nodes.get(now).up()) {
-        return w.timers.now() - since;
+        return w.clock.now() - since;
       }
     }
     throw new AssertionError("no controller has taken the duty after " + limitS + " s");
@@ -196,9 +197,9 @@
   @Test
   void crashLeavesDutyVacantForLittleMoreThanALease() {
     for (int controllers : new int[] {2, 3, 5, 9}) {
-      World w = new World(controllers);
-      w.start().pass(5);
-      w.nodes.get(w.named(RENT)).crash();
+      SimulatedCluster w = new SimulatedCluster(controllers);
+      w.start().advance(5);
+      w.nodes.get(w.recordedNode(RENT)).crash();
       double gap = vacancyS(w, 20);
       assertTrue(gap <= NODE_LEASE_S + 1.5, controllers + " controllers: " + gap + " s");
     }
@@ -207,17 +208,17 @@
   @Test
   void shutdownHandsDutyOverAtOnce() {
     for (int controllers : new int[] {2, 3, 5}) {
-      World w = new World(controllers);
-      w.start().pass(5);
-      w.nodes.get(w.named(RENT)).end();
+      SimulatedCluster w = new SimulatedCluster(controllers);
+      w.start().advance(5);
+      w.nodes.get(w.recordedNode(RENT)).shutDown();
       double gap = vacancyS(w, 20);
       assertTrue(gap <= 0.5, controllers + " controllers: " + gap + " s");
     }
-    World single = new World(1);
-    single.start().pass(5);
-    single.nodes.get("node-0").end();
-    single.pass(0.1);
-    assertEquals(null, single.named(RENT), "no controller is left to hold the duty");
+    SimulatedCluster single = new SimulatedCluster(1);
+    single.start().advance(5);
+    single.nodes.get("node-0").shutDown();
+    single.advance(0.1);
+    assertEquals(null, single.recordedNode(RENT), "no controller is left to hold the duty");
   }
 
   /**
@@ -227,15 +228,16 @@
    */
   @Test
   void restartedHolderTakesDutyBeforeItsOldLeaseExpires() {
-    World w = new World(1);
-    w.start().pass(5);
+    SimulatedCluster w = new SimulatedCluster(1);
+    w.start().advance(5);
     w.nodes.get("node-0").crash();
-    w.pass(0.5);
+    w.advance(0.5);
     w.nodes.get("node-0").start();
-    w.pass(1.5);
-    assertEquals(List.of("w/u/cleanup", "w/u/rent"), w.state.keys("w/u/"));
-    String inc = w.state.value("w/n/node-0").toString();
-    assertTrue(inc.contains(w.incarnation(RENT)), "the duty is held by the current incarnation");
+    w.advance(1.5);
+    assertEquals(List.of("w/u/cleanup", "w/u/rent"), w.stateService.keys("w/u/"));
+    String inc = w.stateService.value("w/n/node-0").toString();
+    assertTrue(
+        inc.contains(w.recordedIncarnation(RENT)), "the duty is held by the current incarnation");
   }
 
   /**
@@ -243,18 +245,18 @@
    */
   @Test
   void dutiesAreSpreadAndReleasedByControllersThatCannotPerformThem() {
-    World w = new World(3);
-    w.start().pass(30);
-    String renter = w.named(RENT);
-    assertNotEquals(renter, w.named("w/u/cleanup"));
-    w.lost = (from, to) -> from.equals(renter) && to.equals(CLOUD);
-    w.pass(30);
-    String next = w.named(RENT);
+    SimulatedCluster w = new SimulatedCluster(3);
+    w.start().advance(30);
+    String renter = w.recordedNode(RENT);
+    assertNotEquals(renter, w.recordedNode("w/u/cleanup"));
+    w.dropDelivery = (from, to) -> from.equals(renter) && to.equals(CLOUD);
+    w.advance(30);
+    String next = w.recordedNode(RENT);
     assertNotNull(next);
     assertNotEquals(renter, next, "a controller that cannot reach the cloud releases the duty");
-    w.lost = (from, to) -> false;
-    w.pass(40);
-    assertEquals(next, w.named(RENT), "the duty does not move back when the link recovers");
+    w.dropDelivery = (from, to) -> false;
+    w.advance(40);
+    assertEquals(next, w.recordedNode(RENT), "the duty does not move back when the link recovers");
   }
 
   /**
@@ -264,22 +266,23 @@
   @Test
   void controllerWithoutMachineTypesLeavesRentingToOthers() {
     for (String informed : List.of("node-0", "node-1", "node-2")) {
-      World w = new World(3);
-      w.lost = (from, to) -> !from.equals(informed) && to.equals(CLOUD);
-      w.start().pass(2);
-      assertEquals(informed, w.named(RENT));
+      SimulatedCluster w = new SimulatedCluster(3);
+      w.dropDelivery = (from, to) -> !from.equals(informed) && to.equals(CLOUD);
+      w.start().advance(2);
+      assertEquals(informed, w.recordedNode(RENT));
     }
   }
 
   /** All controllers lose the cloud: the duty must not circulate among them. */
   @Test
   void dutyThatNoControllerCanPerformDoesNotCirculate() {
-    World w = new World(3);
-    w.start().pass(5);
-    int before = w.state.writes(RENT);
-    w.lost = (from, to) -> to.equals(CLOUD);
-    w.pass(60);
-    assertTrue(w.state.writes(RENT) - before <= 4, "the duty is handed over at most once in 20 s");
+    SimulatedCluster w = new SimulatedCluster(3);
+    w.start().advance(5);
+    int before = w.stateService.writes(RENT);
+    w.dropDelivery = (from, to) -> to.equals(CLOUD);
+    w.advance(60);
+    assertTrue(
+        w.stateService.writes(RENT) - before <= 4, "the duty is handed over at most once in 20 s");
   }
 
   /**
@@ -288,12 +291,12 @@
    */
   @Test
   void messageOfLowerTermIsRefusedAndItsSenderInformed() {
-    World w = new World(3);
+    SimulatedCluster w = new SimulatedCluster(3);
     w.tunables = Tunables.withOverrides(Map.of("idle_boots", 1.0, "idle_warm_s", 0.0));
-    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
+    FakeWorker m = w.addMachine("host-1", "small", "a", "node-0");
     List<Message.RetireMachine> retirements = new ArrayList<>();
     List<Message> dutyTerms = new ArrayList<>();
-    w.late =
+    w.holdPeerMessage =
         message -> {
           if (message instanceof Message.RetireMachine r) {
             retirements.add(r);
@@ -302,19 +305,19 @@
           }
           return message instanceof Message.RetireMachine;
         };
-    w.start().pass(11);
+    w.start().advance(11);
     assertFalse(retirements.isEmpty(), "a retirement message for the machine is sent");
-    String renter = w.named(RENT);
-    w.nodes.get(renter).loseLease();
-    w.pass(6);
+    String renter = w.recordedNode(RENT);
+    w.nodes.get(renter).expireLease();
+    w.advance(6);
     assertTrue(
         retirements.get(retirements.size() - 1).term() > retirements.get(0).term(),
         "the retirement is sent in a later term as well");
-    w.say(renter, w.holder("host-1"), retirements.get(0));
-    w.pass(0.1);
+    w.deliverPeerMessage(renter, w.holderOf("host-1"), retirements.get(0));
+    w.advance(0.1);
     assertFalse(dutyTerms.isEmpty(), "the sender is informed of the higher term");
-    assertEquals(201, w.submit("node-1", World.job("wk-1", 1, 1)).status());
-    w.pass(0.3);
+    assertEquals(201, w.submit("node-1", SimulatedCluster.job("wk-1", 1, 1)).status());
+    w.advance(0.3);
     assertEquals(1, m.running().size(), "the machine was not closed");
   }
 }
--- a/src/test/java/dev/dunefront/story/FairnessTest.java
+++ b/src/test/java/dev/dunefront/story/FairnessTest.java
@@ -22,20 +22,20 @@
 class FairnessTest {
   private static final double START_BOUND_S = 60;
 
-  private static World startCluster(int machines) {
-    World cluster = new World(2);
+  private static SimulatedCluster startCluster(int machines) {
+    SimulatedCluster cluster = new SimulatedCluster(2);
     cluster.tunables =
         Tunables.withOverrides(Map.of("idle_boots", 1000.0, "begin_s", START_BOUND_S));
-    cluster.start().pass(2);
+    cluster.start().advance(2);
     for (int i = 0; i < machines; i++) {
-      cluster.machine("host-" + i, "small", "a", "node-" + i % 2);
+      cluster.addMachine("host-" + i, "small", "a", "node-" + i % 2);
     }
-    cluster.pass(5);
+    cluster.advance(5);
     return cluster;
   }
 
   /** Completes one task on each machine, so that tasks never end all at once. */
-  private static void completeOneTaskPerMachine(World cluster, int second) {
+  private static void completeOneTaskPerMachine(SimulatedCluster cluster, int second) {
     for (FakeWorker m : cluster.workers.values()) {
       List<String> running = m.running();
       if (!running.isEmpty()) {
@@ -44,7 +44,7 @@
     }
   }
 
-  private static boolean hasStarted(World cluster, String job) {
+  private static boolean hasStarted(SimulatedCluster cluster, String job) {
     return cluster.workers.values().stream()
         .flatMap(m -> m.starts().stream())
         .anyMatch(s -> s.startsWith(job + "/"));
@@ -56,25 +56,27 @@
    */
   @Example
   void wholeMachineBestEffortTaskStartsDespiteUrgentStream() {
-    World cluster = startCluster(4);
+    SimulatedCluster cluster = startCluster(4);
     for (int i = 0; i < 3; i++) {
-      cluster.submit("node-" + i % 2, World.job("wk-" + i, 60, 1).put("urgency", "high"));
+      cluster.submit(
+          "node-" + i % 2, SimulatedCluster.job("wk-" + i, 60, 1).put("urgency", "high"));
     }
-    cluster.pass(1);
-    cluster.submit("node-0", World.job("wk-900", 3, 4).put("urgency", "best_effort"));
-    cluster.submit("node-1", World.job("wk-901", 3, 3).put("urgency", "normal"));
+    cluster.advance(1);
+    cluster.submit("node-0", SimulatedCluster.job("wk-900", 3, 4).put("urgency", "best_effort"));
+    cluster.submit("node-1", SimulatedCluster.job("wk-901", 3, 3).put("urgency", "normal"));
     int nextJob = 3;
     for (int second = 0; second < START_BOUND_S; second++) {
       if (second % 4 == 0) {
         cluster.submit(
-            "node-" + nextJob % 2, World.job("wk-" + nextJob++, 20, 1).put("urgency", "high"));
+            "node-" + nextJob % 2,
+            SimulatedCluster.job("wk-" + nextJob++, 20, 1).put("urgency", "high"));
       }
-      cluster.pass(1);
+      cluster.advance(1);
       completeOneTaskPerMachine(cluster, second);
     }
     assertTrue(hasStarted(cluster, "wk-900"), "the job of whole-machine tasks has not started");
     assertTrue(hasStarted(cluster, "wk-901"));
-    assertEquals(List.of(), cluster.overlaps);
+    assertEquals(List.of(), cluster.overlappingRuns);
   }
 
   /**
@@ -84,7 +86,7 @@
   @Property(tries = 20, seed = "28", shrinking = ShrinkingMode.BOUNDED)
   void everyJobThatFitsStartsWithinTheBound(
       @ForAll @Size(min = 8, max = 16) List<@IntRange(max = 479) Integer> jobs) {
-    World cluster = startCluster(4);
+    SimulatedCluster cluster = startCluster(4);
     String[] urgencies = {"critical", "high", "normal", "best_effort"};
     Map<String, Double> submittedAtS = new HashMap<>();
     int nextJob = 0;
@@ -94,20 +96,21 @@
         String id = "wk-" + nextJob++;
         cluster.submit(
             "node-" + encoded % 2,
-            World.job(id, 1 + encoded / 16, 1 + encoded % 4)
+            SimulatedCluster.job(id, 1 + encoded / 16, 1 + encoded % 4)
                 .put("urgency", urgencies[encoded / 4 % 4]));
-        submittedAtS.put(id, cluster.timers.now());
+        submittedAtS.put(id, cluster.clock.now());
       }
       if (second % 4 == 0) {
-        cluster.submit("node-0", World.job("wk-9" + second, 20, 1).put("urgency", "high"));
+        cluster.submit(
+            "node-0", SimulatedCluster.job("wk-9" + second, 20, 1).put("urgency", "high"));
       }
-      cluster.pass(1);
+      cluster.advance(1);
       completeOneTaskPerMachine(cluster, second);
       submittedAtS.keySet().removeIf(id -> hasStarted(cluster, id));
       submittedAtS.forEach(
           (id, submittedS) ->
               assertTrue(
-                  cluster.timers.now() - submittedS < START_BOUND_S,
+                  cluster.clock.now() - submittedS < START_BOUND_S,
                   id + " has not started in time"));
     }
   }
@@ -118,31 +121,32 @@
    */
   @Example
   void bestEffortTasksUseIdleRoomAndArePreempted() {
-    World cluster = startCluster(4);
+    SimulatedCluster cluster = startCluster(4);
     cluster.submit(
         "node-0",
-        World.job("wk-1", 40, 1)
+        SimulatedCluster.job("wk-1", 40, 1)
             .put("urgency", "best_effort")
             .put("snapshot_every_s", 30.0)
             .put("snapshot_s", 3.0));
-    cluster.pass(3);
-    assertEquals(16, cluster.running(), "best-effort tasks do not use all idle room");
-    cluster.pass(40);
-    cluster.submit("node-1", World.job("wk-2", 10, 1));
-    cluster.pass(6);
+    cluster.advance(3);
+    assertEquals(16, cluster.runningCount(), "best-effort tasks do not use all idle room");
+    cluster.advance(40);
+    cluster.submit("node-1", SimulatedCluster.job("wk-2", 10, 1));
+    cluster.advance(6);
     long preemptingTasks =
         cluster.workers.values().stream()
             .flatMap(m -> m.running().stream())
             .filter(t -> t.startsWith("wk-2/"))
             .count();
     assertEquals(10, preemptingTasks);
-    assertEquals(16, cluster.running());
+    assertEquals(16, cluster.runningCount());
     for (int second = 0; second < 40; second++) {
-      cluster.pass(1);
+      cluster.advance(1);
       completeOneTaskPerMachine(cluster, second);
     }
-    assertEquals("done", cluster.poll("node-0", "wk-2").state());
-    assertEquals(List.of(), cluster.dayEnds(), "the best-effort tasks do not run to their end");
+    assertEquals("done", cluster.poll("node-0", "wk-2").jobStatus());
+    assertEquals(
+        List.of(), cluster.drainAndCheck(), "the best-effort tasks do not run to their end");
   }
 
   /**
@@ -151,23 +155,23 @@
    */
   @Example
   void bestEffortTasksLeaveRoomThatOtherJobsNeedSoon() {
-    World cluster = startCluster(4);
+    SimulatedCluster cluster = startCluster(4);
     int nextJob = 0;
     int waitedJobs = 0;
     for (int second = 0; second < 90; second++) {
       if (second == 20) {
         cluster.submit(
             "node-0",
-            World.job("wk-900", 40, 1)
+            SimulatedCluster.job("wk-900", 40, 1)
                 .put("urgency", "best_effort")
                 .put("snapshot_every_s", 30.0)
                 .put("snapshot_s", 3.0));
       }
       String id = "wk-" + nextJob;
       if (second % 3 == 0) {
-        cluster.submit("node-" + nextJob++ % 2, World.job(id, 2, 1));
+        cluster.submit("node-" + nextJob++ % 2, SimulatedCluster.job(id, 2, 1));
       }
-      cluster.pass(1);
+      cluster.advance(1);
       if (second % 3 == 0 && second > 30) {
         waitedJobs += hasStarted(cluster, id) ? 0 : 1;
       }
--- a/src/test/java/dev/dunefront/story/InvalidAndRepeatedRequestsTest.java
+++ b/src/test/java/dev/dunefront/story/InvalidAndRepeatedRequestsTest.java
@@ -42,16 +42,19 @@
   }
 
   private static Document jobWithAllFields(String id) {
-    return World.job(id, 1, 1).put("flavors", List.of("small")).put("site", "a").put("due_s", 90.0);
+    return SimulatedCluster.job(id, 1, 1)
+        .put("flavors", List.of("small"))
+        .put("site", "a")
+        .put("due_s", 90.0);
   }
 
-  private static int submitStatus(World cluster, Document job) {
-    return cluster.ask("node-1", "POST", "/v1/jobs", job.encode()).status();
+  private static int submitStatus(SimulatedCluster cluster, Document job) {
+    return cluster.request("node-1", "POST", "/v1/jobs", job.encode()).status();
   }
 
   @Example
   void missingOrInvalidFieldsAreRejected() {
-    World cluster = World.of(1);
+    SimulatedCluster cluster = SimulatedCluster.withSmallMachines(1);
     assertEquals(201, cluster.submit("node-0", jobWithAllFields("wk-1")).status());
     for (var field : invalidFieldValues().entrySet()) {
       String name = field.getKey();
@@ -62,15 +65,18 @@
         assertEquals(400, submitStatus(cluster, incomplete), name + " is missing");
       }
     }
-    assertEquals(0, cluster.state.keys("w/j/wk-2").size() + cluster.state.keys("w/j/wk-3").size());
+    assertEquals(
+        0,
+        cluster.stateService.keys("w/j/wk-2").size()
+            + cluster.stateService.keys("w/j/wk-3").size());
     assertEquals(404, cluster.poll("node-0", "wk-2").status());
     for (String name : OPTIONAL_FIELDS) {
       String id = "wk-4" + OPTIONAL_FIELDS.indexOf(name);
       assertEquals(
           201, cluster.submit("node-2", jobWithAllFields(id).put(name, null)).status(), name);
     }
-    assertEquals(4, cluster.accepted.size());
-    assertEquals(List.of(), cluster.dayEnds());
+    assertEquals(4, cluster.acceptedJobs.size());
+    assertEquals(List.of(), cluster.drainAndCheck());
   }
 
   /**
@@ -79,41 +85,46 @@
    */
   @Example
   void repeatedRequestsAreIdempotentAndFinalStatesStay() {
-    World cluster = World.of(2);
+    SimulatedCluster cluster = SimulatedCluster.withSmallMachines(2);
     for (String id : List.of("wk-1", "wk-2", "wk-3")) {
-      assertEquals(201, cluster.submit("node-0", World.job(id, 1, 1)).status());
+      assertEquals(201, cluster.submit("node-0", SimulatedCluster.job(id, 1, 1)).status());
     }
-    cluster.pass(2);
+    cluster.advance(2);
     cluster.workers.values().forEach(m -> m.exit("wk-1/0", "done"));
-    assertEquals("cancelled", cluster.cancel("node-1", "wk-2").state());
-    cluster.pass(3);
+    assertEquals("cancelled", cluster.cancel("node-1", "wk-2").jobStatus());
+    cluster.advance(3);
     Map<String, String> finalStates = Map.of("wk-1", "done", "wk-2", "cancelled");
     for (String node : cluster.nodes.keySet()) {
       finalStates.forEach(
           (id, state) -> {
-            assertEquals(200, cluster.submit(node, World.job(id, 1, 1)).status());
-            assertEquals(state, cluster.submit(node, World.job(id, 1, 1)).state());
-            assertEquals(state, cluster.poll(node, id).state());
-            cluster.cancelled.add("wk-2");
-            World.Said response =
-                cluster.ask(node, "POST", "/v1/jobs/" + id + "/abort", new byte[0]);
+            assertEquals(200, cluster.submit(node, SimulatedCluster.job(id, 1, 1)).status());
+            assertEquals(state, cluster.submit(node, SimulatedCluster.job(id, 1, 1)).jobStatus());
+            assertEquals(state, cluster.poll(node, id).jobStatus());
+            cluster.cancelRequestedJobs.add("wk-2");
+            SimulatedCluster.ApiResponse response =
+                cluster.request(node, "POST", "/v1/jobs/" + id + "/abort", new byte[0]);
             assertEquals(200, response.status());
-            assertEquals(state, response.state());
+            assertEquals(state, response.jobStatus());
           });
-      World.Said repeated = cluster.submit(node, World.job("wk-3", 1, 1));
+      SimulatedCluster.ApiResponse repeated =
+          cluster.submit(node, SimulatedCluster.job("wk-3", 1, 1));
       assertEquals(200, repeated.status());
-      assertEquals("running", cluster.poll(node, "wk-3").state());
+      assertEquals("running", cluster.poll(node, "wk-3").jobStatus());
       // A submission that repeats a known id is never refused, whatever its other fields contain.
-      assertEquals(200, cluster.submit(node, World.job("wk-3", 1, 99)).status());
-      assertEquals(200, cluster.submit(node, World.job("wk-1", 1, 1).put("owner", "x")).status());
+      assertEquals(200, cluster.submit(node, SimulatedCluster.job("wk-3", 1, 99)).status());
+      assertEquals(
+          200, cluster.submit(node, SimulatedCluster.job("wk-1", 1, 1).put("owner", "x")).status());
       assertEquals(404, cluster.poll(node, "wk-77").status());
-      assertEquals(404, cluster.ask(node, "POST", "/v1/jobs/wk-77/abort", new byte[0]).status());
-      assertEquals(422, cluster.submit(node, World.job("wk-5", 1, 99)).status());
-      assertEquals(422, cluster.submit(node, World.job("wk-5", 1, 1).put("owner", "x")).status());
-      Document unknownFlavor = World.job("wk-5", 1, 1).put("flavors", List.of("huge"));
+      assertEquals(
+          404, cluster.request(node, "POST", "/v1/jobs/wk-77/abort", new byte[0]).status());
+      assertEquals(422, cluster.submit(node, SimulatedCluster.job("wk-5", 1, 99)).status());
+      assertEquals(
+          422, cluster.submit(node, SimulatedCluster.job("wk-5", 1, 1).put("owner", "x")).status());
+      Document unknownFlavor = SimulatedCluster.job("wk-5", 1, 1).put("flavors", List.of("huge"));
       assertEquals(422, cluster.submit(node, unknownFlavor).status());
-      assertEquals(422, cluster.submit(node, World.job("wk-5", 1, 1).put("site", "z")).status());
+      assertEquals(
+          422, cluster.submit(node, SimulatedCluster.job("wk-5", 1, 1).put("site", "z")).status());
     }
-    assertEquals(List.of(), cluster.dayEnds());
+    assertEquals(List.of(), cluster.drainAndCheck());
   }
 }
--- a/src/test/java/dev/dunefront/story/IsolatedControllerTest.java
+++ b/src/test/java/dev/dunefront/story/IsolatedControllerTest.java
@@ -17,13 +17,13 @@
 class IsolatedControllerTest {
   private static final String STATE_SERVICE = "10.2.0.1:1";
 
-  private static World world(List<String> zones) {
-    World w = new World(zones, World.ONE_TEAM);
-    w.start().pass(2);
+  private static SimulatedCluster world(List<String> zones) {
+    SimulatedCluster w = new SimulatedCluster(zones, SimulatedCluster.ONE_TEAM);
+    w.start().advance(2);
     for (int i = 0; i < 12; i++) {
-      w.machine("host-" + i, "small", zones.get(i % zones.size()), "node-" + i % zones.size());
+      w.addMachine("host-" + i, "small", zones.get(i % zones.size()), "node-" + i % zones.size());
     }
-    w.pass(6);
+    w.advance(6);
     return w;
   }
 
@@ -31,15 +31,15 @@
    * Drops all messages of a controller except those to and from workers and users; its links become
    * silent.
    */
-  private static void isolate(World w, String node) {
-    w.lost = World.withoutPeersAndState(node);
+  private static void isolate(SimulatedCluster w, String node) {
+    w.dropDelivery = SimulatedCluster.isolatedFromPeersAndState(node);
     // The response to an open watch is lost as well.
-    w.unanswered = (from, to) -> from.equals(node) && to.equals(STATE_SERVICE);
-    w.timers.after(5, () -> w.linksSilent(node));
+    w.dropResponse = (from, to) -> from.equals(node) && to.equals(STATE_SERVICE);
+    w.clock.after(5, () -> w.timeOutLinks(node));
   }
 
-  private static long countMachinesHeldBy(World w, String node) {
-    return w.workers.values().stream().filter(m -> w.holder(m.host()).equals(node)).count();
+  private static long countMachinesHeldBy(SimulatedCluster w, String node) {
+    return w.workers.values().stream().filter(m -> w.holderOf(m.host()).equals(node)).count();
   }
 
   /**
@@ -49,39 +49,40 @@
    */
   @Test
   void workersMoveToOtherControllersWithoutLosingTasks() {
-    World w = world(List.of("a", "a", "a"));
+    SimulatedCluster w = world(List.of("a", "a", "a"));
     for (int i = 0; i < 3; i++) {
-      assertEquals(201, w.submit("node-" + i, World.job("wk-" + i, 10, 1)).status());
+      assertEquals(201, w.submit("node-" + i, SimulatedCluster.job("wk-" + i, 10, 1)).status());
     }
-    w.pass(3);
-    assertEquals(30, w.running());
+    w.advance(3);
+    assertEquals(30, w.runningCount());
     assertTrue(countMachinesHeldBy(w, "node-0") > 0);
     isolate(w, "node-0");
-    w.pass(6);
+    w.advance(6);
     assertEquals(
         503,
-        w.ask("node-0", "GET", "/up", new byte[0]).status(),
+        w.request("node-0", "GET", "/up", new byte[0]).status(),
         "the health check sends users to other controllers");
     assertEquals(
         503,
-        w.submit("node-0", World.job("wk-9", 1, 1)).status(),
+        w.submit("node-0", SimulatedCluster.job("wk-9", 1, 1)).status(),
         "submissions are refused at once");
-    w.pass(30);
+    w.advance(30);
     assertEquals(0, countMachinesHeldBy(w, "node-0"));
-    assertEquals(30, w.running(), "no lease expired");
-    w.finishAll();
-    w.pass(6);
+    assertEquals(30, w.runningCount(), "no lease expired");
+    w.completeAllTasks();
+    w.advance(6);
     for (int i = 0; i < 3; i++) {
-      assertEquals("done", w.poll("node-1", "wk-" + i).state(), "the ends of tasks are recorded");
+      assertEquals(
+          "done", w.poll("node-1", "wk-" + i).jobStatus(), "the ends of tasks are recorded");
     }
     int starts = w.workers.values().stream().mapToInt(m -> m.starts().size()).sum();
     assertEquals(30, starts, "no task ran again");
-    w.lost = (from, to) -> false;
-    w.unanswered = (from, to) -> false;
-    w.linksBack("node-0");
-    w.pass(8);
-    assertEquals(200, w.ask("node-0", "GET", "/up", new byte[0]).status());
-    assertEquals(List.of(), w.dayEnds());
+    w.dropDelivery = (from, to) -> false;
+    w.dropResponse = (from, to) -> false;
+    w.reconnectLinks("node-0");
+    w.advance(8);
+    assertEquals(200, w.request("node-0", "GET", "/up", new byte[0]).status());
+    assertEquals(List.of(), w.drainAndCheck());
   }
 
   /**
@@ -90,17 +91,17 @@
    */
   @Test
   void workersBehindZonePartitionReturnAndStay() {
-    World w = world(List.of("a", "b", "b"));
-    assertEquals(201, w.submit("node-1", World.job("wk-1", 40, 1)).status());
-    w.pass(3);
+    SimulatedCluster w = world(List.of("a", "b", "b"));
+    assertEquals(201, w.submit("node-1", SimulatedCluster.job("wk-1", 40, 1)).status());
+    w.advance(3);
     int before =
         w.workers.values().stream()
             .filter(m -> w.zoneOf(m).equals("a"))
             .mapToInt(m -> m.running().size())
             .sum();
     assertTrue(before > 0);
-    w.cut("a");
-    w.pass(6 * World.LEASE_S);
+    w.partitionZone("a");
+    w.advance(6 * SimulatedCluster.LEASE_S);
     int after =
         w.workers.values().stream()
             .filter(m -> w.zoneOf(m).equals("a"))
@@ -108,9 +109,9 @@
             .sum();
     assertTrue(
         before - after <= 4, "only the tasks of the machine that was released first are lost");
-    w.heal();
-    w.pass(4);
-    assertEquals(List.of(), w.dayEnds());
+    w.healPartition();
+    w.advance(4);
+    assertEquals(List.of(), w.drainAndCheck());
   }
 
   /**
@@ -122,48 +123,49 @@
    */
   @Test
   void machineThatReturnsToItsOldHolderKeepsItsTasks() {
-    World w = new World(List.of("a", "a", "a"), World.ONE_TEAM);
-    w.start().pass(2);
-    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
-    w.pass(6);
-    String oldHolder = w.holder("host-1");
+    SimulatedCluster w = new SimulatedCluster(List.of("a", "a", "a"), SimulatedCluster.ONE_TEAM);
+    w.start().advance(2);
+    FakeWorker m = w.addMachine("host-1", "small", "a", "node-0");
+    w.advance(6);
+    String oldHolder = w.holderOf("host-1");
     String other = oldHolder.equals("node-1") ? "node-2" : "node-1";
-    assertEquals(201, w.submit(other, World.job("wk-1", 2, 1)).status());
-    assertEquals(201, w.submit(other, World.job("wk-2", 2, 1)).status());
-    w.pass(2);
+    assertEquals(201, w.submit(other, SimulatedCluster.job("wk-1", 2, 1)).status());
+    assertEquals(201, w.submit(other, SimulatedCluster.job("wk-2", 2, 1)).status());
+    w.advance(2);
     assertEquals(4, m.running().size());
     // An idle machine is released first, so this one stays for a while.
     for (int i = 3;
-        w.workers.values().stream().filter(x -> oldHolder.equals(w.holder(x.host()))).count() < 2;
+        w.workers.values().stream().filter(x -> oldHolder.equals(w.holderOf(x.host()))).count() < 2;
         i++) {
-      w.machine("host-" + i, "small", "a", oldHolder);
-      w.pass(2);
+      w.addMachine("host-" + i, "small", "a", oldHolder);
+      w.advance(2);
     }
     isolate(w, oldHolder);
     for (int i = 0; i < 60 && !other.equals(recordedHolder(w)); i++) {
-      w.pass(0.25);
-      w.hello(other, m.report());
+      w.advance(0.25);
+      w.deliverReport(other, m.report());
     }
     assertEquals(other, recordedHolder(w), "the machine reported once and was taken");
-    w.machine("host-2", "small", "a", other);
-    w.pass(1.1 * World.LEASE_S);
-    assertEquals(oldHolder, w.holder("host-1"));
+    w.addMachine("host-2", "small", "a", other);
+    w.advance(1.1 * SimulatedCluster.LEASE_S);
+    assertEquals(oldHolder, w.holderOf("host-1"));
     w.cancel(other, "wk-2");
-    w.pass(1);
-    assertEquals(2, World.running(m, "wk-1"), "the job keeps running");
-    w.pass(World.LEASE_S);
-    assertEquals(2, World.running(m, "wk-1"), "the job is not lost after another lease");
-    assertEquals(List.of(), w.overlaps);
-    w.lost = (from, to) -> false;
-    w.unanswered = (from, to) -> false;
-    w.linksBack(oldHolder);
-    w.pass(4);
-    assertEquals(List.of(), w.dayEnds());
+    w.advance(1);
+    assertEquals(2, SimulatedCluster.runningCount(m, "wk-1"), "the job keeps running");
+    w.advance(SimulatedCluster.LEASE_S);
+    assertEquals(
+        2, SimulatedCluster.runningCount(m, "wk-1"), "the job is not lost after another lease");
+    assertEquals(List.of(), w.overlappingRuns);
+    w.dropDelivery = (from, to) -> false;
+    w.dropResponse = (from, to) -> false;
+    w.reconnectLinks(oldHolder);
+    w.advance(4);
+    assertEquals(List.of(), w.drainAndCheck());
   }
 
-  private static String recordedHolder(World w) {
+  private static String recordedHolder(SimulatedCluster w) {
     try {
-      Document hold = w.state.value("w/h/host-1");
+      Document hold = w.stateService.value("w/h/host-1");
       String holder = hold == null ? "#" : hold.text("holder");
       return holder.substring(0, holder.indexOf('#'));
     } catch (MalformedMessageException e) {
@@ -179,40 +181,40 @@
    */
   @Test
   void workersMoveWhenStateServiceRefusesTheirController() {
-    World w = world(List.of("a", "a", "a"));
-    assertEquals(201, w.submit("node-0", World.job("wk-0", 14, 1)).status());
-    w.pass(3);
-    w.refusedByState.add("node-0");
-    w.lost = World.withoutPeers("node-0");
-    w.timers.after(5, () -> w.linksSilent("node-0"));
-    w.pass(36);
+    SimulatedCluster w = world(List.of("a", "a", "a"));
+    assertEquals(201, w.submit("node-0", SimulatedCluster.job("wk-0", 14, 1)).status());
+    w.advance(3);
+    w.refusedByStateService.add("node-0");
+    w.dropDelivery = SimulatedCluster.isolatedFromPeers("node-0");
+    w.clock.after(5, () -> w.timeOutLinks("node-0"));
+    w.advance(36);
     assertEquals(0, countMachinesHeldBy(w, "node-0"));
     assertEquals(12, w.workers.size(), "no machine was returned as silent");
     int starts = w.workers.values().stream().mapToInt(m -> m.starts().size()).sum();
     assertEquals(14, starts, "no task ran again");
-    w.lost = (from, to) -> false;
-    w.refusedByState.clear();
-    w.linksBack("node-0");
-    w.pass(4);
-    assertEquals(List.of(), w.dayEnds());
+    w.dropDelivery = (from, to) -> false;
+    w.refusedByStateService.clear();
+    w.reconnectLinks("node-0");
+    w.advance(4);
+    assertEquals(List.of(), w.drainAndCheck());
   }
 
   /** The controller reconnects when some, none or all of its machines have moved. */
   @Test
   void isolatedControllerReconnectsAfterAnyDuration() {
     for (double cutS : new double[] {2, 5, 8, 14, 18, 22, 60, 120}) {
-      World w = world(List.of("a", "a", "a"));
-      assertEquals(201, w.submit("node-0", World.job("wk-0", 14, 1)).status());
-      assertEquals(201, w.submit("node-1", World.job("wk-1", 14, 1)).status());
-      w.pass(3);
+      SimulatedCluster w = world(List.of("a", "a", "a"));
+      assertEquals(201, w.submit("node-0", SimulatedCluster.job("wk-0", 14, 1)).status());
+      assertEquals(201, w.submit("node-1", SimulatedCluster.job("wk-1", 14, 1)).status());
+      w.advance(3);
       isolate(w, "node-0");
-      w.pass(cutS);
-      w.lost = (from, to) -> false;
-      w.unanswered = (from, to) -> false;
-      w.linksBack("node-0");
-      w.pass(1);
-      assertNotEquals(0, w.running());
-      assertEquals(List.of(), w.dayEnds(), "cut for " + cutS + " s");
+      w.advance(cutS);
+      w.dropDelivery = (from, to) -> false;
+      w.dropResponse = (from, to) -> false;
+      w.reconnectLinks("node-0");
+      w.advance(1);
+      assertNotEquals(0, w.runningCount());
+      assertEquals(List.of(), w.drainAndCheck(), "cut for " + cutS + " s");
     }
   }
 
@@ -221,14 +223,14 @@
    */
   @Test
   void workersStayDuringGeneralStateServiceOutage() {
-    World w = world(List.of("a", "a", "a"));
+    SimulatedCluster w = world(List.of("a", "a", "a"));
     long held = countMachinesHeldBy(w, "node-0");
-    w.lost = (from, to) -> to.equals(STATE_SERVICE);
-    w.pass(8 * World.LEASE_S);
+    w.dropDelivery = (from, to) -> to.equals(STATE_SERVICE);
+    w.advance(8 * SimulatedCluster.LEASE_S);
     assertEquals(held, countMachinesHeldBy(w, "node-0"));
-    w.lost = (from, to) -> false;
-    w.pass(5);
-    assertEquals(201, w.submit("node-0", World.job("wk-0", 14, 1)).status());
-    assertEquals(List.of(), w.dayEnds());
+    w.dropDelivery = (from, to) -> false;
+    w.advance(5);
+    assertEquals(201, w.submit("node-0", SimulatedCluster.job("wk-0", 14, 1)).status());
+    assertEquals(List.of(), w.drainAndCheck());
   }
 }
