--- a/src/test/java/dev/dunefront/story/JobDurabilityTest.java
+++ b/src/test/java/dev/dunefront/story/JobDurabilityTest.java
@@ -26,49 +26,49 @@
    */
   @Example
   void finalCheckReportsForgottenAndUnfinishedJobs() {
-    World w = World.of(2);
-    assertEquals(201, w.submit("node-0", World.job("wk-1", 2, 1)).status());
-    w.pass(2);
+    SimulatedCluster w = SimulatedCluster.withSmallMachines(2);
+    assertEquals(201, w.submit("node-0", SimulatedCluster.job("wk-1", 2, 1)).status());
+    w.advance(2);
     w.removeState("w/j/wk-1");
-    List<String> violations = w.dayEnds();
+    List<String> violations = w.drainAndCheck();
     assertTrue(
         violations.stream().anyMatch(s -> s.contains("forgotten by node-2")),
         violations.toString());
 
-    World v = World.of(1);
-    assertEquals(201, v.submit("node-0", World.job("wk-1", 6, 1)).status());
-    v.pass(2);
-    v.silent.add("host-0");
-    violations = v.dayEnds();
+    SimulatedCluster v = SimulatedCluster.withSmallMachines(1);
+    assertEquals(201, v.submit("node-0", SimulatedCluster.job("wk-1", 6, 1)).status());
+    v.advance(2);
+    v.isolatedHosts.add("host-0");
+    violations = v.drainAndCheck();
     assertEquals(List.of("wk-1 never ran whole"), violations);
   }
 
   /** Every controller answers status requests for a job in every state. */
   @Example
   void statusIsAnsweredForJobsInEveryState() {
-    World w = World.of(6);
-    assertEquals(201, w.submit("node-0", World.job("wk-1", 4, 1)).status());
-    w.pass(2);
-    w.finishAll();
-    w.pass(4);
-    assertEquals("done", w.poll("node-1", "wk-1").state());
+    SimulatedCluster w = SimulatedCluster.withSmallMachines(6);
+    assertEquals(201, w.submit("node-0", SimulatedCluster.job("wk-1", 4, 1)).status());
+    w.advance(2);
+    w.completeAllTasks();
+    w.advance(4);
+    assertEquals("done", w.poll("node-1", "wk-1").jobStatus());
     // The submission is accepted, its response is lost, and the claiming controller crashes.
-    w.unanswered = (from, to) -> from.equals("node-0") && to.equals("10.2.0.1:1");
-    w.submit("node-0", World.job("wk-2", 3, 1));
-    w.unanswered = (from, to) -> false;
-    w.accepted.put("wk-2", 3);
-    assertEquals(201, w.submit("node-1", World.job("wk-3", 3, 1)).status());
-    assertEquals(201, w.submit("node-2", World.job("wk-4", 5, 1)).status());
-    assertEquals(201, w.submit("node-0", World.job("wk-5", 600, 0.04)).status());
-    w.pass(0.5);
+    w.dropResponse = (from, to) -> from.equals("node-0") && to.equals("10.2.0.1:1");
+    w.submit("node-0", SimulatedCluster.job("wk-2", 3, 1));
+    w.dropResponse = (from, to) -> false;
+    w.acceptedJobs.put("wk-2", 3);
+    assertEquals(201, w.submit("node-1", SimulatedCluster.job("wk-3", 3, 1)).status());
+    assertEquals(201, w.submit("node-2", SimulatedCluster.job("wk-4", 5, 1)).status());
+    assertEquals(201, w.submit("node-0", SimulatedCluster.job("wk-5", 600, 0.04)).status());
+    w.advance(0.5);
     w.cancel("node-2", "wk-3");
     w.nodes.get("node-0").crash();
-    w.pass(World.LEASE_S);
+    w.advance(SimulatedCluster.LEASE_S);
     // The restarted controller has no final states in memory and reads them on request.
     w.nodes.get("node-0").start();
-    assertEquals(List.of(), w.dayEnds());
-    assertEquals("done", w.poll("node-0", "wk-1").state());
-    assertEquals("cancelled", w.poll("node-0", "wk-3").state());
+    assertEquals(List.of(), w.drainAndCheck());
+    assertEquals("done", w.poll("node-0", "wk-1").jobStatus());
+    assertEquals("cancelled", w.poll("node-0", "wk-3").jobStatus());
     assertEquals(404, w.poll("node-0", "wk-77").status());
   }
 
@@ -78,13 +78,13 @@
    */
   @Example
   void failingJobsStayQueryableAndDoNotBlockOthers() {
-    World w = World.of(4);
+    SimulatedCluster w = SimulatedCluster.withSmallMachines(4);
     for (int i = 0; i < 5; i++) {
-      assertEquals(201, w.submit("node-" + i % 3, World.job("wk-9" + i, 8, 1)).status());
+      assertEquals(201, w.submit("node-" + i % 3, SimulatedCluster.job("wk-9" + i, 8, 1)).status());
     }
-    assertEquals(201, w.submit("node-0", World.job("wk-1", 20, 1)).status());
+    assertEquals(201, w.submit("node-0", SimulatedCluster.job("wk-1", 20, 1)).status());
     for (int second = 0; second < 90; second++) {
-      w.pass(1);
+      w.advance(1);
       for (FakeWorker m : w.workers.values()) {
         for (String task : m.running()) {
           if (task.startsWith("wk-9")) {
@@ -95,19 +95,19 @@
         }
       }
     }
-    assertEquals("done", w.poll("node-1", "wk-1").state());
+    assertEquals("done", w.poll("node-1", "wk-1").jobStatus());
     int starts = w.workers.values().stream().mapToInt(m -> m.starts().size()).sum();
     assertTrue(starts < 20 + 5 * 30, starts + " starts");
     for (int i = 0; i < 5; i++) {
-      String state = w.poll("node-" + i % 3, "wk-9" + i).state();
+      String state = w.poll("node-" + i % 3, "wk-9" + i).jobStatus();
       assertTrue(state.equals("queued") || state.equals("running"), state);
       assertEquals(200, w.cancel("node-" + i % 3, "wk-9" + i).status());
-      assertEquals("cancelled", w.poll("node-0", "wk-9" + i).state());
+      assertEquals("cancelled", w.poll("node-0", "wk-9" + i).jobStatus());
     }
-    assertEquals(201, w.submit("node-0", World.job("wk-2", 16, 1)).status());
-    w.pass(2);
-    assertEquals(16, w.running(), "no machine is quarantined because of the failing jobs");
-    assertEquals(List.of(), w.dayEnds());
+    assertEquals(201, w.submit("node-0", SimulatedCluster.job("wk-2", 16, 1)).status());
+    w.advance(2);
+    assertEquals(16, w.runningCount(), "no machine is quarantined because of the failing jobs");
+    assertEquals(List.of(), w.drainAndCheck());
   }
 
   /**
@@ -116,20 +116,21 @@
    */
   @Example
   void failuresOnTwoMachinesDoNotDelayAJobThatSucceedsElsewhere() {
-    World w = World.of(5);
-    assertEquals(201, w.submit("node-0", World.job("wk-1", 40, 1)).status());
-    w.pass(2);
+    SimulatedCluster w = SimulatedCluster.withSmallMachines(5);
+    assertEquals(201, w.submit("node-0", SimulatedCluster.job("wk-1", 40, 1)).status());
+    w.advance(2);
     for (int i = 0; i < 2; i++) {
       FakeWorker m = w.workers.get("host-" + i + ":9");
       m.running().forEach(t -> m.exit(t, "error"));
     }
-    w.pass(2);
+    w.advance(2);
     for (int i = 2; i < 5; i++) {
       FakeWorker m = w.workers.get("host-" + i + ":9");
       m.running().forEach(t -> m.exit(t, "done"));
     }
-    w.pass(5);
-    assertTrue(w.running() >= 12, w.running() + " tasks run although there is room for all");
+    w.advance(5);
+    assertTrue(
+        w.runningCount() >= 12, w.runningCount() + " tasks run although there is room for all");
   }
 
   /**
@@ -138,102 +139,103 @@
    */
   @Example
   void controllerRestartsRepeatedlyWithinItsLease() {
-    World w = World.of(9);
+    SimulatedCluster w = SimulatedCluster.withSmallMachines(9);
     for (int i = 0; i < 6; i++) {
-      assertEquals(201, w.submit("node-" + i % 3, World.job("wk-" + i, 5, 1)).status());
+      assertEquals(201, w.submit("node-" + i % 3, SimulatedCluster.job("wk-" + i, 5, 1)).status());
     }
-    w.pass(1);
-    int holdWrites = w.state.writes("w/h/");
+    w.advance(1);
+    int holdWrites = w.stateService.writes("w/h/");
     for (int round = 0; round < 5; round++) {
       w.nodes.get("node-1").crash();
-      w.pass(0.2);
+      w.advance(0.2);
       w.nodes.get("node-1").start();
-      w.pass(1.8);
+      w.advance(1.8);
     }
-    w.pass(World.LEASE_S);
-    assertEquals(30, w.running(), "no task is lost");
+    w.advance(SimulatedCluster.LEASE_S);
+    assertEquals(30, w.runningCount(), "no task is lost");
     assertTrue(
-        w.state.writes("w/h/") - holdWrites <= 3,
+        w.stateService.writes("w/h/") - holdWrites <= 3,
         "the holds are kept without a write for each restart");
-    assertEquals(List.of(), w.dayEnds());
+    assertEquals(List.of(), w.drainAndCheck());
   }
 
   @Example
   void allControllersRestartRepeatedlyDuringElections() {
-    World w = World.of(9).renting(5, 4);
+    SimulatedCluster w = SimulatedCluster.withSmallMachines(9).withRentingDelays(5, 4);
     for (int i = 0; i < 6; i++) {
-      assertEquals(201, w.submit("node-" + i % 3, World.job("wk-" + i, 5, 1)).status());
+      assertEquals(201, w.submit("node-" + i % 3, SimulatedCluster.job("wk-" + i, 5, 1)).status());
     }
-    w.pass(1);
+    w.advance(1);
     for (int round = 0; round < 5; round++) {
       double after = 0.05 + 0.3 * round;
-      w.nodes.values().forEach(World.Node::crash);
-      w.pass(after);
-      w.nodes.values().forEach(World.Node::start);
-      w.pass(after);
+      w.nodes.values().forEach(SimulatedCluster.Node::crash);
+      w.advance(after);
+      w.nodes.values().forEach(SimulatedCluster.Node::start);
+      w.advance(after);
     }
-    w.pass(3);
-    assertEquals(30, w.running());
-    assertEquals(List.of(), w.dayEnds());
+    w.advance(3);
+    assertEquals(30, w.runningCount());
+    assertEquals(List.of(), w.drainAndCheck());
   }
 
   /** After any sequence of faults, single or overlapping, the final check holds. */
   @Property(tries = 40, seed = "28", shrinking = ShrinkingMode.BOUNDED)
   void allJobsFinishAfterAnySequenceOfFaults(
       @ForAll @Size(min = 1, max = 6) List<@IntRange(max = 8_999) Integer> faults) {
-    World w = World.of(9);
+    SimulatedCluster w = SimulatedCluster.withSmallMachines(9);
     for (int i = 0; i < 6; i++) {
-      w.submit("node-" + i % 3, World.job("wk-" + i, 3 + i, 1 + i % 2));
+      w.submit("node-" + i % 3, SimulatedCluster.job("wk-" + i, 3 + i, 1 + i % 2));
     }
     int submitted = 0;
     for (int fault : faults) {
       injectFault(w, fault % 9, "node-" + fault / 9 % 3, "host-" + fault / 27 % 9, fault / 243);
-      w.pass(0.1 + fault % 50 * 0.2);
-      w.submit("node-" + submitted % 3, World.job("wk-1" + submitted++, 4, 1));
+      w.advance(0.1 + fault % 50 * 0.2);
+      w.submit("node-" + submitted % 3, SimulatedCluster.job("wk-1" + submitted++, 4, 1));
       if (fault % 2 == 0) {
-        w.finishAll();
+        w.completeAllTasks();
       }
     }
-    w.lost = (from, to) -> false;
-    w.silent.clear();
-    w.deaf.clear();
-    w.copiesAfterS = List.of();
-    w.refusedByState.clear();
-    w.state.outage(false);
-    for (World.Node n : w.nodes.values()) {
+    w.dropDelivery = (from, to) -> false;
+    w.isolatedHosts.clear();
+    w.inboundBlockedHosts.clear();
+    w.duplicateReportDelaysS = List.of();
+    w.refusedByStateService.clear();
+    w.stateService.outage(false);
+    for (SimulatedCluster.Node n : w.nodes.values()) {
       if (!n.up()) {
         n.start();
       }
-      w.linksBack(n.name);
+      w.reconnectLinks(n.name);
     }
-    w.pass(3);
-    assertEquals(List.of(), w.dayEnds());
+    w.advance(3);
+    assertEquals(List.of(), w.drainAndCheck());
   }
 
-  private static void injectFault(World w, int kind, String node, String host, int extra) {
-    World.Node n = w.nodes.get(node);
+  private static void injectFault(
+      SimulatedCluster w, int kind, String node, String host, int extra) {
+    SimulatedCluster.Node n = w.nodes.get(node);
     switch (kind) {
-      case 0 -> w.deaf.add(host);
-      case 1 -> w.copiesAfterS = List.of(0.5 + extra % 30, World.LEASE_S * 2);
+      case 0 -> w.inboundBlockedHosts.add(host);
+      case 1 -> w.duplicateReportDelaysS = List.of(0.5 + extra % 30, SimulatedCluster.LEASE_S * 2);
       case 2 -> {
-        w.lost = World.withoutPeersAndState(node);
-        w.timers.after(5, () -> w.linksSilent(node));
+        w.dropDelivery = SimulatedCluster.isolatedFromPeersAndState(node);
+        w.clock.after(5, () -> w.timeOutLinks(node));
       }
       case 3 -> {
         if (n.up()) {
           n.crash();
-          w.timers.after(0.05 + extra * 0.02, n::start);
+          w.clock.after(0.05 + extra * 0.02, n::start);
         }
       }
       case 4 -> {
         if (n.up()) {
-          n.standStill(2 + extra);
+          n.pause(2 + extra);
         }
       }
       case 5 -> w.workers.get(host + ":9").restart();
-      case 6 -> w.refusedByState.add(node);
-      case 7 -> w.silent.add(host);
-      default -> w.deaf.remove(host);
+      case 6 -> w.refusedByStateService.add(node);
+      case 7 -> w.isolatedHosts.add(host);
+      default -> w.inboundBlockedHosts.remove(host);
     }
   }
 
@@ -243,13 +245,14 @@
    */
   @Example
   void statusRequestBurstCausesFewStateServiceReads() {
-    World w = World.of(4);
+    SimulatedCluster w = SimulatedCluster.withSmallMachines(4);
     for (int i = 0; i < 20; i++) {
-      assertEquals(201, w.submit("node-" + i % 3, World.job("wk-" + i, 1, 0.5)).status());
+      assertEquals(
+          201, w.submit("node-" + i % 3, SimulatedCluster.job("wk-" + i, 1, 0.5)).status());
     }
-    w.pass(2);
+    w.advance(2);
     int[] reads = new int[1];
-    w.tap =
+    w.requestListener =
         (from, path, body) ->
             reads[0] += path.startsWith("/keys/w/") || path.contains("prefix=w/j") ? 1 : 0;
     int[] answered = new int[1];
@@ -258,12 +261,12 @@
       w.nodes
           .get("node-" + i % 3)
           .request("GET", "/v1/jobs/" + id, status -> answered[0] += status == 200 ? 1 : 0);
-      w.pass(0.002);
+      w.advance(0.002);
     }
-    w.pass(1);
+    w.advance(1);
     assertEquals(1000, answered[0]);
     assertTrue(reads[0] < 100, reads[0] + " reads for 1,000 status requests");
-    assertEquals(201, w.submit("node-0", World.job("wk-50", 1, 1)).status());
+    assertEquals(201, w.submit("node-0", SimulatedCluster.job("wk-50", 1, 1)).status());
   }
 
   /**
@@ -275,68 +278,70 @@
       @ForAll @Size(max = 6) List<@IntRange(max = 4) Integer> fates,
       @ForAll @IntRange(max = 20) int pause)
       throws MalformedMessageException {
-    World w = World.of(3);
+    SimulatedCluster w = SimulatedCluster.withSmallMachines(3);
     int[] n = new int[1];
-    w.fates =
+    w.deliveryPolicy =
         (from, path, body) ->
             from.equals("node-1") && path.startsWith("/watch") && n[0] < fates.size()
-                ? World.Fate.values()[fates.get(n[0]++)]
-                : World.Fate.ON_TIME;
-    w.pass(pause * 0.05);
-    assertEquals(201, w.submit("node-0", World.job("wk-1", 2, 1)).status());
-    World.Said response = w.poll("node-1", "wk-1");
+                ? SimulatedCluster.Delivery.values()[fates.get(n[0]++)]
+                : SimulatedCluster.Delivery.ON_TIME;
+    w.advance(pause * 0.05);
+    assertEquals(201, w.submit("node-0", SimulatedCluster.job("wk-1", 2, 1)).status());
+    SimulatedCluster.ApiResponse response = w.poll("node-1", "wk-1");
     assertTrue(response.status() == 200 || response.status() == 503, "status " + response.status());
-    w.pass(1);
-    w.finishAll();
+    w.advance(1);
+    w.completeAllTasks();
     boolean done = false;
     for (int i = 0; i < 40; i++) {
-      w.pass(0.2);
-      done |= w.poll("node-0", "wk-1").state().equals("done");
+      w.advance(0.2);
+      done |= w.poll("node-0", "wk-1").jobStatus().equals("done");
       response = w.poll("node-1", "wk-1");
       if (done && response.status() == 200) {
-        assertEquals("done", response.state());
+        assertEquals("done", response.jobStatus());
       }
       assertFalse(response.status() == 404);
     }
     assertTrue(done);
-    Document spec = World.job("wk-1", 2, 1);
+    Document spec = SimulatedCluster.job("wk-1", 2, 1);
     assertEquals(200, w.submit("node-1", spec).status());
   }
 
   /** A job of 100,000 tasks is accepted, polled, started and cancelled like any other job. */
   @Example
   void largestJobIsHandledLikeAnyOther() {
-    World w = World.of(9);
-    int before = w.state.writes("");
-    assertEquals(201, w.submit("node-0", World.job("wk-1", 100_000, 0.25)).status());
-    assertEquals(1, w.state.writes("") - before, "the job is accepted with one write");
-    assertEquals("queued", w.poll("node-1", "wk-1").state());
-    assertEquals(201, w.submit("node-1", World.job("wk-2", 4, 1).put("urgency", "high")).status());
-    before = w.state.writes("");
+    SimulatedCluster w = SimulatedCluster.withSmallMachines(9);
+    int before = w.stateService.writes("");
+    assertEquals(201, w.submit("node-0", SimulatedCluster.job("wk-1", 100_000, 0.25)).status());
+    assertEquals(1, w.stateService.writes("") - before, "the job is accepted with one write");
+    assertEquals("queued", w.poll("node-1", "wk-1").jobStatus());
+    assertEquals(
+        201,
+        w.submit("node-1", SimulatedCluster.job("wk-2", 4, 1).put("urgency", "high")).status());
+    before = w.stateService.writes("");
     for (int second = 0; second < 30; second++) {
-      w.pass(1);
-      w.finishAll();
+      w.advance(1);
+      w.completeAllTasks();
     }
     int starts = w.workers.values().stream().mapToInt(m -> m.starts().size()).sum();
-    double writesPerStart = (double) (w.state.writes("") - before) / starts;
+    double writesPerStart = (double) (w.stateService.writes("") - before) / starts;
     assertTrue(writesPerStart < 0.3, writesPerStart + " writes for each of " + starts + " starts");
-    assertEquals("done", w.poll("node-2", "wk-2").state());
+    assertEquals("done", w.poll("node-2", "wk-2").jobStatus());
     // The next claimant reads the records of started tasks, not one record for each task.
     w.nodes.get("node-0").crash();
     w.nodes.get("node-1").crash();
-    w.pass(World.LEASE_S);
+    w.advance(SimulatedCluster.LEASE_S);
     w.nodes.get("node-0").start();
     w.nodes.get("node-1").start();
-    w.pass(5);
-    assertTrue(w.running() > 0);
-    World.Said response = w.cancel("node-2", "wk-1");
+    w.advance(5);
+    assertTrue(w.runningCount() > 0);
+    SimulatedCluster.ApiResponse response = w.cancel("node-2", "wk-1");
     for (int i = 0; i < 20 && response.status() != 200; i++) {
-      w.pass(1);
+      w.advance(1);
       response = w.cancel("node-2", "wk-1");
     }
-    assertEquals("cancelled", response.state());
-    assertEquals(0, w.running());
-    assertEquals(List.of(), w.dayEnds());
-    assertEquals(List.of(), w.state.keys("t/"));
+    assertEquals("cancelled", response.jobStatus());
+    assertEquals(0, w.runningCount());
+    assertEquals(List.of(), w.drainAndCheck());
+    assertEquals(List.of(), w.stateService.keys("t/"));
   }
 }
--- a/src/test/java/dev/dunefront/story/JobStatusConsistencyTest.java
+++ b/src/test/java/dev/dunefront/story/JobStatusConsistencyTest.java
@@ -28,58 +28,62 @@
     JOB_ENDED_MESSAGES_HELD
   }
 
-  private static void inject(World cluster, Fault fault) {
+  private static void inject(SimulatedCluster cluster, Fault fault) {
     int[] requestCount = {0};
     switch (fault) {
       case NONE -> {}
       case SLOW_STATE_SERVICE -> {
         double[] delaysS = {0, 0.05, 0.4, 0.9, 0.02};
-        cluster.stateSlowS = () -> delaysS[requestCount[0]++ % delaysS.length];
+        cluster.stateServiceDelayS = () -> delaysS[requestCount[0]++ % delaysS.length];
       }
       case CONTROLLER_REFUSED_BY_STATE_SERVICE -> {
-        cluster.refusedByState.add("node-1");
-        cluster.timers.after(2.5, () -> cluster.refusedByState.clear());
+        cluster.refusedByStateService.add("node-1");
+        cluster.clock.after(2.5, () -> cluster.refusedByStateService.clear());
       }
       case CONTROLLER_RESTARTS -> {
         cluster.nodes.get("node-1").crash();
-        cluster.timers.after(0.3, () -> cluster.nodes.get("node-1").start());
+        cluster.clock.after(0.3, () -> cluster.nodes.get("node-1").start());
       }
       case WATCH_RESPONSES_DROPPED ->
-          cluster.fates =
+          cluster.deliveryPolicy =
               (from, path, body) ->
                   path.startsWith("/watch") && requestCount[0]++ % 2 == 0
-                      ? World.Fate.UNANSWERED
-                      : World.Fate.ON_TIME;
+                      ? SimulatedCluster.Delivery.RESPONSE_DROPPED
+                      : SimulatedCluster.Delivery.ON_TIME;
       case WATCHES_DUPLICATED_LATE -> {
-        cluster.lateS = 1.5;
-        cluster.fates =
+        cluster.deliveryDelayS = 1.5;
+        cluster.deliveryPolicy =
             (from, path, body) ->
                 path.startsWith("/watch") && requestCount[0]++ % 3 != 0
-                    ? World.Fate.TWICE
-                    : World.Fate.ON_TIME;
+                    ? SimulatedCluster.Delivery.DUPLICATED
+                    : SimulatedCluster.Delivery.ON_TIME;
       }
       case TRANSACTION_RESPONSES_DROPPED ->
-          cluster.fates =
+          cluster.deliveryPolicy =
               (from, path, body) ->
                   path.equals("/txn") && requestCount[0]++ % 4 == 1
-                      ? World.Fate.UNANSWERED
-                      : World.Fate.ON_TIME;
-      case JOB_ENDED_MESSAGES_HELD -> cluster.late = message -> message instanceof Message.JobEnded;
+                      ? SimulatedCluster.Delivery.RESPONSE_DROPPED
+                      : SimulatedCluster.Delivery.ON_TIME;
+      case JOB_ENDED_MESSAGES_HELD ->
+          cluster.holdPeerMessage = message -> message instanceof Message.JobEnded;
     }
   }
 
-  private static void clearFaults(World cluster) {
-    cluster.fates = (from, path, body) -> World.Fate.ON_TIME;
-    cluster.stateSlowS = () -> 0;
-    cluster.late = message -> false;
-    cluster.refusedByState.clear();
-    cluster.pass(4);
+  private static void clearFaults(SimulatedCluster cluster) {
+    cluster.deliveryPolicy = (from, path, body) -> SimulatedCluster.Delivery.ON_TIME;
+    cluster.stateServiceDelayS = () -> 0;
+    cluster.holdPeerMessage = message -> false;
+    cluster.refusedByStateService.clear();
+    cluster.advance(4);
   }
 
-  private static void assertStateAtAllNodes(World cluster, String id, String state) {
+  private static void assertStateAtAllNodes(SimulatedCluster cluster, String id, String state) {
     for (String node : cluster.nodes.keySet()) {
-      assertEquals(state, cluster.poll(node, id).state(), id + " at " + node);
-      assertEquals(state, cluster.submit(node, World.job(id, 2, 1)).state(), id + " at " + node);
+      assertEquals(state, cluster.poll(node, id).jobStatus(), id + " at " + node);
+      assertEquals(
+          state,
+          cluster.submit(node, SimulatedCluster.job(id, 2, 1)).jobStatus(),
+          id + " at " + node);
     }
   }
 
@@ -90,22 +94,22 @@
   @Property(generation = GenerationMode.EXHAUSTIVE)
   void cancelledRightAfterAcceptance(
       @ForAll Fault fault, @ForAll @IntRange(max = 5) int delayStep) {
-    World cluster = World.of(4);
-    Crowd users = new Crowd(cluster);
+    SimulatedCluster cluster = SimulatedCluster.withSmallMachines(4);
+    RedundantClients users = new RedundantClients(cluster);
     inject(cluster, fault);
-    users.submit(World.job("wk-1", 2, 1), 0);
-    users.submit(World.job("wk-2", 2, 1).put("shape", "daemon"), 2);
-    for (int i = 0; i < 3000 && cluster.accepted.size() < 2; i++) {
-      cluster.pass(0.002);
+    users.submit(SimulatedCluster.job("wk-1", 2, 1), 0);
+    users.submit(SimulatedCluster.job("wk-2", 2, 1).put("shape", "daemon"), 2);
+    for (int i = 0; i < 3000 && cluster.acceptedJobs.size() < 2; i++) {
+      cluster.advance(0.002);
     }
-    cluster.pass(new double[] {0, 0.003, 0.01, 0.05, 0.4, 1.1}[delayStep]);
+    cluster.advance(new double[] {0, 0.003, 0.01, 0.05, 0.4, 1.1}[delayStep]);
     users.cancel("wk-1", 1);
     users.cancel("wk-2", 0);
-    cluster.pass(20);
+    cluster.advance(20);
     clearFaults(cluster);
     assertStateAtAllNodes(cluster, "wk-1", "cancelled");
     assertStateAtAllNodes(cluster, "wk-2", "cancelled");
-    assertEquals(List.of(), cluster.dayEnds());
+    assertEquals(List.of(), cluster.drainAndCheck());
   }
 
   /**
@@ -115,32 +119,33 @@
   @Property(generation = GenerationMode.EXHAUSTIVE)
   void cancelledWhileLastTaskEnds(
       @ForAll Fault fault, @ForAll @IntRange(min = -4, max = 4) int delayStep) {
-    World cluster = World.of(4);
-    Crowd users = new Crowd(cluster);
-    users.submit(World.job("wk-1", 2, 1), 0);
-    cluster.pass(1.5);
+    SimulatedCluster cluster = SimulatedCluster.withSmallMachines(4);
+    RedundantClients users = new RedundantClients(cluster);
+    users.submit(SimulatedCluster.job("wk-1", 2, 1), 0);
+    cluster.advance(1.5);
     cluster.workers.values().forEach(m -> m.exit("wk-1/0", "done"));
-    cluster.pass(3);
+    cluster.advance(3);
     inject(cluster, fault);
-    cluster.pass(0.4);
+    cluster.advance(0.4);
     double gapS = delayStep * delayStep * 0.03;
     if (delayStep < 0) {
       users.cancel("wk-1", 1);
-      cluster.pass(gapS);
+      cluster.advance(gapS);
     }
     completeTask(cluster, "wk-1/1");
     if (delayStep >= 0) {
-      cluster.pass(gapS);
+      cluster.advance(gapS);
       users.cancel("wk-1", 1);
     }
-    cluster.user("POST", "/v1/jobs", World.job("wk-1", 2, 1), "wk-1", 2, 40);
-    cluster.pass(16);
+    cluster.requestWithRetries(
+        "POST", "/v1/jobs", SimulatedCluster.job("wk-1", 2, 1), "wk-1", 2, 40);
+    cluster.advance(16);
     clearFaults(cluster);
-    assertStateAtAllNodes(cluster, "wk-1", cluster.poll("node-0", "wk-1").state());
-    assertEquals(List.of(), cluster.dayEnds());
+    assertStateAtAllNodes(cluster, "wk-1", cluster.poll("node-0", "wk-1").jobStatus());
+    assertEquals(List.of(), cluster.drainAndCheck());
   }
 
-  private static void completeTask(World cluster, String task) {
+  private static void completeTask(SimulatedCluster cluster, String task) {
     for (FakeWorker m : cluster.workers.values()) {
       m.exit(task, "done");
     }
@@ -149,19 +154,19 @@
   /** A job that ends without a cancellation is done at all controllers. */
   @Property(generation = GenerationMode.EXHAUSTIVE)
   void polledWhileJobEnds(@ForAll Fault fault) {
-    World cluster = World.of(4);
-    Crowd users = new Crowd(cluster);
-    users.submit(World.job("wk-1", 2, 1), 0);
-    cluster.pass(1.5);
+    SimulatedCluster cluster = SimulatedCluster.withSmallMachines(4);
+    RedundantClients users = new RedundantClients(cluster);
+    users.submit(SimulatedCluster.job("wk-1", 2, 1), 0);
+    cluster.advance(1.5);
     inject(cluster, fault);
-    cluster.pass(0.4);
+    cluster.advance(0.4);
     completeTask(cluster, "wk-1/0");
-    cluster.pass(0.7);
+    cluster.advance(0.7);
     completeTask(cluster, "wk-1/1");
-    users.look("wk-1", 9);
-    cluster.pass(9);
+    users.pollFor("wk-1", 9);
+    cluster.advance(9);
     clearFaults(cluster);
     assertStateAtAllNodes(cluster, "wk-1", "done");
-    assertEquals(List.of(), cluster.dayEnds());
+    assertEquals(List.of(), cluster.drainAndCheck());
   }
 }
--- a/src/test/java/dev/dunefront/story/LostResponseTest.java
+++ b/src/test/java/dev/dunefront/story/LostResponseTest.java
@@ -25,48 +25,48 @@
    * Runs the scenario: jobs are submitted, finish and are cancelled; a machine and a controller are
    * lost; further machines boot.
    */
-  private static World runScenario(World.Fates fates) {
-    World w = World.limited(3, 10).renting(2, 3);
+  private static SimulatedCluster runScenario(SimulatedCluster.DeliveryPolicy fates) {
+    SimulatedCluster w = SimulatedCluster.withTeamLimit(3, 10).withRentingDelays(2, 3);
     w.cloud.capacity(2);
-    w.start().pass(2);
+    w.start().advance(2);
     for (int i = 0; i < 3; i++) {
-      w.machine("host-" + i, "small", "a", "node-" + i);
+      w.addMachine("host-" + i, "small", "a", "node-" + i);
     }
-    w.pass(4);
-    w.fates = fates;
-    Crowd users = new Crowd(w);
-    users.submit(World.job("wk-1", 3, 1), 0);
-    users.submit(World.job("wk-2", 4, 2), 1);
-    w.pass(0.7);
-    users.submit(World.job("wk-3", 2, 1).put("shape", "daemon"), 2);
-    w.pass(0.8);
+    w.advance(4);
+    w.deliveryPolicy = fates;
+    RedundantClients users = new RedundantClients(w);
+    users.submit(SimulatedCluster.job("wk-1", 3, 1), 0);
+    users.submit(SimulatedCluster.job("wk-2", 4, 2), 1);
+    w.advance(0.7);
+    users.submit(SimulatedCluster.job("wk-3", 2, 1).put("shape", "daemon"), 2);
+    w.advance(0.8);
     users.cancel("wk-2", 0);
     w.workers.values().forEach(m -> m.exit("wk-1/0", "done"));
-    w.pass(1.6);
+    w.advance(1.6);
     w.nodes.get("node-1").crash();
-    users.submit(World.job("wk-4", 3, 2), 0);
-    w.pass(1.1);
+    users.submit(SimulatedCluster.job("wk-4", 3, 2), 0);
+    w.advance(1.1);
     users.cancel("wk-3", 2);
     w.nodes.get("node-1").start();
-    w.silent.add("host-2");
+    w.isolatedHosts.add("host-2");
     w.workers.values().forEach(m -> m.exit("wk-1/1", "done"));
-    w.pass(2.4);
+    w.advance(2.4);
     users.cancel("wk-4", 1);
-    w.pass(6);
-    w.silent.clear();
-    w.finishAll();
-    w.pass(20);
+    w.advance(6);
+    w.isolatedHosts.clear();
+    w.completeAllTasks();
+    w.advance(20);
     return w;
   }
 
-  private static void checkFinalState(World w) {
-    w.fates = (from, path, body) -> World.Fate.ON_TIME;
-    for (String id : w.cancelled) {
+  private static void checkFinalState(SimulatedCluster w) {
+    w.deliveryPolicy = (from, path, body) -> SimulatedCluster.Delivery.ON_TIME;
+    for (String id : w.cancelRequestedJobs) {
       for (String node : w.nodes.keySet()) {
-        assertEquals("cancelled", w.poll(node, id).state(), id + " at " + node);
+        assertEquals("cancelled", w.poll(node, id).jobStatus(), id + " at " + node);
       }
     }
-    assertEquals(List.of(), w.dayEnds());
+    assertEquals(List.of(), w.drainAndCheck());
   }
 
   /**
@@ -77,14 +77,16 @@
   void noInvariantBreaksWhicheverResponsesAreLost(
       @ForAll @IntRange(max = TRANSACTIONS) int first, @ForAll @IntRange(max = 3) int gap) {
     int[] n = {0};
-    World w =
+    SimulatedCluster w =
         runScenario(
             (from, path, body) -> {
               if (!path.equals("/txn")) {
-                return World.Fate.ON_TIME;
+                return SimulatedCluster.Delivery.ON_TIME;
               }
               int i = n[0]++;
-              return i == first || i == first + gap ? World.Fate.UNANSWERED : World.Fate.ON_TIME;
+              return i == first || i == first + gap
+                  ? SimulatedCluster.Delivery.RESPONSE_DROPPED
+                  : SimulatedCluster.Delivery.ON_TIME;
             });
     assertTrue(n[0] > TRANSACTIONS, "the scenario has only " + n[0] + " transactions");
     checkFinalState(w);
@@ -95,12 +97,12 @@
   void noInvariantBreaksWhenOneControllerLosesEveryThirdResponse(
       @ForAll @IntRange(max = 2) int node, @ForAll @IntRange(max = 2) int offset) {
     int[] n = {0};
-    World w =
+    SimulatedCluster w =
         runScenario(
             (from, path, body) ->
                 path.equals("/txn") && from.equals("node-" + node) && n[0]++ % 3 == offset
-                    ? World.Fate.UNANSWERED
-                    : World.Fate.ON_TIME);
+                    ? SimulatedCluster.Delivery.RESPONSE_DROPPED
+                    : SimulatedCluster.Delivery.ON_TIME);
     checkFinalState(w);
   }
 
@@ -114,37 +116,39 @@
   @Property(generation = GenerationMode.EXHAUSTIVE)
   void cancellationIsBroadcastThoughItsWriteResponseIsLost(@ForAll boolean repeated)
       throws Exception {
-    World w = new World(3);
-    w.start().pass(2);
-    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
-    w.pass(5);
-    String holder = w.holder("host-1");
+    SimulatedCluster w = new SimulatedCluster(3);
+    w.start().advance(2);
+    FakeWorker m = w.addMachine("host-1", "small", "a", "node-0");
+    w.advance(5);
+    String holder = w.holderOf("host-1");
     List<String> others = w.nodes.keySet().stream().filter(n -> !n.equals(holder)).toList();
-    assertEquals(201, w.submit(holder, World.job("wk-1", 2, 1)).status());
-    w.pass(2);
+    assertEquals(201, w.submit(holder, SimulatedCluster.job("wk-1", 2, 1)).status());
+    w.advance(2);
     assertEquals(2, m.running().size());
     assertTrue(
-        w.state.value("w/j/wk-1").text("claim").startsWith(holder),
+        w.stateService.value("w/j/wk-1").text("claim").startsWith(holder),
         "the holder also has the claim");
-    w.refusedByState.add(holder);
-    w.fates =
+    w.refusedByStateService.add(holder);
+    w.deliveryPolicy =
         (from, path, body) ->
-            body.contains("CANCELLED") ? World.Fate.UNANSWERED : World.Fate.ON_TIME;
+            body.contains("CANCELLED")
+                ? SimulatedCluster.Delivery.RESPONSE_DROPPED
+                : SimulatedCluster.Delivery.ON_TIME;
     assertEquals(503, w.cancel(others.get(0), "wk-1").status());
-    assertEquals("CANCELLED", w.state.value("w/j/wk-1").text("status"));
-    w.fates = (from, path, body) -> World.Fate.ON_TIME;
+    assertEquals("CANCELLED", w.stateService.value("w/j/wk-1").text("status"));
+    w.deliveryPolicy = (from, path, body) -> SimulatedCluster.Delivery.ON_TIME;
     if (repeated) {
       w.nodes.get(others.get(0)).crash();
       assertEquals(503, w.cancel(others.get(1), "wk-1").status());
     }
-    w.state.outage(true);
-    w.pass(6);
+    w.stateService.outage(true);
+    w.advance(6);
     assertEquals(List.of(), m.running());
-    w.state.outage(false);
-    w.refusedByState.clear();
-    w.pass(5);
-    assertEquals("cancelled", w.poll(others.get(1), "wk-1").state());
-    assertEquals(List.of(), w.dayEnds());
+    w.stateService.outage(false);
+    w.refusedByStateService.clear();
+    w.advance(5);
+    assertEquals("cancelled", w.poll(others.get(1), "wk-1").jobStatus());
+    assertEquals(List.of(), w.drainAndCheck());
   }
 
   /**
@@ -153,27 +157,28 @@
    */
   @Property(generation = GenerationMode.EXHAUSTIVE)
   void submissionIsAnsweredThoughItsWriteResponseIsLost(@ForAll boolean cancelled) {
-    World w = World.of(2);
-    w.fates =
+    SimulatedCluster w = SimulatedCluster.withSmallMachines(2);
+    w.deliveryPolicy =
         (from, path, body) ->
             path.equals("/txn") && body.contains("put=w/j/wk-1")
-                ? World.Fate.UNANSWERED
-                : World.Fate.ON_TIME;
-    double since = w.timers.now();
-    World.Said response = w.submit("node-0", World.job("wk-1", 2, 1));
+                ? SimulatedCluster.Delivery.RESPONSE_DROPPED
+                : SimulatedCluster.Delivery.ON_TIME;
+    double since = w.clock.now();
+    SimulatedCluster.ApiResponse response = w.submit("node-0", SimulatedCluster.job("wk-1", 2, 1));
     assertEquals(201, response.status());
-    assertTrue(w.timers.now() - since < 0.5, "answered after " + (w.timers.now() - since));
-    w.fates = (from, path, body) -> World.Fate.ON_TIME;
+    assertTrue(w.clock.now() - since < 0.5, "answered after " + (w.clock.now() - since));
+    w.deliveryPolicy = (from, path, body) -> SimulatedCluster.Delivery.ON_TIME;
     if (cancelled) {
       w.cancel("node-1", "wk-1");
-      w.pass(3);
-      assertEquals("cancelled", w.poll("node-0", "wk-1").state());
-      assertEquals(0, w.running());
+      w.advance(3);
+      assertEquals("cancelled", w.poll("node-0", "wk-1").jobStatus());
+      assertEquals(0, w.runningCount());
     } else {
-      w.pass(0.6);
-      assertEquals(2, w.running(), "the job starts without waiting for its claim to be discovered");
+      w.advance(0.6);
+      assertEquals(
+          2, w.runningCount(), "the job starts without waiting for its claim to be discovered");
     }
-    assertEquals(List.of(), w.dayEnds());
+    assertEquals(List.of(), w.drainAndCheck());
   }
 
   /** The hold write whose response is late. */
@@ -189,41 +194,43 @@
    */
   @Property(generation = GenerationMode.EXHAUSTIVE)
   void machineTakenDuringUnacknowledgedHoldWriteChangesHolder(@ForAll HoldWrite write) {
-    World w = new World(3);
-    w.start().pass(2);
-    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
-    w.pass(6);
-    String former = w.holder("host-1");
+    SimulatedCluster w = new SimulatedCluster(3);
+    w.start().advance(2);
+    FakeWorker m = w.addMachine("host-1", "small", "a", "node-0");
+    w.advance(6);
+    String former = w.holderOf("host-1");
     BooleanSupplier intercepted =
-        w.strikeOnce(
+        w.faultFirstTransaction(
             "put=w/h/host-1",
-            World.Fate.ANSWERED_LATE,
+            SimulatedCluster.Delivery.RESPONSE_DELAYED,
             from -> {
               String next =
                   w.nodes.keySet().stream().filter(n -> !n.equals(from)).findFirst().get();
               Document hold =
-                  Document.create().put("holder", w.incarnation("w/n/" + next)).put("baton", 50);
-              w.timers.after(0.2, () -> w.writeState("w/h/host-1", hold));
+                  Document.create()
+                      .put("holder", w.recordedIncarnation("w/n/" + next))
+                      .put("baton", 50);
+              w.clock.after(0.2, () -> w.writeState("w/h/host-1", hold));
             });
-    World.Fates holdWrites = w.fates;
-    w.fates =
+    SimulatedCluster.DeliveryPolicy holdWrites = w.deliveryPolicy;
+    w.deliveryPolicy =
         (from, path, body) ->
             write == HoldWrite.TOKEN_RAISED
                     && body.contains("verb=run")
                     && !intercepted.getAsBoolean()
-                ? World.Fate.UNANSWERED
-                : holdWrites.of(from, path, body);
+                ? SimulatedCluster.Delivery.RESPONSE_DROPPED
+                : holdWrites.choose(from, path, body);
     if (write == HoldWrite.MACHINE_TAKEN) {
       // The holder crashes and another controller takes the machine.
       w.nodes.get(former).crash();
-      w.timers.after(12, () -> w.nodes.get(former).start());
+      w.clock.after(12, () -> w.nodes.get(former).start());
     }
     String user = w.nodes.keySet().stream().filter(n -> !n.equals(former)).findFirst().get();
-    assertEquals(201, w.submit(user, World.job("wk-1", 2, 1)).status());
-    w.pass(4 * World.LEASE_S);
+    assertEquals(201, w.submit(user, SimulatedCluster.job("wk-1", 2, 1)).status());
+    w.advance(4 * SimulatedCluster.LEASE_S);
     assertTrue(intercepted.getAsBoolean(), "the hold was written");
     assertTrue(m.token() >= 50, "the worker must have its holder's token, but has " + m.token());
     assertEquals(2, m.running().size());
-    assertEquals(List.of(), w.dayEnds());
+    assertEquals(List.of(), w.drainAndCheck());
   }
 }
--- a/src/test/java/dev/dunefront/story/OperationHistory.java
+++ b/src/test/java/dev/dunefront/story/OperationHistory.java
@@ -69,7 +69,7 @@
    * @param response null if the request timed out
    * @param sentAt when the request was sent
    */
-  void recordResponse(String id, World.Said response, double sentAt, double now) {
+  void recordResponse(String id, SimulatedCluster.ApiResponse response, double sentAt, double now) {
     if (response == null) {
       return;
     }
@@ -83,7 +83,7 @@
       return;
     }
     firstKnownAt.putIfAbsent(id, now);
-    String status = response.state();
+    String status = response.jobStatus();
     FinalStatus last = finalStatuses.get(id);
     recordIf(
         last != null && last.at <= sentAt && !last.status.equals(status),
--- a/src/test/java/dev/dunefront/story/PlacementCheck.java
+++ b/src/test/java/dev/dunefront/story/PlacementCheck.java
@@ -18,7 +18,7 @@
   private final Map<String, Document> specs;
 
   /** The distinct violations found so far. */
-  final List<String> wrong = new ArrayList<>();
+  final List<String> violations = new ArrayList<>();
 
   /** Takes a live view of the submitted specifications, by job id. */
   PlacementCheck(Map<String, Document> specs) {
@@ -26,7 +26,7 @@
   }
 
   /** Checks the tasks that run now. */
-  void look(Iterable<FakeWorker> workers) {
+  void check(Iterable<FakeWorker> workers) {
     Map<String, Map<String, Integer>> tasksPerZone = new HashMap<>();
     try {
       for (FakeWorker w : workers) {
@@ -61,8 +61,8 @@
   }
 
   private void recordIf(boolean violated, String message) {
-    if (violated && !wrong.contains(message)) {
-      wrong.add(message);
+    if (violated && !violations.contains(message)) {
+      violations.add(message);
     }
   }
 }
--- a/src/test/java/dev/dunefront/story/ProcessPauseTest.java
+++ b/src/test/java/dev/dunefront/story/ProcessPauseTest.java
@@ -22,26 +22,26 @@
    */
   @Test
   void startRecordedForOneSessionIsNotExecutedInTheNext() {
-    World w = new World(2);
-    FakeWorker a = w.machine("host-1", "small", "a", "node-0");
-    w.start().pass(3);
-    assertEquals("node-0", w.holder("host-1"));
-    assertEquals(201, w.submit("node-1", World.job("wk-1", 1, 1)).status());
+    SimulatedCluster w = new SimulatedCluster(2);
+    FakeWorker a = w.addMachine("host-1", "small", "a", "node-0");
+    w.start().advance(3);
+    assertEquals("node-0", w.holderOf("host-1"));
+    assertEquals(201, w.submit("node-1", SimulatedCluster.job("wk-1", 1, 1)).status());
     // The state service accepts the placement, but the response to the claimant is lost.
-    w.unanswered = (from, to) -> from.equals("node-1") && to.equals("10.2.0.1:1");
-    w.pass(1);
-    w.silent.add("host-1");
-    w.pass(World.LEASE_S + 2);
-    w.silent.clear();
-    w.pass(3);
-    FakeWorker b = w.machine("host-2", "small", "a", "node-0");
-    w.pass(2);
+    w.dropResponse = (from, to) -> from.equals("node-1") && to.equals("10.2.0.1:1");
+    w.advance(1);
+    w.isolatedHosts.add("host-1");
+    w.advance(SimulatedCluster.LEASE_S + 2);
+    w.isolatedHosts.clear();
+    w.advance(3);
+    FakeWorker b = w.addMachine("host-2", "small", "a", "node-0");
+    w.advance(2);
     assertEquals(List.of(), a.starts(), "the start must still be pending here");
-    w.unanswered = (from, to) -> false;
-    w.pass(10);
+    w.dropResponse = (from, to) -> false;
+    w.advance(10);
     assertEquals(1, a.running().size() + b.running().size());
     assertEquals(1, a.starts().size() + b.starts().size(), "the recorded attempt never started");
-    assertEquals(List.of(), w.overlaps);
+    assertEquals(List.of(), w.overlappingRuns);
   }
 
   /**
@@ -49,23 +49,23 @@
    */
   @Test
   void controllerWithoutLeaseWritesNoHold() {
-    World w = new World(1);
-    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
-    w.start().pass(3);
-    w.submit("node-0", World.job("wk-1", 1, 1));
-    w.unanswered = (from, to) -> to.endsWith(":9");
-    w.refusedByState.add("node-0");
-    w.pass(6);
-    w.refusedByState.clear();
+    SimulatedCluster w = new SimulatedCluster(1);
+    FakeWorker m = w.addMachine("host-1", "small", "a", "node-0");
+    w.start().advance(3);
+    w.submit("node-0", SimulatedCluster.job("wk-1", 1, 1));
+    w.dropResponse = (from, to) -> to.endsWith(":9");
+    w.refusedByStateService.add("node-0");
+    w.advance(6);
+    w.refusedByStateService.clear();
     // The lease has ended, and the request for a new one is delayed.
     w.heldPath = "/leases";
-    w.pass(8);
-    assertNull(w.state.value("w/h/host-1"));
+    w.advance(8);
+    assertNull(w.stateService.value("w/h/host-1"));
     w.heldPath = null;
-    w.unanswered = (from, to) -> false;
-    w.pass(8);
-    assertEquals(201, w.submit("node-0", World.job("wk-2", 1, 1)).status());
-    w.pass(3);
+    w.dropResponse = (from, to) -> false;
+    w.advance(8);
+    assertEquals(201, w.submit("node-0", SimulatedCluster.job("wk-2", 1, 1)).status());
+    w.advance(3);
     assertTrue(m.running().contains("wk-2/0"));
   }
 
@@ -75,18 +75,18 @@
    */
   @Test
   void malformedHoldAffectsOneMachineAndIsRepaired() {
-    World w = new World(2);
-    FakeWorker a = w.machine("host-1", "small", "a", "node-0");
-    FakeWorker b = w.machine("host-2", "small", "a", "node-1");
-    w.start().pass(3);
+    SimulatedCluster w = new SimulatedCluster(2);
+    FakeWorker a = w.addMachine("host-1", "small", "a", "node-0");
+    FakeWorker b = w.addMachine("host-2", "small", "a", "node-1");
+    w.start().advance(3);
     w.writeState("w/h/host-1", Document.create().put("baton", 7));
     w.writeState("w/h/host-2", Document.create().put("holder", 3).put("baton", "no number"));
-    w.pass(World.LEASE_S * 2);
-    assertEquals(201, w.submit("node-0", World.job("wk-1", 8, 1)).status());
-    w.pass(5);
+    w.advance(SimulatedCluster.LEASE_S * 2);
+    assertEquals(201, w.submit("node-0", SimulatedCluster.job("wk-1", 8, 1)).status());
+    w.advance(5);
     assertEquals(4, a.running().size());
     assertEquals(4, b.running().size());
-    assertEquals(List.of(), w.overlaps);
+    assertEquals(List.of(), w.overlappingRuns);
   }
 
   /**
@@ -96,29 +96,30 @@
    */
   @Test
   void resumedControllersReadChangesBeforeTheyAct() {
-    for (double pauseS = 2; pauseS < 3 * World.LEASE_S; pauseS += 1.7) {
-      World w = new World(5);
-      w.start().pass(2);
+    for (double pauseS = 2; pauseS < 3 * SimulatedCluster.LEASE_S; pauseS += 1.7) {
+      SimulatedCluster w = new SimulatedCluster(5);
+      w.start().advance(2);
       for (int i = 0; i < 20; i++) {
-        w.machine("host-" + i, "small", "a", "node-" + i % 5);
+        w.addMachine("host-" + i, "small", "a", "node-" + i % 5);
       }
-      w.pass(5);
+      w.advance(5);
       for (int i = 0; i < 6; i++) {
-        w.submit("node-" + i % 5, World.job("wk-" + i, 10, 1));
+        w.submit("node-" + i % 5, SimulatedCluster.job("wk-" + i, 10, 1));
       }
-      w.pass(0.05);
+      w.advance(0.05);
       for (int i = 0; i < 3; i++) {
-        w.nodes.get("node-" + i).standStill(pauseS);
+        w.nodes.get("node-" + i).pause(pauseS);
       }
       for (int second = 0; second < 90; second++) {
-        w.pass(1);
+        w.advance(1);
         if (second % 5 == 0) {
-          w.finishAll();
+          w.completeAllTasks();
         }
       }
-      assertEquals(List.of(), w.overlaps, "after " + pauseS + " s");
+      assertEquals(List.of(), w.overlappingRuns, "after " + pauseS + " s");
       for (int i = 0; i < 6; i++) {
-        assertEquals("done", w.poll("node-" + i % 5, "wk-" + i).state(), "after " + pauseS + " s");
+        assertEquals(
+            "done", w.poll("node-" + i % 5, "wk-" + i).jobStatus(), "after " + pauseS + " s");
       }
     }
   }
@@ -129,34 +130,34 @@
    */
   @Test
   void resumedControllerTakesNoActionBeforeItIsCurrent() {
-    World w = new World(2);
-    FakeWorker m = w.machine("host-1", "small", "a", "node-0");
-    w.start().pass(3);
-    assertEquals("node-0", w.holder("host-1"));
-    assertEquals(201, w.submit("node-0", World.job("wk-1", 8, 1)).status());
-    w.pass(1);
-    double pauseS = World.LEASE_S * 0.7;
-    w.nodes.get("node-0").standStill(pauseS);
+    SimulatedCluster w = new SimulatedCluster(2);
+    FakeWorker m = w.addMachine("host-1", "small", "a", "node-0");
+    w.start().advance(3);
+    assertEquals("node-0", w.holderOf("host-1"));
+    assertEquals(201, w.submit("node-0", SimulatedCluster.job("wk-1", 8, 1)).status());
+    w.advance(1);
+    double pauseS = SimulatedCluster.LEASE_S * 0.7;
+    w.nodes.get("node-0").pause(pauseS);
     // The report of these exits waits in the controller's sockets; applying it would allocate the
     // room at once.
     m.running().forEach(t -> m.exit(t, "done"));
-    w.pass(pauseS - 0.01);
-    w.heldBack = (from, to) -> from.equals("node-0");
-    w.pass(0.9);
+    w.advance(pauseS - 0.01);
+    w.holdRequest = (from, to) -> from.equals("node-0");
+    w.advance(0.9);
     assertTrue(
-        w.heldCalls.stream().anyMatch(c -> c.startsWith("/watch")),
+        w.heldRequests.stream().anyMatch(c -> c.startsWith("/watch")),
         "the controller requests the changes");
     assertEquals(
         List.of(),
-        w.heldCalls.stream().filter(c -> c.contains("wk-1")).toList(),
+        w.heldRequests.stream().filter(c -> c.contains("wk-1")).toList(),
         "the controller records nothing and sends no command");
-    w.heldBack = (from, to) -> false;
+    w.holdRequest = (from, to) -> false;
     w.deliverHeld();
-    w.pass(20);
+    w.advance(20);
     m.running().forEach(t -> m.exit(t, "done"));
-    w.pass(5);
-    assertEquals("done", w.poll("node-0", "wk-1").state());
+    w.advance(5);
+    assertEquals("done", w.poll("node-0", "wk-1").jobStatus());
     assertEquals(8, m.starts().size());
-    assertEquals(List.of(), w.overlaps);
+    assertEquals(List.of(), w.overlappingRuns);
   }
 }
--- a/src/test/java/dev/dunefront/story/Crowd.java
+++ b/src/test/java/dev/dunefront/story/RedundantClients.java
@@ -8,14 +8,14 @@
  * 20 ms apart. The simulated cluster's {@link OperationHistory} compares the responses with what
  * the workers did.
  */
-final class Crowd {
+final class RedundantClients {
   private static final double POLL_INTERVAL_S = 0.02;
   private static final double POLL_DURATION_S = 20;
   private static final int TRIES = 40;
 
-  private final World world;
+  private final SimulatedCluster world;
 
-  Crowd(World world) {
+  RedundantClients(SimulatedCluster world) {
     this.world = world;
   }
 
@@ -23,9 +23,10 @@
   void submit(Document job, int node) {
     try {
       String id = job.text("id");
-      world.user("POST", "/v1/jobs", job, id, node, TRIES);
-      world.timers.after(0.4, () -> world.user("POST", "/v1/jobs", job, id, node + 1, TRIES));
-      look(id, POLL_DURATION_S);
+      world.requestWithRetries("POST", "/v1/jobs", job, id, node, TRIES);
+      world.clock.after(
+          0.4, () -> world.requestWithRetries("POST", "/v1/jobs", job, id, node + 1, TRIES));
+      pollFor(id, POLL_DURATION_S);
     } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
@@ -33,22 +34,22 @@
 
   /** Cancels a job at one controller and 0.3 s later at the next, and polls it for 10 s. */
   void cancel(String id, int node) {
-    world.cancelled.add(id);
+    world.cancelRequestedJobs.add(id);
     String path = "/v1/jobs/" + id + "/abort";
-    world.user("POST", path, null, id, node, TRIES);
-    world.timers.after(0.3, () -> world.user("POST", path, null, id, node + 1, TRIES));
-    look(id, POLL_DURATION_S / 2);
+    world.requestWithRetries("POST", path, null, id, node, TRIES);
+    world.clock.after(0.3, () -> world.requestWithRetries("POST", path, null, id, node + 1, TRIES));
+    pollFor(id, POLL_DURATION_S / 2);
   }
 
   /** Polls a job at one controller after the other for the given time, in seconds. */
-  void look(String id, double durationS) {
-    look(id, 0, world.timers.now() + durationS);
+  void pollFor(String id, double durationS) {
+    pollFor(id, 0, world.clock.now() + durationS);
   }
 
-  private void look(String id, int node, double until) {
-    if (world.timers.now() < until) {
-      world.user("GET", "/v1/jobs/" + id, null, id, node, 1);
-      world.timers.after(POLL_INTERVAL_S, () -> look(id, node + 1, until));
+  private void pollFor(String id, int node, double until) {
+    if (world.clock.now() < until) {
+      world.requestWithRetries("GET", "/v1/jobs/" + id, null, id, node, 1);
+      world.clock.after(POLL_INTERVAL_S, () -> pollFor(id, node + 1, until));
     }
   }
 }
--- a/src/test/java/dev/dunefront/story/ReportDeliveryTest.java
+++ b/src/test/java/dev/dunefront/story/ReportDeliveryTest.java
@@ -21,38 +21,38 @@
    */
   @Test
   void oneThirdOfMachinesCannotReceive() {
-    World w = World.of(30);
+    SimulatedCluster w = SimulatedCluster.withSmallMachines(30);
     for (int i = 0; i < 6; i++) {
-      assertEquals(201, w.submit("node-" + i % 3, World.job("wk-" + i, 15, 1)).status());
+      assertEquals(201, w.submit("node-" + i % 3, SimulatedCluster.job("wk-" + i, 15, 1)).status());
     }
-    w.pass(3);
-    assertEquals(90, w.running());
-    int holds = w.state.writes("w/h/");
+    w.advance(3);
+    assertEquals(90, w.runningCount());
+    int holds = w.stateService.writes("w/h/");
     for (int i = 0; i < 10; i++) {
-      w.deaf.add("host-" + i);
+      w.inboundBlockedHosts.add("host-" + i);
     }
-    w.pass(2 * World.LEASE_S);
+    w.advance(2 * SimulatedCluster.LEASE_S);
     // The tasks on those machines ended with their leases and are placed again elsewhere.
     int[] starts = new int[10];
     for (int i = 0; i < 10; i++) {
       starts[i] = w.workers.get("host-" + i + ":9").starts().size();
       assertEquals(List.of(), w.workers.get("host-" + i + ":9").running());
     }
-    w.pass(World.LEASE_S);
-    assertEquals(80, w.running(), "all room of the other machines is in use");
-    int holdWrites = w.state.writes("w/h/") - holds;
+    w.advance(SimulatedCluster.LEASE_S);
+    assertEquals(80, w.runningCount(), "all room of the other machines is in use");
+    int holdWrites = w.stateService.writes("w/h/") - holds;
     assertTrue(
         holdWrites <= 10, holdWrites + " hold writes for ten machines that change controllers");
-    w.deaf.clear();
-    w.pass(3 * World.LEASE_S);
-    assertEquals(90, w.running());
+    w.inboundBlockedHosts.clear();
+    w.advance(3 * SimulatedCluster.LEASE_S);
+    assertEquals(90, w.runningCount());
     assertEquals(30, w.workers.size(), "no machine was returned");
     for (int i = 0; i < 10; i++) {
       assertTrue(
           w.workers.get("host-" + i + ":9").starts().size() >= starts[i],
           "the machine is used again");
     }
-    assertEquals(List.of(), w.dayEnds());
+    assertEquals(List.of(), w.drainAndCheck());
   }
 
   /**
@@ -63,36 +63,36 @@
    */
   @Test
   void sessionLearnedFromCommandResponseHasAFullLease() {
-    World w = World.of(1);
+    SimulatedCluster w = SimulatedCluster.withSmallMachines(1);
     FakeWorker m = w.workers.get("host-0:9");
-    assertEquals(201, w.submit("node-0", World.job("wk-1", 4, 1)).status());
-    w.pass(2);
+    assertEquals(201, w.submit("node-0", SimulatedCluster.job("wk-1", 4, 1)).status());
+    w.advance(2);
     assertEquals(4, m.running().size());
     // Messages from the machine are lost, while commands to it and their responses arrive.
-    w.lost = (from, to) -> from.equals("host-0:9");
+    w.dropDelivery = (from, to) -> from.equals("host-0:9");
     for (int i = 0; i < 200 && !m.running().isEmpty(); i++) {
-      w.pass(0.05);
+      w.advance(0.05);
     }
     // The machine's lease has expired and its holder, which does not know that yet, sends a stop.
-    w.user("POST", "/v1/jobs/wk-1/abort", null, "wk-1", 0, 20);
-    w.cancelled.add("wk-1");
-    w.user("POST", "/v1/jobs", World.job("wk-2", 4, 1), "wk-2", 1, 20);
+    w.requestWithRetries("POST", "/v1/jobs/wk-1/abort", null, "wk-1", 0, 20);
+    w.cancelRequestedJobs.add("wk-1");
+    w.requestWithRetries("POST", "/v1/jobs", SimulatedCluster.job("wk-2", 4, 1), "wk-2", 1, 20);
     for (int i = 0; i < 20 && m.running().isEmpty(); i++) {
-      w.pass(0.02);
+      w.advance(0.02);
     }
     assertEquals(4, m.running().size(), "the holder knows the new session and places tasks in it");
-    w.machine("host-1", "small", "a", "node-1");
-    w.pass(World.LEASE_S - 1);
-    assertEquals(List.of(), w.overlaps);
-    w.lost = (from, to) -> false;
-    assertEquals(List.of(), w.dayEnds());
+    w.addMachine("host-1", "small", "a", "node-1");
+    w.advance(SimulatedCluster.LEASE_S - 1);
+    assertEquals(List.of(), w.overlappingRuns);
+    w.dropDelivery = (from, to) -> false;
+    assertEquals(List.of(), w.drainAndCheck());
   }
 
   @Test
   void machineThatNeverReceivesAgainIsReturned() {
-    World w = World.of(6);
-    w.deaf.add("host-1");
-    w.pass(200);
+    SimulatedCluster w = SimulatedCluster.withSmallMachines(6);
+    w.inboundBlockedHosts.add("host-1");
+    w.advance(200);
     assertTrue(w.cloud.deleted("host-1"));
     for (int i : new int[] {0, 2, 3, 4, 5}) {
       assertFalse(w.cloud.deleted("host-" + i));
@@ -103,7 +103,8 @@
   @Test
   void delayedReportCopiesChangeNothing() {
     double withoutCopiesS = replacementTimeS(List.of());
-    double withCopiesS = replacementTimeS(List.of(0.3, 2.0, World.LEASE_S, World.LEASE_S * 3));
+    double withCopiesS =
+        replacementTimeS(List.of(0.3, 2.0, SimulatedCluster.LEASE_S, SimulatedCluster.LEASE_S * 3));
     assertTrue(
         withCopiesS < withoutCopiesS + 2,
         withCopiesS + " s with copies, " + withoutCopiesS + " s without");
@@ -111,19 +112,19 @@
 
   /** Seconds from the loss of a machine until its tasks run elsewhere. */
   private static double replacementTimeS(List<Double> copiesAfterS) {
-    World w = World.of(3);
-    w.copiesAfterS = copiesAfterS;
-    assertEquals(201, w.submit("node-0", World.job("wk-1", 8, 1)).status());
-    w.pass(4 * World.LEASE_S);
-    assertEquals(8, w.running());
-    int holds = w.state.writes("w/h/");
+    SimulatedCluster w = SimulatedCluster.withSmallMachines(3);
+    w.duplicateReportDelaysS = copiesAfterS;
+    assertEquals(201, w.submit("node-0", SimulatedCluster.job("wk-1", 8, 1)).status());
+    w.advance(4 * SimulatedCluster.LEASE_S);
+    assertEquals(8, w.runningCount());
+    int holds = w.stateService.writes("w/h/");
     FakeWorker dead =
         w.workers.values().stream().filter(m -> !m.running().isEmpty()).findFirst().orElseThrow();
     Set<String> lost = new HashSet<>(dead.running());
-    w.silent.add(dead.host());
-    double since = w.timers.now();
-    while (w.timers.now() - since < 10 * World.LEASE_S) {
-      w.pass(0.5);
+    w.isolatedHosts.add(dead.host());
+    double since = w.clock.now();
+    while (w.clock.now() - since < 10 * SimulatedCluster.LEASE_S) {
+      w.advance(0.5);
       Set<String> elsewhere = new HashSet<>();
       w.workers.values().stream()
           .filter(m -> m != dead)
@@ -132,14 +133,16 @@
         break;
       }
     }
-    double elapsedS = w.timers.now() - since;
-    w.pass(2 * World.LEASE_S);
+    double elapsedS = w.clock.now() - since;
+    w.advance(2 * SimulatedCluster.LEASE_S);
     assertEquals(
-        holds, w.state.writes("w/h/"), "no hold is taken and no token raised because of a copy");
+        holds,
+        w.stateService.writes("w/h/"),
+        "no hold is taken and no token raised because of a copy");
     // The machine hung, and its own lease has expired by now.
-    w.silent.clear();
-    assertEquals(List.of(), w.dayEnds());
-    assertEquals(copiesAfterS.isEmpty(), w.copies == 0);
+    w.isolatedHosts.clear();
+    assertEquals(List.of(), w.drainAndCheck());
+    assertEquals(copiesAfterS.isEmpty(), w.duplicateReportCount == 0);
     return elapsedS;
   }
 
@@ -149,22 +152,22 @@
    */
   @Test
   void delayedReportCopiesAfterControllerRestartChangeNothing() {
-    World w = World.of(6);
-    w.copiesAfterS = List.of(1.0, World.LEASE_S, World.LEASE_S * 2);
-    assertEquals(201, w.submit("node-0", World.job("wk-1", 20, 1)).status());
-    w.pass(4);
-    w.nodes.values().forEach(World.Node::crash);
-    w.silent.add("host-1");
-    w.pass(1);
-    w.nodes.values().forEach(World.Node::start);
-    w.pass(World.LEASE_S * 2);
+    SimulatedCluster w = SimulatedCluster.withSmallMachines(6);
+    w.duplicateReportDelaysS = List.of(1.0, SimulatedCluster.LEASE_S, SimulatedCluster.LEASE_S * 2);
+    assertEquals(201, w.submit("node-0", SimulatedCluster.job("wk-1", 20, 1)).status());
+    w.advance(4);
+    w.nodes.values().forEach(SimulatedCluster.Node::crash);
+    w.isolatedHosts.add("host-1");
+    w.advance(1);
+    w.nodes.values().forEach(SimulatedCluster.Node::start);
+    w.advance(SimulatedCluster.LEASE_S * 2);
     w.nodes.get("node-1").crash();
-    w.pass(0.2);
+    w.advance(0.2);
     w.nodes.get("node-1").start();
-    w.pass(World.LEASE_S * 2);
-    assertEquals(20, w.running() - w.workers.get("host-1:9").running().size());
-    w.silent.clear();
-    assertEquals(List.of(), w.dayEnds());
+    w.advance(SimulatedCluster.LEASE_S * 2);
+    assertEquals(20, w.runningCount() - w.workers.get("host-1:9").running().size());
+    w.isolatedHosts.clear();
+    assertEquals(List.of(), w.drainAndCheck());
   }
 
   /**
@@ -173,19 +176,19 @@
    */
   @Test
   void restartedWorkerIsAcceptedAfterStatusCheck() {
-    World w = World.of(3);
-    assertEquals(201, w.submit("node-0", World.job("wk-1", 12, 1)).status());
-    w.pass(30);
-    assertEquals(12, w.running());
+    SimulatedCluster w = SimulatedCluster.withSmallMachines(3);
+    assertEquals(201, w.submit("node-0", SimulatedCluster.job("wk-1", 12, 1)).status());
+    w.advance(30);
+    assertEquals(12, w.runningCount());
     FakeWorker m = w.workers.get("host-1:9");
     m.restart();
-    assertEquals(8, w.running());
-    w.pass(2 * World.LEASE_S);
-    assertEquals(12, w.running());
+    assertEquals(8, w.runningCount());
+    w.advance(2 * SimulatedCluster.LEASE_S);
+    assertEquals(12, w.runningCount());
     m.restart();
-    w.copiesAfterS = List.of(2.0);
-    w.pass(2 * World.LEASE_S);
-    assertEquals(12, w.running());
-    assertEquals(List.of(), w.dayEnds());
+    w.duplicateReportDelaysS = List.of(2.0);
+    w.advance(2 * SimulatedCluster.LEASE_S);
+    assertEquals(12, w.runningCount());
+    assertEquals(List.of(), w.drainAndCheck());
   }
 }
--- a/src/test/java/dev/dunefront/story/ScaleTest.java
+++ b/src/test/java/dev/dunefront/story/ScaleTest.java
@@ -19,97 +19,99 @@
   private static final String TEAM_WITH_LIMIT_TOML =
       "[[facts.teams]]\nname = \"t\"\ncpus = 100.0\ncpus_max = 5000.0\n";
 
-  private static World startCluster() {
-    World cluster = new World(5, TEAM_WITH_LIMIT_TOML);
-    cluster.start().pass(2);
+  private static SimulatedCluster startCluster() {
+    SimulatedCluster cluster = new SimulatedCluster(5, TEAM_WITH_LIMIT_TOML);
+    cluster.start().advance(2);
     for (int i = 0; i < MACHINES; i++) {
-      cluster.machine("host-" + i, "small", "a", "node-" + i % 5);
+      cluster.addMachine("host-" + i, "small", "a", "node-" + i % 5);
     }
-    cluster.pass(10);
+    cluster.advance(10);
     return cluster;
   }
 
   @Test
   void taskCostsFractionOfWriteAndFewMessages() {
-    World cluster = startCluster();
-    int reports = cluster.reports;
-    int messages = cluster.messages;
-    cluster.pass(10);
-    int idle = cluster.messages - messages;
+    SimulatedCluster cluster = startCluster();
+    int reports = cluster.workerReportCount;
+    int messages = cluster.peerMessageCount;
+    cluster.advance(10);
+    int idle = cluster.peerMessageCount - messages;
     assertTrue(
-        idle < (cluster.reports - reports) / 2, idle + " messages while the cluster is idle");
-    messages = cluster.messages;
-    int writes = cluster.state.writes("");
+        idle < (cluster.workerReportCount - reports) / 2,
+        idle + " messages while the cluster is idle");
+    messages = cluster.peerMessageCount;
+    int writes = cluster.stateService.writes("");
     int jobs = 12;
     int tasks = 60;
     for (int i = 0; i < jobs; i++) {
-      assertEquals(201, cluster.submit("node-" + i % 5, World.job("wk-" + i, tasks, 1)).status());
+      assertEquals(
+          201, cluster.submit("node-" + i % 5, SimulatedCluster.job("wk-" + i, tasks, 1)).status());
     }
     int started = 0;
     for (int round = 0; round < 20; round++) {
-      cluster.pass(1);
+      cluster.advance(1);
       started = 0;
       for (FakeWorker m : cluster.workers.values()) {
         started += m.starts().size();
         m.running().forEach(t -> m.exit(t, "done"));
       }
     }
-    cluster.pass(3);
+    cluster.advance(3);
     assertEquals(jobs * tasks, started);
     for (int i = 0; i < jobs; i++) {
-      assertEquals("done", cluster.poll("node-" + (i + 1) % 5, "wk-" + i).state());
+      assertEquals("done", cluster.poll("node-" + (i + 1) % 5, "wk-" + i).jobStatus());
     }
-    assertEquals(List.of(), cluster.overlaps);
-    double writesPerTask = (double) (cluster.state.writes("") - writes) / started;
+    assertEquals(List.of(), cluster.overlappingRuns);
+    double writesPerTask = (double) (cluster.stateService.writes("") - writes) / started;
     assertTrue(writesPerTask < 0.4, writesPerTask + " writes per task");
-    double messagesPerTask = (double) (cluster.messages - messages - idle) / started;
+    double messagesPerTask = (double) (cluster.peerMessageCount - messages - idle) / started;
     assertTrue(messagesPerTask < 16, messagesPerTask + " messages per task");
   }
 
   @Test
   void restartedControllersKeepMachinesWithoutWrites() {
-    World cluster = startCluster();
-    assertEquals(201, cluster.submit("node-0", World.job("wk-1", 300, 1)).status());
-    cluster.pass(2);
-    int running = cluster.running();
+    SimulatedCluster cluster = startCluster();
+    assertEquals(201, cluster.submit("node-0", SimulatedCluster.job("wk-1", 300, 1)).status());
+    cluster.advance(2);
+    int running = cluster.runningCount();
     assertEquals(300, running);
-    int holdWritesBefore = cluster.state.writes("w/h/");
+    int holdWritesBefore = cluster.stateService.writes("w/h/");
     assertTrue(
         holdWritesBefore < MACHINES / 20,
         "more machines have a record than the few that are moved to balance the load");
-    cluster.nodes.values().forEach(World.Node::crash);
-    cluster.pass(3);
-    cluster.nodes.values().forEach(World.Node::start);
-    cluster.pass(World.LEASE_S);
-    assertEquals(300, cluster.running(), "a lease expired");
-    int rewrittenHolds = cluster.state.writes("w/h/") - holdWritesBefore;
+    cluster.nodes.values().forEach(SimulatedCluster.Node::crash);
+    cluster.advance(3);
+    cluster.nodes.values().forEach(SimulatedCluster.Node::start);
+    cluster.advance(SimulatedCluster.LEASE_S);
+    assertEquals(300, cluster.runningCount(), "a lease expired");
+    int rewrittenHolds = cluster.stateService.writes("w/h/") - holdWritesBefore;
     assertTrue(rewrittenHolds < MACHINES / 20, rewrittenHolds + " holds were written again");
-    cluster.finishAll();
-    cluster.pass(5);
-    assertEquals("done", cluster.poll("node-3", "wk-1").state());
-    assertEquals(List.of(), cluster.overlaps);
+    cluster.completeAllTasks();
+    cluster.advance(5);
+    assertEquals("done", cluster.poll("node-3", "wk-1").jobStatus());
+    assertEquals(List.of(), cluster.overlappingRuns);
   }
 
   @Test
   void valuesStayWithinSmallestLimitWithLongNames() throws IOException {
-    World cluster = new World(2);
+    SimulatedCluster cluster = new SimulatedCluster(2);
     cluster.valueKb = 8;
-    cluster.start().pass(2);
+    cluster.start().advance(2);
     String name = "a-machine-with-a-name-that-goes-on-and-on-and-on-for-ever-and-a-day-";
     for (int i = 0; i < 250; i++) {
-      cluster.machine(name + i, "small", "a", "node-" + i % 2);
+      cluster.addMachine(name + i, "small", "a", "node-" + i % 2);
     }
-    cluster.pass(5);
+    cluster.advance(5);
     String longestClass = "c".repeat(120);
     assertEquals(
         201,
         cluster
-            .submit("node-0", World.job("wk-1", 250, 3).put("batchclass", longestClass))
+            .submit("node-0", SimulatedCluster.job("wk-1", 250, 3).put("batchclass", longestClass))
             .status());
-    cluster.pass(12);
-    assertTrue(cluster.running() > 80, cluster.running() + " tasks run");
-    for (String key : cluster.state.keys("")) {
-      byte[] value = cluster.state.value(key).encode();
+    cluster.advance(12);
+    assertTrue(cluster.runningCount() > 80, cluster.runningCount() + " tasks run");
+    for (String key : cluster.stateService.keys("")) {
+      byte[] value = cluster.stateService.value(key).encode();
       // The size limits of values apply to their JSON form.
       int bytes = MessagePack.newDefaultUnpacker(value).unpackValue().toJson().length();
       assertTrue(bytes <= 8 * 1024, bytes + " bytes in " + key);
@@ -122,21 +124,21 @@
    */
   @Test
   void lossOfAllMachinesIsWrittenInSeveralTransactions() {
-    World cluster = new World(2);
-    cluster.start().pass(2);
+    SimulatedCluster cluster = new SimulatedCluster(2);
+    cluster.start().advance(2);
     int machines = 4 * FakeStateService.MAX_TXN_OPS + 40;
     for (int i = 0; i < machines; i++) {
-      cluster.machine("host-" + i, "small", "a", "node-" + i % 2);
+      cluster.addMachine("host-" + i, "small", "a", "node-" + i % 2);
     }
-    cluster.pass(5);
-    assertEquals(201, cluster.submit("node-0", World.job("wk-1", machines, 3)).status());
-    cluster.pass(6);
-    assertEquals(machines, cluster.running());
-    cluster.workers.values().forEach(m -> cluster.silent.add(m.host()));
-    cluster.pass(World.LEASE_S + 3);
-    cluster.silent.clear();
-    cluster.pass(20);
-    assertEquals(machines, cluster.running());
-    assertEquals(List.of(), cluster.overlaps);
+    cluster.advance(5);
+    assertEquals(201, cluster.submit("node-0", SimulatedCluster.job("wk-1", machines, 3)).status());
+    cluster.advance(6);
+    assertEquals(machines, cluster.runningCount());
+    cluster.workers.values().forEach(m -> cluster.isolatedHosts.add(m.host()));
+    cluster.advance(SimulatedCluster.LEASE_S + 3);
+    cluster.isolatedHosts.clear();
+    cluster.advance(20);
+    assertEquals(machines, cluster.runningCount());
+    assertEquals(List.of(), cluster.overlappingRuns);
   }
 }
--- a/src/test/java/dev/dunefront/story/World.java
+++ b/src/test/java/dev/dunefront/story/SimulatedCluster.java
@@ -41,14 +41,14 @@
  * cloud on one fake clock and one simulated network with fault injection. Times are in seconds of
  * the fake clock.
  */
-final class World {
+final class SimulatedCluster {
   static final double REPORT_S = 1.0;
   static final double LEASE_S = 8.0;
   private static final double NETWORK_DELAY_S = 0.002;
 
   /** A response to a user: the HTTP status, the decoded body and the retry delay. */
-  record Said(int status, Document body, int retryAfterS) {
-    String state() {
+  record ApiResponse(int status, Document body, int retryAfterS) {
+    String jobStatus() {
       try {
         return body.text("status");
       } catch (MalformedMessageException e) {
@@ -58,13 +58,13 @@
   }
 
   /** Messages that controllers have sent to each other so far. */
-  int messages;
+  int peerMessageCount;
 
   /** Reports that workers have sent so far. */
-  int reports;
+  int workerReportCount;
 
-  final FakeClock timers = new FakeClock();
-  final FakeStateService state = new FakeStateService(timers);
+  final FakeClock clock = new FakeClock();
+  final FakeStateService stateService = new FakeStateService(clock);
   final FakeCloud cloud = new FakeCloud();
 
   /** All controllers, including stopped ones, by name. */
@@ -88,22 +88,22 @@
   private final Map<String, Double> leaseRenewedAt = new HashMap<>();
 
   /** Machines without network: their reports and all requests to them are lost. */
-  final Set<String> silent = new HashSet<>();
+  final Set<String> isolatedHosts = new HashSet<>();
 
   /** Machines that hang: they send no reports and process no requests until they resume. */
-  final Set<String> hung = new HashSet<>();
+  final Set<String> hungHosts = new HashSet<>();
 
   /** Whether a request, report or peer message from one address to another is lost. */
-  BiPredicate<String, String> lost = (from, to) -> false;
+  BiPredicate<String, String> dropDelivery = (from, to) -> false;
 
   /** Whether a message between controllers is held until {@link #deliverHeld}. */
-  Predicate<Message> late = message -> false;
+  Predicate<Message> holdPeerMessage = message -> false;
 
   /** Whether the response to a request from one address to another is lost. */
-  BiPredicate<String, String> unanswered = (from, to) -> false;
+  BiPredicate<String, String> dropResponse = (from, to) -> false;
 
   /** Whether a request from one address to another is held until {@link #deliverHeld}. */
-  BiPredicate<String, String> heldBack = (from, to) -> false;
+  BiPredicate<String, String> holdRequest = (from, to) -> false;
 
   /** Requests to this path are held as well; null for none. */
   String heldPath;
@@ -112,75 +112,79 @@
   private final List<Runnable> heldDeliveries = new ArrayList<>();
 
   /** Path and body of every request that has been held so far. */
-  final List<String> heldCalls = new ArrayList<>();
+  final List<String> heldRequests = new ArrayList<>();
 
   /** Receives the sender, path and decoded body of every request when it is sent. */
   interface RequestListener {
     void onRequest(String from, String path, String body);
   }
 
-  RequestListener tap = (from, path, body) -> {};
+  RequestListener requestListener = (from, path, body) -> {};
 
   /** How the network delivers a request and its response. */
-  enum Fate {
+  enum Delivery {
     ON_TIME,
     /** The request is lost. */
-    LOST,
+    DROPPED,
     /** The request is processed and its response is lost. */
-    UNANSWERED,
+    RESPONSE_DROPPED,
     /** The request is processed and its response arrives 0.1 s before the sender's timeout. */
-    ANSWERED_LATE,
+    RESPONSE_DELAYED,
     /** The request arrives after the sender's timeout, and its response is lost. */
-    LATE,
+    DELAYED,
     /** The request arrives on time and once more later. */
-    TWICE
+    DUPLICATED
   }
 
   /** Machines whose reports arrive, but that receive no requests and no responses. */
-  final Set<String> deaf = new HashSet<>();
+  final Set<String> inboundBlockedHosts = new HashSet<>();
 
   /** Delays after which duplicates of each report reach the same controller and the next one. */
-  List<Double> copiesAfterS = List.of();
+  List<Double> duplicateReportDelaysS = List.of();
 
   /** Duplicate reports that have arrived so far. */
-  int copies;
+  int duplicateReportCount;
 
   /**
    * Whether the reports sent to a controller are also stored. Half a second after the next start of
    * any controller, the stored reports reach every running controller.
    */
-  Predicate<String> keptForNext = node -> false;
+  Predicate<String> replayReportsAtNextStart = node -> false;
 
   private final List<byte[]> reportsToReplay = new ArrayList<>();
 
   /** Number of tasks of each job whose acceptance was confirmed to a user. */
-  final Map<String, Integer> accepted = new LinkedHashMap<>();
+  final Map<String, Integer> acceptedJobs = new LinkedHashMap<>();
 
   /** Jobs for which a user has requested cancellation. */
-  final Set<String> cancelled = new HashSet<>();
+  final Set<String> cancelRequestedJobs = new HashSet<>();
 
   /** The first submission of each job, by job id. */
   private final Map<String, Document> submittedSpecs = new HashMap<>();
 
   /** Compares the responses that users received with what the workers did. */
   final OperationHistory operationHistory =
-      new OperationHistory(workers.values(), allWorkersEver, accepted, cancelled, submittedSpecs);
+      new OperationHistory(
+          workers.values(), allWorkersEver, acceptedJobs, cancelRequestedJobs, submittedSpecs);
 
   /** Checks that tasks run on machines that their jobs allow. */
   final PlacementCheck placementCheck = new PlacementCheck(submittedSpecs);
 
   /** Checks, after all faults have ended, that no job waits although a machine has room. */
-  final StarvationCheck starvation =
+  final StarvationCheck starvationCheck =
       new StarvationCheck(
           submittedSpecs,
-          w -> !silent.contains(w.host()) && !deaf.contains(w.host()) && !hung.contains(w.host()));
+          w ->
+              !isolatedHosts.contains(w.host())
+                  && !inboundBlockedHosts.contains(w.host())
+                  && !hungHosts.contains(w.host()));
 
   /** Chooses the delivery of a request from its sender, path and decoded body. */
-  interface Fates {
-    Fate of(String from, String path, String body);
+  interface DeliveryPolicy {
+    Delivery choose(String from, String path, String body);
   }
 
-  Fates fates = (from, path, body) -> Fate.ON_TIME;
+  DeliveryPolicy deliveryPolicy = (from, path, body) -> Delivery.ON_TIME;
 
   /**
    * Applies a delivery to the first transaction whose decoded body contains a text, and delivers
@@ -189,12 +193,13 @@
    * @param onFault receives the sender when that transaction is sent
    * @return whether that transaction has been sent
    */
-  BooleanSupplier strikeOnce(String textInBody, Fate delivery, Consumer<String> onFault) {
+  BooleanSupplier faultFirstTransaction(
+      String textInBody, Delivery delivery, Consumer<String> onFault) {
     boolean[] applied = {false};
-    fates =
+    deliveryPolicy =
         (from, path, body) -> {
           if (applied[0] || !path.equals("/txn") || !body.contains(textInBody)) {
-            return Fate.ON_TIME;
+            return Delivery.ON_TIME;
           }
           applied[0] = true;
           onFault.accept(from);
@@ -204,13 +209,13 @@
   }
 
   /** Delay of a late or duplicate request, in seconds. */
-  double lateS = 20;
+  double deliveryDelayS = 20;
 
   /** Keys whose transaction conditions the state service ignores, as if the sender omitted them. */
-  Predicate<String> unconditional = key -> false;
+  Predicate<String> ignoreConditionOn = key -> false;
 
   /** Violations found: machines deleted while reachable and running a task, with the time. */
-  final List<String> misused = new ArrayList<>();
+  final List<String> deletedWhileInUse = new ArrayList<>();
 
   /** Boot time of rented machines; NaN if they never boot. */
   private double bootS = Double.NaN;
@@ -222,7 +227,7 @@
   private final Set<String> bootScheduled = new HashSet<>();
 
   /** Violations found: tasks that ran on two workers at the same time. */
-  final List<String> overlaps = new ArrayList<>();
+  final List<String> overlappingRuns = new ArrayList<>();
 
   /** Settings with a single team {@code t} without a limit. */
   static final String ONE_TEAM = "[[facts.teams]]\nname = \"t\"\n";
@@ -245,12 +250,12 @@
   /** Idle machines are kept, except in tests about their return. */
   Tunables tunables = Tunables.withOverrides(Map.of("idle_boots", 1000.0));
 
-  World(int controllers, String teams) {
+  SimulatedCluster(int controllers, String teams) {
     this(Collections.nCopies(controllers, "a"), teams);
   }
 
   /** Creates one controller in each of the given zones. */
-  World(List<String> zones, String teams) {
+  SimulatedCluster(List<String> zones, String teams) {
     this.teamsToml = teams;
     this.zones = new ArrayList<>(zones);
     for (int i = 0; i < zones.size(); i++) {
@@ -258,26 +263,26 @@
     }
   }
 
-  World(int controllers) {
+  SimulatedCluster(int controllers) {
     this(controllers, ONE_TEAM);
   }
 
   /**
    * Creates a cluster with one team, and checks throughout that its tasks stay within a CPU limit.
    */
-  static World limited(List<String> zones, double cpusMax) {
-    World w = new World(zones, ONE_TEAM + "cpus_max = " + cpusMax + "\n");
+  static SimulatedCluster withTeamLimit(List<String> zones, double cpusMax) {
+    SimulatedCluster w = new SimulatedCluster(zones, ONE_TEAM + "cpus_max = " + cpusMax + "\n");
     w.operationHistory.setTeamLimitCpus(cpusMax);
-    w.starvation.setTeamLimitCpus(cpusMax);
+    w.starvationCheck.setTeamLimitCpus(cpusMax);
     return w;
   }
 
-  static World limited(int controllers, double cpusMax) {
-    return limited(Collections.nCopies(controllers, "a"), cpusMax);
+  static SimulatedCluster withTeamLimit(int controllers, double cpusMax) {
+    return withTeamLimit(Collections.nCopies(controllers, "a"), cpusMax);
   }
 
   /** Adds a controller. Only controllers started from now on have it in their settings. */
-  Node add(String zone) {
+  Node addController(String zone) {
     String name = "node-" + zones.size();
     zones.add(zone);
     Node node = new Node(name, zone);
@@ -286,7 +291,7 @@
   }
 
   /** Removes a controller from the settings of all controllers started from now on. */
-  void strike(String name) {
+  void removeFromSettings(String name) {
     removedFromSettings.add(name);
   }
 
@@ -295,17 +300,17 @@
   /**
    * Creates three running controllers and the given number of small machines that have reported.
    */
-  static World of(int machines) {
-    World w = new World(3);
-    w.start().pass(2);
+  static SimulatedCluster withSmallMachines(int machines) {
+    SimulatedCluster w = new SimulatedCluster(3);
+    w.start().advance(2);
     for (int i = 0; i < machines; i++) {
-      w.machine("host-" + i, "small", "a", "node-" + i % 3);
+      w.addMachine("host-" + i, "small", "a", "node-" + i % 3);
     }
-    w.pass(5);
+    w.advance(5);
     return w;
   }
 
-  World start() {
+  SimulatedCluster start() {
     nodes.values().forEach(Node::start);
     return this;
   }
@@ -329,19 +334,19 @@
   }
 
   /** Advances the clock and checks the invariants of all controllers. */
-  void pass(double seconds) {
-    timers.advance(seconds);
+  void advance(double seconds) {
+    clock.advance(seconds);
     nodes.values().forEach(Node::checkInvariants);
   }
 
   private void checkWorkers() {
     operationHistory.checkRunningTasks();
-    placementCheck.look(workers.values());
+    placementCheck.check(workers.values());
     Set<String> runningTasks = new HashSet<>();
     for (FakeWorker w : workers.values()) {
       for (String task : w.running()) {
         if (!runningTasks.add(task)) {
-          overlaps.add(task + " at " + timers.now());
+          overlappingRuns.add(task + " at " + clock.now());
         }
       }
     }
@@ -374,7 +379,7 @@
       int thisStart = ++startCount;
       up = true;
       backlog = null;
-      Timers controllerTimers = new ControllerTimers(timers, action -> deliver(thisStart, action));
+      Timers controllerTimers = new ControllerTimers(clock, action -> deliver(thisStart, action));
       DecisionLock decisionLock =
           new DecisionLock(
               e -> {
@@ -407,7 +412,7 @@
               new LoopWatchdog(),
               (lock, listener) -> new SimulatedPeers(this, lock));
       controller.start();
-      timers.after(0.5, World.this::replayReports);
+      clock.after(0.5, SimulatedCluster.this::replayReports);
       for (Node other : nodes.values()) {
         if (other != this && other.up && configuredAsPeers(this, other)) {
           reconnect(this, other);
@@ -437,10 +442,10 @@
     }
 
     /** Requests an orderly shutdown; the process ends half a second later. */
-    void end() {
+    void shutDown() {
       decisionLock().run(() -> controller.handOverDuties(() -> {}));
       int thisStart = startCount;
-      timers.after(
+      clock.after(
           0.5,
           () -> {
             if (startCount == thisStart && up) {
@@ -454,12 +459,12 @@
     }
 
     /** Ends the lease of the controller at the state service without notifying the controller. */
-    void loseLease() {
+    void expireLease() {
       try {
-        Document d = state.value("w/n/" + name);
+        Document d = stateService.value("w/n/" + name);
         if (d != null) {
           String inc = d.text("inc");
-          state.endLease(Long.parseLong(inc.substring(inc.lastIndexOf('#') + 1)));
+          stateService.endLease(Long.parseLong(inc.substring(inc.lastIndexOf('#') + 1)));
         }
       } catch (MalformedMessageException e) {
         throw new AssertionError(e);
@@ -514,13 +519,13 @@
      * Pauses the process while the clock advances. Everything that is due or arrives meanwhile runs
      * at once when the process resumes. After 5 s the other controllers time out their links to it.
      */
-    void standStill(double seconds) {
+    void pause(double seconds) {
       if (backlog != null) {
         return;
       }
       int thisStart = startCount;
       backlog = new ArrayList<>();
-      timers.after(
+      clock.after(
           LINK_TIMEOUT_S,
           () -> {
             if (startCount == thisStart && up && backlog != null) {
@@ -532,7 +537,7 @@
               }
             }
           });
-      timers.after(
+      clock.after(
           seconds,
           () -> {
             if (startCount != thisStart || !up) {
@@ -565,7 +570,7 @@
 
   /** Opens the link in one direction, replacing an earlier one. */
   private void reconnect(Node from, Node to) {
-    timers.after(
+    clock.after(
         NETWORK_DELAY_S,
         () -> {
           if (from.up && to.up) {
@@ -586,20 +591,20 @@
 
     @Override
     public void send(String node, Message message) {
-      messages++;
+      peerMessageCount++;
       Node to = nodes.get(node);
       int startCount = to == null ? 0 : to.startCount;
       byte[] encoded = MessageCodec.encode(message);
-      if (late.test(message)) {
-        heldDeliveries.add(() -> say(self.name, node, message));
+      if (holdPeerMessage.test(message)) {
+        heldDeliveries.add(() -> deliverPeerMessage(self.name, node, message));
         return;
       }
-      timers.after(
+      clock.after(
           node.equals(self.name) ? 0 : NETWORK_DELAY_S,
           () -> {
             if (to == null
                 || !configuredAsPeers(self, to)
-                || lost.test(self.name, node)
+                || dropDelivery.test(self.name, node)
                 || crossesPartition(self.zone, to.zone)
                 || brokenLinks.contains(self.name + ">" + node)) {
               return;
@@ -622,7 +627,7 @@
   }
 
   /** Delivers a message from one controller to another, regardless of when it was sent. */
-  void say(String from, String to, Message message) {
+  void deliverPeerMessage(String from, String to, Message message) {
     nodes.get(to).runOnController(d -> d.received(from, message));
   }
 
@@ -672,13 +677,13 @@
             onResponse.accept(r);
           }
         };
-    timers.after(deadlineS, () -> completeOnce.accept(HttpCaller.Response.NO_RESPONSE));
-    if (address.equals("10.2.0.1:1") && refusedByState.contains(from)) {
-      timers.after(
+    clock.after(deadlineS, () -> completeOnce.accept(HttpCaller.Response.NO_RESPONSE));
+    if (address.equals("10.2.0.1:1") && refusedByStateService.contains(from)) {
+      clock.after(
           NETWORK_DELAY_S, () -> completeOnce.accept(new HttpCaller.Response(503, new byte[0], 0)));
       return;
     }
-    tap.onRequest(from, path, text(body));
+    requestListener.onRequest(from, path, text(body));
     Runnable deliver =
         () ->
             serve(
@@ -687,47 +692,48 @@
                 path,
                 body,
                 r -> {
-                  if (!unanswered.test(from, address)) {
-                    timers.after(
+                  if (!dropResponse.test(from, address)) {
+                    clock.after(
                         NETWORK_DELAY_S,
                         () -> respondUnlessRefused(from, path, () -> completeOnce.accept(r)));
                   }
                 });
     FakeWorker target = workers.get(address);
-    if (lost.test(from, address) || target != null && deaf.contains(target.host())) {
+    if (dropDelivery.test(from, address)
+        || target != null && inboundBlockedHosts.contains(target.host())) {
       return;
     }
-    Fate delivery = fates.of(from, path, text(body));
-    if (delivery == Fate.LATE || delivery == Fate.TWICE) {
-      timers.after(lateS, () -> serve(address, method, path, body, r -> {}));
+    Delivery delivery = deliveryPolicy.choose(from, path, text(body));
+    if (delivery == Delivery.DELAYED || delivery == Delivery.DUPLICATED) {
+      clock.after(deliveryDelayS, () -> serve(address, method, path, body, r -> {}));
     }
-    if (delivery == Fate.LOST || delivery == Fate.LATE) {
+    if (delivery == Delivery.DROPPED || delivery == Delivery.DELAYED) {
       return;
     }
-    if (delivery == Fate.ANSWERED_LATE) {
+    if (delivery == Delivery.RESPONSE_DELAYED) {
       Consumer<HttpCaller.Response> respondLate =
-          r -> timers.after(deadlineS - 0.1, () -> completeOnce.accept(r));
-      timers.after(NETWORK_DELAY_S, () -> serve(address, method, path, body, respondLate));
+          r -> clock.after(deadlineS - 0.1, () -> completeOnce.accept(r));
+      clock.after(NETWORK_DELAY_S, () -> serve(address, method, path, body, respondLate));
       return;
     }
-    if (delivery == Fate.UNANSWERED) {
-      timers.after(NETWORK_DELAY_S, () -> serve(address, method, path, body, r -> {}));
+    if (delivery == Delivery.RESPONSE_DROPPED) {
+      clock.after(NETWORK_DELAY_S, () -> serve(address, method, path, body, r -> {}));
       return;
     }
     FakeWorker worker = workers.get(address);
-    if (worker != null && hung.contains(worker.host())) {
+    if (worker != null && hungHosts.contains(worker.host())) {
       deliverWhenResumed(worker.host(), deliver);
       return;
     }
     boolean acrossPartition =
         crossesPartition(nodes.get(from).zone, worker == null ? null : zoneOf(worker));
-    if (acrossPartition || heldBack.test(from, address) || path.equals(heldPath)) {
+    if (acrossPartition || holdRequest.test(from, address) || path.equals(heldPath)) {
       heldDeliveries.add(deliver);
-      heldCalls.add(path + " " + text(body));
+      heldRequests.add(path + " " + text(body));
       return;
     }
     boolean toStateService = address.equals("10.2.0.1:1");
-    timers.after(NETWORK_DELAY_S + (toStateService ? stateSlowS.getAsDouble() : 0), deliver);
+    clock.after(NETWORK_DELAY_S + (toStateService ? stateServiceDelayS.getAsDouble() : 0), deliver);
   }
 
   /**
@@ -735,8 +741,8 @@
    * during the hang run before the machine's next report.
    */
   private void deliverWhenResumed(String host, Runnable action) {
-    if (hung.contains(host)) {
-      timers.after(0.01, () -> deliverWhenResumed(host, action));
+    if (hungHosts.contains(host)) {
+      clock.after(0.01, () -> deliverWhenResumed(host, action));
     } else {
       action.run();
     }
@@ -744,14 +750,14 @@
 
   /** Makes a machine hang for the given time, in seconds. */
   void hang(String host, double durationS) {
-    hung.add(host);
-    timers.after(durationS, () -> hung.remove(host));
+    hungHosts.add(host);
+    clock.after(durationS, () -> hungHosts.remove(host));
   }
 
   /** Defers the response to an open watch while the state service refuses its controller. */
   private void respondUnlessRefused(String from, String path, Runnable respond) {
-    if (path.startsWith("/watch") && refusedByState.contains(from)) {
-      timers.after(0.1, () -> respondUnlessRefused(from, path, respond));
+    if (path.startsWith("/watch") && refusedByStateService.contains(from)) {
+      clock.after(0.1, () -> respondUnlessRefused(from, path, respond));
     } else {
       respond.run();
     }
@@ -767,13 +773,13 @@
    * Partitions a zone from all others and from the services. Requests and reports across the
    * partition are held, and links across it time out after 5 s.
    */
-  void cut(String zone) {
+  void partitionZone(String zone) {
     partitionedZone = zone;
-    timers.after(LINK_TIMEOUT_S, this::timeOutPartitionedLinks);
+    clock.after(LINK_TIMEOUT_S, this::timeOutPartitionedLinks);
   }
 
   /** Ends the partition: held requests and reports arrive at once and links are reconnected. */
-  void heal() {
+  void healPartition() {
     String zone = partitionedZone;
     if (zone == null) {
       return;
@@ -789,11 +795,11 @@
     }
   }
 
-  /** Times out the links of a controller over which {@link #lost} drops its messages. */
-  void linksSilent(String name) {
+  /** Times out the links of a controller over which {@link #dropDelivery} drops its messages. */
+  void timeOutLinks(String name) {
     Node node = nodes.get(name);
     for (Node other : nodes.values()) {
-      if (other != node && other.up && node.up && lost.test(name, other.name)) {
+      if (other != node && other.up && node.up && dropDelivery.test(name, other.name)) {
         other.runOnController(d -> d.disconnected(name));
         node.runOnController(d -> d.disconnected(other.name));
       }
@@ -801,18 +807,20 @@
   }
 
   /** Drops everything between a controller and its peers, in both directions. */
-  static BiPredicate<String, String> withoutPeers(String node) {
+  static BiPredicate<String, String> isolatedFromPeers(String node) {
     return (from, to) ->
         from.equals(node) && to.startsWith("node-") || to.equals(node) && from.startsWith("node-");
   }
 
-  /** Drops the messages of {@link #withoutPeers} and the controller's state service requests. */
-  static BiPredicate<String, String> withoutPeersAndState(String node) {
-    return withoutPeers(node).or((from, to) -> from.equals(node) && to.equals("10.2.0.1:1"));
+  /**
+   * Drops the messages of {@link #isolatedFromPeers} and the controller's state service requests.
+   */
+  static BiPredicate<String, String> isolatedFromPeersAndState(String node) {
+    return isolatedFromPeers(node).or((from, to) -> from.equals(node) && to.equals("10.2.0.1:1"));
   }
 
   /** Reconnects all links of a controller. */
-  void linksBack(String name) {
+  void reconnectLinks(String name) {
     for (Node other : nodes.values()) {
       if (other != nodes.get(name)) {
         reconnect(nodes.get(name), other);
@@ -840,7 +848,7 @@
   }
 
   /** Additional delay of requests to the state service, in seconds. */
-  DoubleSupplier stateSlowS = () -> 0;
+  DoubleSupplier stateServiceDelayS = () -> 0;
 
   /** Delivers all held requests, reports and peer messages now. */
   void deliverHeld() {
@@ -856,7 +864,7 @@
   }
 
   /** Controllers whose requests the state service refuses with status 503. */
-  final Set<String> refusedByState = new HashSet<>();
+  final Set<String> refusedByStateService = new HashSet<>();
 
   private void serve(
       String address,
@@ -865,7 +873,7 @@
       byte[] body,
       Consumer<HttpCaller.Response> onResponse) {
     if (address.equals("10.2.0.1:1")) {
-      state.handle(
+      stateService.handle(
           method, path, path.equals("/txn") ? withoutIgnoredConditions(body) : body, onResponse);
     } else if (address.equals("10.2.0.2:1")) {
       if (path.equals("/machines/delete")) {
@@ -877,7 +885,7 @@
       scheduleBoots();
     } else {
       FakeWorker w = workers.get(address);
-      if (w != null && !silent.contains(w.host())) {
+      if (w != null && !isolatedHosts.contains(w.host())) {
         try {
           HttpCaller.Response reply =
               path.equals("/status")
@@ -892,13 +900,13 @@
     }
   }
 
-  /** Returns the transaction without the conditions that {@link #unconditional} ignores. */
+  /** Returns the transaction without the conditions that {@link #ignoreConditionOn} ignores. */
   private byte[] withoutIgnoredConditions(byte[] body) {
     try {
       Document txn = Document.decode(body);
       List<Document> kept = new ArrayList<>();
       for (Document when : txn.documents("when")) {
-        if (!unconditional.test(when.text("k"))) {
+        if (!ignoreConditionOn.test(when.text("k"))) {
           kept.add(when);
         }
       }
@@ -911,7 +919,7 @@
   /**
    * Lets rented machines boot and appear in the cloud's list after the given delays, in seconds.
    */
-  World renting(double bootDelayS, double listDelayS) {
+  SimulatedCluster withRentingDelays(double bootDelayS, double listDelayS) {
     bootS = bootDelayS;
     listLagS = listDelayS;
     cloud.hideNewMachines();
@@ -925,8 +933,8 @@
     for (List<String> hosts : cloud.hostsByRequest().values()) {
       for (String host : hosts) {
         if (bootScheduled.add(host)) {
-          timers.after(listLagS, () -> cloud.listHidden(host));
-          timers.after(bootS, () -> completeBoot(host));
+          clock.after(listLagS, () -> cloud.listHidden(host));
+          clock.after(bootS, () -> completeBoot(host));
         }
       }
     }
@@ -948,8 +956,8 @@
     try {
       for (String host : Document.decode(body).texts("hosts")) {
         FakeWorker w = workers.get(host + ":9");
-        if (w != null && !silent.contains(host) && !w.running().isEmpty()) {
-          misused.add(host + " at " + timers.now());
+        if (w != null && !isolatedHosts.contains(host) && !w.running().isEmpty()) {
+          deletedWhileInUse.add(host + " at " + clock.now());
         }
       }
     } catch (MalformedMessageException e) {
@@ -958,22 +966,22 @@
   }
 
   /** Number of machines rented so far. */
-  int hired() {
+  int rentedCount() {
     return cloud.hostsByRequest().values().stream().mapToInt(List::size).sum();
   }
 
   /**
    * The controller whose incarnation a key of the state service records, or null without the key.
    */
-  String named(String key) {
-    String inc = incarnation(key);
+  String recordedNode(String key) {
+    String inc = recordedIncarnation(key);
     return inc == null ? null : inc.substring(0, inc.lastIndexOf('#'));
   }
 
   /** The incarnation that a key of the state service records, or null without the key. */
-  String incarnation(String key) {
+  String recordedIncarnation(String key) {
     try {
-      Document d = state.value(key);
+      Document d = stateService.value(key);
       return d == null ? null : d.text("inc");
     } catch (MalformedMessageException e) {
       throw new AssertionError(e);
@@ -991,7 +999,7 @@
   }
 
   private void changeState(Document change) {
-    state.handle(
+    stateService.handle(
         "POST",
         "/txn",
         Document.create().put("when", List.of()).put("then", List.of(change)).encode(),
@@ -1005,7 +1013,7 @@
   // ---- workers ----
 
   /** Adds a running machine whose first report goes to the given controller. */
-  FakeWorker machine(String host, String type, String zone, String firstNode) {
+  FakeWorker addMachine(String host, String type, String zone, String firstNode) {
     cloud.addRunning(host, type, zone);
     return addWorker(host, type, zone, firstNode);
   }
@@ -1016,29 +1024,29 @@
     allWorkersEver.add(w);
     machineZones.put(host, zone);
     reportsTo.put(host, firstNode);
-    leaseRenewedAt.put(host, timers.now());
-    timers.after(0.01, () -> report(w));
+    leaseRenewedAt.put(host, clock.now());
+    clock.after(0.01, () -> report(w));
     checkWorkerLease(w);
     return w;
   }
 
   /** Number of running tasks of a job. */
-  int running(String job) {
-    return workers.values().stream().mapToInt(m -> running(m, job)).sum();
+  int runningCount(String job) {
+    return workers.values().stream().mapToInt(m -> runningCount(m, job)).sum();
   }
 
   /** Number of running tasks of a job on one machine. */
-  static int running(FakeWorker m, String job) {
+  static int runningCount(FakeWorker m, String job) {
     return (int) m.running().stream().filter(t -> t.startsWith(job + "/")).count();
   }
 
   /** Number of running tasks on all machines. */
-  int running() {
+  int runningCount() {
     return workers.values().stream().mapToInt(m -> m.running().size()).sum();
   }
 
   /** Ends every running task with the exit reason {@code done}. */
-  void finishAll() {
+  void completeAllTasks() {
     workers.values().forEach(m -> m.running().forEach(t -> m.exit(t, "done")));
   }
 
@@ -1047,7 +1055,7 @@
   }
 
   /** The controller that the machine reports to. */
-  String holder(String host) {
+  String holderOf(String host) {
     return reportsTo.get(host);
   }
 
@@ -1057,13 +1065,13 @@
    */
   private void checkWorkerLease(FakeWorker w) {
     double expiresAt = leaseRenewedAt.get(w.host()) + LEASE_S;
-    if (timers.now() > expiresAt) {
+    if (clock.now() > expiresAt) {
       w.newSession();
-      leaseRenewedAt.put(w.host(), timers.now());
+      leaseRenewedAt.put(w.host(), clock.now());
     }
-    double checkInS = leaseRenewedAt.get(w.host()) + LEASE_S - timers.now() + 0.001;
+    double checkInS = leaseRenewedAt.get(w.host()) + LEASE_S - clock.now() + 0.001;
     if (!cloud.deleted(w.host())) {
-      timers.after(checkInS, () -> checkWorkerLease(w));
+      clock.after(checkInS, () -> checkWorkerLease(w));
     }
   }
 
@@ -1073,16 +1081,16 @@
       return;
     }
     Node node = nodes.get(reportsTo.get(w.host()));
-    double sentAt = timers.now();
+    double sentAt = clock.now();
     byte[] body = w.report();
-    reports++;
+    workerReportCount++;
     operationHistory.checkRunningTasks();
-    if (hung.contains(w.host())) {
-      timers.after(0.2, () -> report(w));
+    if (hungHosts.contains(w.host())) {
+      clock.after(0.2, () -> report(w));
       return;
     }
     boolean reportLost =
-        silent.contains(w.host()) || !node.up || lost.test(w.endpoint(), node.name);
+        isolatedHosts.contains(w.host()) || !node.up || dropDelivery.test(w.endpoint(), node.name);
     if (reportLost) {
       reportToNext(w, node);
       return;
@@ -1096,11 +1104,11 @@
               node.deliver(
                   startCount,
                   () -> node.controller.handle(request, (status, reply, retryAfterS) -> {})));
-      timers.after(REPORT_TIMEOUT_S, () -> reportToNext(w, node));
+      clock.after(REPORT_TIMEOUT_S, () -> reportToNext(w, node));
       return;
     }
     boolean[] completed = {false};
-    timers.after(
+    clock.after(
         REPORT_TIMEOUT_S,
         () -> {
           if (!completed[0]) {
@@ -1110,10 +1118,12 @@
         });
     HttpServer.Responder responder =
         (status, reply, retryAfterS) ->
-            timers.after(
+            clock.after(
                 NETWORK_DELAY_S,
                 () -> {
-                  if (completed[0] || deaf.contains(w.host()) || hung.contains(w.host())) {
+                  if (completed[0]
+                      || inboundBlockedHosts.contains(w.host())
+                      || hungHosts.contains(w.host())) {
                     return;
                   }
                   completed[0] = true;
@@ -1122,10 +1132,10 @@
                       if (w.handleReportResponse(reply)) {
                         leaseRenewedAt.put(w.host(), sentAt);
                       }
-                      timers.after(REPORT_S, () -> report(w));
+                      clock.after(REPORT_S, () -> report(w));
                     } else if (status == 421 && reply != null) {
                       reportsTo.put(w.host(), Document.decode(reply).text("overseer"));
-                      timers.after(0.1, () -> report(w));
+                      clock.after(0.1, () -> report(w));
                     } else {
                       reportToNext(w, node);
                     }
@@ -1146,8 +1156,8 @@
     for (byte[] body : bodies) {
       for (Node node : nodes.values()) {
         if (node.up) {
-          copies++;
-          hello(node.name, body);
+          duplicateReportCount++;
+          deliverReport(node.name, body);
         }
       }
     }
@@ -1158,18 +1168,18 @@
    * replay at the next start. The responses to duplicates are ignored.
    */
   private void scheduleDuplicates(Node node, byte[] body) {
-    if (keptForNext.test(node.name) && reportsToReplay.size() < MAX_REPLAYED_REPORTS) {
+    if (replayReportsAtNextStart.test(node.name) && reportsToReplay.size() < MAX_REPLAYED_REPORTS) {
       reportsToReplay.add(body);
     }
     List<Node> allNodes = List.copyOf(nodes.values());
     Node next = allNodes.get((allNodes.indexOf(node) + 1) % allNodes.size());
-    for (double delayS : copiesAfterS) {
+    for (double delayS : duplicateReportDelaysS) {
       for (Node to : List.of(node, next)) {
-        timers.after(
+        clock.after(
             delayS,
             () -> {
               if (to.up) {
-                copies++;
+                duplicateReportCount++;
                 HttpServer.Request duplicate = new HttpServer.Request("POST", "/hello", "", body);
                 to.handle(duplicate, (status, reply, retryAfterS) -> {});
               }
@@ -1179,7 +1189,7 @@
   }
 
   /** Delivers a report to a controller and ignores the response. */
-  void hello(String node, byte[] body) {
+  void deliverReport(String node, byte[] body) {
     nodes
         .get(node)
         .handle(
@@ -1192,22 +1202,22 @@
   /** Reports again in 1 s; the worker moves on to the next controller unless it is isolated. */
   private void reportToNext(FakeWorker w, Node node) {
     List<String> names = List.copyOf(nodes.keySet());
-    if (!silent.contains(w.host())) {
+    if (!isolatedHosts.contains(w.host())) {
       reportsTo.put(w.host(), names.get((names.indexOf(node.name) + 1) % names.size()));
     }
-    timers.after(1, () -> report(w));
+    clock.after(1, () -> report(w));
   }
 
   // ---- users ----
 
   /** Sends a request and waits up to 6 s for the response; null on timeout. */
-  Said ask(String node, String method, String path, byte[] body) {
-    Said[] response = {null};
+  ApiResponse request(String node, String method, String path, byte[] body) {
+    ApiResponse[] response = {null};
     HttpServer.Responder responder =
         (status, reply, retryAfterS) -> {
           try {
             response[0] =
-                new Said(
+                new ApiResponse(
                     status,
                     reply == null || reply.length == 0 ? Document.create() : Document.decode(reply),
                     retryAfterS);
@@ -1217,19 +1227,19 @@
         };
     nodes.get(node).handle(new HttpServer.Request(method, path, "", body), responder);
     for (int i = 0; i < 3000 && response[0] == null; i++) {
-      pass(0.002);
+      advance(0.002);
     }
     return response[0];
   }
 
   /** Submits a job and waits for the response; null on timeout. */
-  Said submit(String node, Document job) {
-    double sentAt = timers.now();
+  ApiResponse submit(String node, Document job) {
+    double sentAt = clock.now();
     try {
       submittedSpecs.putIfAbsent(job.text("id"), job);
-      Said response = ask(node, "POST", "/v1/jobs", job.encode());
+      ApiResponse response = request(node, "POST", "/v1/jobs", job.encode());
       if (response != null && (response.status() == 201 || response.status() == 200)) {
-        accepted.put(job.text("id"), (int) job.count("pieces"));
+        acceptedJobs.put(job.text("id"), (int) job.count("pieces"));
       }
       return recordResponse(job.text("id"), sentAt, response);
     } catch (MalformedMessageException e) {
@@ -1238,20 +1248,21 @@
   }
 
   /** Requests the status of a job and waits for the response; null on timeout. */
-  Said poll(String node, String id) {
-    double sentAt = timers.now();
-    return recordResponse(id, sentAt, ask(node, "GET", "/v1/jobs/" + id, new byte[0]));
+  ApiResponse poll(String node, String id) {
+    double sentAt = clock.now();
+    return recordResponse(id, sentAt, request(node, "GET", "/v1/jobs/" + id, new byte[0]));
   }
 
   /** Requests the cancellation of a job and waits for the response; null on timeout. */
-  Said cancel(String node, String id) {
-    cancelled.add(id);
-    double sentAt = timers.now();
-    return recordResponse(id, sentAt, ask(node, "POST", "/v1/jobs/" + id + "/abort", new byte[0]));
+  ApiResponse cancel(String node, String id) {
+    cancelRequestedJobs.add(id);
+    double sentAt = clock.now();
+    return recordResponse(
+        id, sentAt, request(node, "POST", "/v1/jobs/" + id + "/abort", new byte[0]));
   }
 
-  private Said recordResponse(String id, double sentAt, Said response) {
-    operationHistory.recordResponse(id, response, sentAt, timers.now());
+  private ApiResponse recordResponse(String id, double sentAt, ApiResponse response) {
+    operationHistory.recordResponse(id, response, sentAt, clock.now());
     return response;
   }
 
@@ -1264,7 +1275,8 @@
    * @param firstNode index of the controller among the running ones
    * @param tries remaining attempts
    */
-  void user(String method, String path, Document body, String id, int firstNode, int tries) {
+  void requestWithRetries(
+      String method, String path, Document body, String id, int firstNode, int tries) {
     List<Node> up = nodes.values().stream().filter(Node::up).toList();
     if (tries == 0) {
       return;
@@ -1273,17 +1285,19 @@
       submittedSpecs.putIfAbsent(id, body);
     }
     Runnable retry =
-        () -> timers.after(1.5, () -> user(method, path, body, id, firstNode + 1, tries - 1));
+        () ->
+            clock.after(
+                1.5, () -> requestWithRetries(method, path, body, id, firstNode + 1, tries - 1));
     if (up.isEmpty()) {
       retry.run();
       return;
     }
     boolean[] completed = {false};
-    double sentAt = timers.now();
+    double sentAt = clock.now();
     HttpServer.Request request =
         new HttpServer.Request(method, path, "", body == null ? new byte[0] : body.encode());
     double timeoutS = method.equals("GET") ? 2 : 5;
-    timers.after(
+    clock.after(
         timeoutS,
         () -> {
           if (!completed[0]) {
@@ -1303,9 +1317,9 @@
                 Document responseBody =
                     reply == null || reply.length == 0 ? Document.create() : Document.decode(reply);
                 if (body != null && (status == 200 || status == 201)) {
-                  accepted.putIfAbsent(id, (int) body.count("pieces"));
+                  acceptedJobs.putIfAbsent(id, (int) body.count("pieces"));
                 }
-                recordResponse(id, sentAt, new Said(status, responseBody, retryAfterS));
+                recordResponse(id, sentAt, new ApiResponse(status, responseBody, retryAfterS));
               } catch (MalformedMessageException e) {
                 throw new AssertionError(e);
               }
@@ -1328,61 +1342,61 @@
    *
    * @return the violations found, including those of the other checks; empty if there are none
    */
-  List<String> dayEnds() {
+  List<String> drainAndCheck() {
     List<String> violations = new ArrayList<>();
-    double startedAt = timers.now();
+    double startedAt = clock.now();
     Map<String, Set<String>> unansweredByNode = new LinkedHashMap<>();
     nodes.values().stream()
         .filter(Node::up)
-        .forEach(n -> unansweredByNode.put(n.name, new HashSet<>(accepted.keySet())));
-    Set<String> unstarted = new HashSet<>(accepted.keySet());
-    Set<String> incomplete = new HashSet<>(accepted.keySet());
-    unstarted.removeAll(cancelled);
-    incomplete.removeAll(cancelled);
+        .forEach(n -> unansweredByNode.put(n.name, new HashSet<>(acceptedJobs.keySet())));
+    Set<String> unstarted = new HashSet<>(acceptedJobs.keySet());
+    Set<String> incomplete = new HashSet<>(acceptedJobs.keySet());
+    unstarted.removeAll(cancelRequestedJobs);
+    incomplete.removeAll(cancelRequestedJobs);
     double deadline = startedAt + 2 * START_DEADLINE_S;
-    while (timers.now() < deadline && !(incomplete.isEmpty() && unansweredByNode.isEmpty())) {
-      pass(2);
+    while (clock.now() < deadline && !(incomplete.isEmpty() && unansweredByNode.isEmpty())) {
+      advance(2);
       checkStarvation();
       Map<String, Integer> startedCounts = startedTaskCounts();
       unstarted.removeIf(id -> startedCounts.getOrDefault(id, 0) > 0);
-      incomplete.removeIf(id -> startedCounts.getOrDefault(id, 0) >= accepted.get(id));
-      if (timers.now() - startedAt > START_DEADLINE_S) {
+      incomplete.removeIf(id -> startedCounts.getOrDefault(id, 0) >= acceptedJobs.get(id));
+      if (clock.now() - startedAt > START_DEADLINE_S) {
         unstarted.forEach(id -> violations.add(id + " has not started in time"));
         unstarted.clear();
       }
-      if (timers.now() - startedAt < ANSWER_DEADLINE_S) {
+      if (clock.now() - startedAt < ANSWER_DEADLINE_S) {
         unansweredByNode.forEach((node, ids) -> ids.removeIf(id -> isAnswered(node, id)));
         unansweredByNode.values().removeIf(Set::isEmpty);
       } else {
         unansweredByNode.forEach((node, ids) -> violations.add(ids + " are forgotten by " + node));
         unansweredByNode.clear();
       }
-      finishAll();
+      completeAllTasks();
     }
     incomplete.forEach(id -> violations.add(id + " never ran whole"));
-    violations.addAll(overlaps);
+    violations.addAll(overlappingRuns);
     violations.addAll(operationHistory.violations);
-    violations.addAll(starvation.wrong);
-    violations.addAll(placementCheck.wrong);
+    violations.addAll(starvationCheck.violations);
+    violations.addAll(placementCheck.violations);
     return violations;
   }
 
   /** Runs for the maximum waiting time without completing tasks and checks for starvation. */
-  void rest() {
+  void checkStarvationWhileTasksRun() {
     for (int i = 0; i <= StarvationCheck.MAX_WAIT_S / 2 + 1; i++) {
-      pass(2);
+      advance(2);
       checkStarvation();
     }
   }
 
   private void checkStarvation() {
-    Set<String> pendingJobs = new HashSet<>(accepted.keySet());
-    pendingJobs.removeAll(cancelled);
-    starvation.check(pendingJobs, workers.values(), operationHistory.doneTasks(), timers.now());
+    Set<String> pendingJobs = new HashSet<>(acceptedJobs.keySet());
+    pendingJobs.removeAll(cancelRequestedJobs);
+    starvationCheck.check(pendingJobs, workers.values(), operationHistory.doneTasks(), clock.now());
   }
 
   private boolean isAnswered(String node, String id) {
-    Said response = poll(node, id);
+    ApiResponse response = poll(node, id);
     return response != null && response.status() == 200;
   }
 
--- a/src/test/java/dev/dunefront/story/SmallJobStreamTest.java
+++ b/src/test/java/dev/dunefront/story/SmallJobStreamTest.java
@@ -18,43 +18,44 @@
 
   @Example
   void fourJobsPerSecondStayWithinStateServiceLimits() {
-    World cluster = new World(3);
+    SimulatedCluster cluster = new SimulatedCluster(3);
     // The limits of a small deployment, for all controllers together.
     cluster.writeRps = 50;
     cluster.rps = 250;
-    cluster.start().pass(2);
+    cluster.start().advance(2);
     for (int i = 0; i < 12; i++) {
-      cluster.machine("host-" + i, "small", "a", "node-" + i % 3);
+      cluster.addMachine("host-" + i, "small", "a", "node-" + i % 3);
     }
-    cluster.pass(5);
-    int writesBefore = cluster.state.writes("");
+    cluster.advance(5);
+    int writesBefore = cluster.stateService.writes("");
     List<Integer> backlog = new ArrayList<>();
     int jobCount = 0;
     for (int second = 0; second < LOAD_DURATION_S; second++) {
       for (int i = 0; i < 4; i++) {
         String id = "wk-" + jobCount;
-        cluster.user("POST", "/v1/jobs", World.job(id, 1, 1), id, jobCount, 40);
+        cluster.requestWithRetries(
+            "POST", "/v1/jobs", SimulatedCluster.job(id, 1, 1), id, jobCount, 40);
         if (jobCount % 4 == 3) {
           String cancelled = "wk-" + (jobCount - 2);
-          cluster.cancelled.add(cancelled);
-          cluster.user(
+          cluster.cancelRequestedJobs.add(cancelled);
+          cluster.requestWithRetries(
               "POST", "/v1/jobs/" + cancelled + "/abort", null, cancelled, jobCount + 1, 40);
         }
         jobCount++;
-        cluster.pass(0.25);
-        cluster.user("GET", "/v1/jobs/" + id, null, id, jobCount, 1);
+        cluster.advance(0.25);
+        cluster.requestWithRetries("GET", "/v1/jobs/" + id, null, id, jobCount, 1);
       }
       if (second % 20 == 10) {
         String urgent = "wk-9" + second;
         int submittedS = second;
-        cluster.user(
+        cluster.requestWithRetries(
             "POST",
             "/v1/jobs",
-            World.job(urgent, 2, 1).put("urgency", "high"),
+            SimulatedCluster.job(urgent, 2, 1).put("urgency", "high"),
             urgent,
             jobCount,
             40);
-        cluster.timers.after(
+        cluster.clock.after(
             4,
             () ->
                 assertTrue(
@@ -66,36 +67,37 @@
       }
       backlog.add(unstartedJobs(cluster));
     }
-    double writesPerJob = (double) (cluster.state.writes("") - writesBefore) / jobCount;
+    double writesPerJob = (double) (cluster.stateService.writes("") - writesBefore) / jobCount;
     assertTrue(writesPerJob < 6, writesPerJob + " writes per job");
     int earlyBacklog = backlog.subList(20, 40).stream().mapToInt(i -> i).sum();
     int lateBacklog =
         backlog.subList(LOAD_DURATION_S - 20, LOAD_DURATION_S).stream().mapToInt(i -> i).sum();
     assertTrue(lateBacklog <= 2 * earlyBacklog + 80, "the queue grows: " + backlog);
-    cluster.pass(10);
-    assertEquals(jobCount + LOAD_DURATION_S / 20, cluster.accepted.size());
+    cluster.advance(10);
+    assertEquals(jobCount + LOAD_DURATION_S / 20, cluster.acceptedJobs.size());
     assertEquals(0, unstartedJobs(cluster), "not all jobs have started");
-    assertEquals(List.of(), cluster.dayEnds());
+    assertEquals(List.of(), cluster.drainAndCheck());
   }
 
-  private static void completeAfterTaskDuration(World cluster, FakeWorker m, String task) {
-    cluster.timers.after(TASK_DURATION_S, () -> m.exit(task, "done"));
+  private static void completeAfterTaskDuration(
+      SimulatedCluster cluster, FakeWorker m, String task) {
+    cluster.clock.after(TASK_DURATION_S, () -> m.exit(task, "done"));
   }
 
-  private static boolean hasStarted(World cluster, String prefix) {
+  private static boolean hasStarted(SimulatedCluster cluster, String prefix) {
     return cluster.workers.values().stream()
         .anyMatch(m -> m.starts().stream().anyMatch(s -> s.startsWith(prefix)));
   }
 
   /** Returns the number of accepted jobs that are not cancelled and have not started. */
-  private static int unstartedJobs(World cluster) {
+  private static int unstartedJobs(SimulatedCluster cluster) {
     List<String> startedJobs = new ArrayList<>();
     for (FakeWorker m : cluster.workers.values()) {
       m.starts().forEach(s -> startedJobs.add(s.substring(0, s.indexOf('/'))));
     }
     return (int)
-        cluster.accepted.keySet().stream()
-            .filter(id -> !cluster.cancelled.contains(id) && !startedJobs.contains(id))
+        cluster.acceptedJobs.keySet().stream()
+            .filter(id -> !cluster.cancelRequestedJobs.contains(id) && !startedJobs.contains(id))
             .count();
   }
 }
--- a/src/test/java/dev/dunefront/story/StaleProofTest.java
+++ b/src/test/java/dev/dunefront/story/StaleProofTest.java
@@ -31,39 +31,39 @@
    */
   @Test
   void expiredLeaseOfEarlierSessionDoesNotEndNewAttempt() {
-    World w = World.of(1);
+    SimulatedCluster w = SimulatedCluster.withSmallMachines(1);
     FakeWorker machine = w.workers.get("host-0:9");
     String holder = fillMachine(w, machine);
 
     boolean[] leaseExpired = {false};
-    w.late =
+    w.holdPeerMessage =
         m -> {
           leaseExpired[0] |= m instanceof Message.MachineView v && v.leaseExpired();
           return m instanceof Message.MachineView v
               && v.host().equals("host-0")
               && v.session() == 2;
         };
-    w.hung.add("host-0");
+    w.hungHosts.add("host-0");
     while (!leaseExpired[0]) {
-      w.pass(0.01);
+      w.advance(0.01);
     }
-    w.pass(0.05);
-    w.hung.remove("host-0");
-    w.pass(0.5);
+    w.advance(0.05);
+    w.hungHosts.remove("host-0");
+    w.advance(0.5);
     assertEquals(
         List.of("wk-2/0"), machine.running(), "the task is placed in the machine's next session");
-    FakeWorker other = w.machine("host-1", "small", "a", holder);
-    w.pass(4);
-    w.late = m -> false;
+    FakeWorker other = w.addMachine("host-1", "small", "a", holder);
+    w.advance(4);
+    w.holdPeerMessage = m -> false;
     w.deliverHeld();
-    w.pass(4);
+    w.advance(4);
 
-    assertEquals(List.of(), w.overlaps);
+    assertEquals(List.of(), w.overlappingRuns);
     assertEquals(
         List.of("wk-1/0#2"),
         other.starts(),
         "the displaced task keeps running where it was placed");
-    assertEquals(List.of(), w.dayEnds());
+    assertEquals(List.of(), w.drainAndCheck());
   }
 
   /**
@@ -73,29 +73,29 @@
    */
   @Test
   void laterSessionBeforeRestartDoesNotEndNewAttempt() {
-    World w = World.of(1);
+    SimulatedCluster w = SimulatedCluster.withSmallMachines(1);
     FakeWorker machine = w.workers.get("host-0:9");
-    w.hang("host-0", World.LEASE_S + 2);
-    w.pass(World.LEASE_S + 5);
+    w.hang("host-0", SimulatedCluster.LEASE_S + 2);
+    w.advance(SimulatedCluster.LEASE_S + 5);
     String holder = fillMachine(w, machine);
 
-    w.late =
+    w.holdPeerMessage =
         m -> m instanceof Message.MachineView v && v.host().equals("host-0") && v.session() < 2;
     machine.restart();
-    w.pass(4);
+    w.advance(4);
     assertEquals(
         List.of("wk-2/0"),
         machine.running(),
         "the task is placed in the first session after the restart");
-    w.machine("host-1", "small", "a", holder);
-    w.pass(4);
-    w.late = m -> false;
+    w.addMachine("host-1", "small", "a", holder);
+    w.advance(4);
+    w.holdPeerMessage = m -> false;
     w.deliverHeld();
-    w.pass(4);
+    w.advance(4);
 
-    assertEquals(List.of(), w.overlaps);
+    assertEquals(List.of(), w.overlappingRuns);
     assertEquals(List.of("wk-2/0"), machine.running());
-    assertEquals(List.of(), w.dayEnds());
+    assertEquals(List.of(), w.drainAndCheck());
   }
 
   /**
@@ -117,28 +117,30 @@
   private static List<String> findViolationsWithHangingMachines(long seed) {
     Random random = new Random(seed);
     int machines = 6;
-    World w = new World(3);
-    w.start().pass(2);
+    SimulatedCluster w = new SimulatedCluster(3);
+    w.start().advance(2);
     for (int i = 0; i < machines; i++) {
       // Each worker reports at its own offset from the controllers' ticks.
-      w.pass(random.nextDouble());
-      w.machine("host-" + i, "small", "a", "node-" + i % 3);
+      w.advance(random.nextDouble());
+      w.addMachine("host-" + i, "small", "a", "node-" + i % 3);
     }
-    w.pass(5);
-    assertEquals(201, w.submit("node-0", World.job("wk-1", machines, CPUS_PER_MACHINE)).status());
-    w.pass(3);
-    assertEquals(machines, w.running());
+    w.advance(5);
+    assertEquals(
+        201, w.submit("node-0", SimulatedCluster.job("wk-1", machines, CPUS_PER_MACHINE)).status());
+    w.advance(3);
+    assertEquals(machines, w.runningCount());
     for (int i = 0; i < 3; i++) {
-      assertEquals(201, w.submit("node-" + i, World.job("wk-2" + i, machines, 2)).status());
+      assertEquals(
+          201, w.submit("node-" + i, SimulatedCluster.job("wk-2" + i, machines, 2)).status());
     }
-    w.pass(3 + random.nextDouble());
+    w.advance(3 + random.nextDouble());
     for (int i = 0; i < machines; i++) {
-      w.hang("host-" + i, World.LEASE_S - 0.5 + 1.5 * random.nextDouble());
+      w.hang("host-" + i, SimulatedCluster.LEASE_S - 0.5 + 1.5 * random.nextDouble());
     }
-    w.pass(World.LEASE_S - 0.5);
+    w.advance(SimulatedCluster.LEASE_S - 0.5);
     w.workers.values().forEach(m -> m.starts().clear());
-    w.pass(8);
-    List<String> violations = new ArrayList<>(w.overlaps);
+    w.advance(8);
+    List<String> violations = new ArrayList<>(w.overlappingRuns);
     for (FakeWorker m : w.workers.values()) {
       List<String> running = m.running();
       for (String start : m.starts()) {
@@ -156,29 +158,30 @@
    */
   @Test
   void unrecordedAttemptReportedDuringWriteIsStopped() throws MalformedMessageException {
-    World w = World.of(1);
+    SimulatedCluster w = SimulatedCluster.withSmallMachines(1);
     FakeWorker recorded = w.workers.get("host-0:9");
-    assertEquals(201, w.submit("node-0", World.job("wk-1", 3, 1)).status());
-    w.pass(2);
+    assertEquals(201, w.submit("node-0", SimulatedCluster.job("wk-1", 3, 1)).status());
+    w.advance(2);
     assertEquals(3, recorded.running().size());
-    FakeWorker stray = w.machine("host-1", "small", "a", "node-1");
-    w.pass(4);
+    FakeWorker stray = w.addMachine("host-1", "small", "a", "node-1");
+    w.advance(4);
 
     boolean[] writing = {false};
-    w.tap = (from, path, body) -> writing[0] |= path.equals("/txn") && body.contains("t/wk-1/0");
-    w.stateSlowS = () -> SLOW_WRITE_S;
+    w.requestListener =
+        (from, path, body) -> writing[0] |= path.equals("/txn") && body.contains("t/wk-1/0");
+    w.stateServiceDelayS = () -> SLOW_WRITE_S;
     recorded.exit("wk-1/1", "done");
     while (!writing[0]) {
-      w.pass(0.01);
+      w.advance(0.01);
     }
     startUnrecorded(stray, "wk-1/1");
-    w.pass(SLOW_WRITE_S);
-    w.stateSlowS = () -> 0;
-    w.pass(STOP_TIMEOUT_S);
+    w.advance(SLOW_WRITE_S);
+    w.stateServiceDelayS = () -> 0;
+    w.advance(STOP_TIMEOUT_S);
 
     assertEquals(List.of(), stray.running());
     assertEquals(2, recorded.running().size());
-    assertEquals(List.of(), w.dayEnds());
+    assertEquals(List.of(), w.drainAndCheck());
   }
 
   /**
@@ -187,34 +190,34 @@
    */
   @Test
   void unrecordedAttemptReportedDuringTakeoverIsStopped() throws MalformedMessageException {
-    World w = World.of(1);
+    SimulatedCluster w = SimulatedCluster.withSmallMachines(1);
     FakeWorker recorded = w.workers.get("host-0:9");
-    String holder = w.holder("host-0");
+    String holder = w.holderOf("host-0");
     String claimant = otherController(holder);
-    assertEquals(201, w.submit(claimant, World.job("wk-1", 3, 1)).status());
-    w.pass(2);
+    assertEquals(201, w.submit(claimant, SimulatedCluster.job("wk-1", 3, 1)).status());
+    w.advance(2);
     recorded.exit("wk-1/1", "done");
-    w.pass(4);
-    FakeWorker stray = w.machine("host-1", "small", "a", holder);
-    w.pass(4);
-    assertEquals(2, w.running());
+    w.advance(4);
+    FakeWorker stray = w.addMachine("host-1", "small", "a", holder);
+    w.advance(4);
+    assertEquals(2, w.runningCount());
 
     w.nodes.get(claimant).crash();
     startUnrecorded(stray, "wk-1/1");
     int[] reads = {0};
-    w.fates =
+    w.deliveryPolicy =
         (from, path, body) ->
             path.startsWith("/keys?") && path.contains("t/wk-1") && reads[0]++ == 0
-                ? World.Fate.LOST
-                : World.Fate.ON_TIME;
+                ? SimulatedCluster.Delivery.DROPPED
+                : SimulatedCluster.Delivery.ON_TIME;
     while (reads[0] < 2) {
       // The first read of the records by the new claimant is lost, so it has to retry.
-      w.pass(0.01);
+      w.advance(0.01);
     }
-    w.pass(0.5);
+    w.advance(0.5);
     assertEquals(List.of(), stray.running());
     assertEquals(2, recorded.running().size());
-    assertEquals(List.of(), w.dayEnds());
+    assertEquals(List.of(), w.drainAndCheck());
   }
 
   private static String otherController(String node) {
@@ -237,13 +240,14 @@
    * Fills the only machine with a job of its holder and queues a job of another controller. Returns
    * the holder.
    */
-  private static String fillMachine(World w, FakeWorker machine) {
-    String holder = w.holder(machine.host());
+  private static String fillMachine(SimulatedCluster w, FakeWorker machine) {
+    String holder = w.holderOf(machine.host());
     String claimant = otherController(holder);
-    assertEquals(201, w.submit(holder, World.job("wk-1", 1, CPUS_PER_MACHINE)).status());
-    w.pass(2);
-    assertEquals(201, w.submit(claimant, World.job("wk-2", 1, CPUS_PER_MACHINE)).status());
-    w.pass(2);
+    assertEquals(201, w.submit(holder, SimulatedCluster.job("wk-1", 1, CPUS_PER_MACHINE)).status());
+    w.advance(2);
+    assertEquals(
+        201, w.submit(claimant, SimulatedCluster.job("wk-2", 1, CPUS_PER_MACHINE)).status());
+    w.advance(2);
     assertEquals(
         List.of("wk-1/0"), machine.running(), "the other task waits in the machine's book");
     return holder;
--- a/src/test/java/dev/dunefront/story/StarvationCheck.java
+++ b/src/test/java/dev/dunefront/story/StarvationCheck.java
@@ -30,7 +30,7 @@
   private double teamLimitCpus = Double.POSITIVE_INFINITY;
 
   /** The distinct violations found so far. */
-  final List<String> wrong = new ArrayList<>();
+  final List<String> violations = new ArrayList<>();
 
   /**
    * @param specs a live view of the submitted specifications, by job id
@@ -84,8 +84,8 @@
       for (String id : starving) {
         String message = id + " has waited for 90 s beside room";
         if (now - waitingSince.computeIfAbsent(id, k -> now) >= MAX_WAIT_S
-            && !wrong.contains(message)) {
-          wrong.add(message);
+            && !violations.contains(message)) {
+          violations.add(message);
         }
       }
     } catch (MalformedMessageException e) {
--- a/src/test/java/dev/dunefront/story/TeamLimitTest.java
+++ b/src/test/java/dev/dunefront/story/TeamLimitTest.java
@@ -18,13 +18,13 @@
  * jobs wait.
  */
 class TeamLimitTest {
-  private static World startCluster(int limit, int machines) {
-    World cluster = World.limited(3, limit);
-    cluster.start().pass(2);
+  private static SimulatedCluster startCluster(int limit, int machines) {
+    SimulatedCluster cluster = SimulatedCluster.withTeamLimit(3, limit);
+    cluster.start().advance(2);
     for (int i = 0; i < machines; i++) {
-      cluster.machine("host-" + i, "small", "a", "node-" + i % 3);
+      cluster.addMachine("host-" + i, "small", "a", "node-" + i % 3);
     }
-    cluster.pass(5);
+    cluster.advance(5);
     return cluster;
   }
 
@@ -34,10 +34,10 @@
    */
   @Example
   void jobReturnsQuotaThatItCannotUse() {
-    World cluster = startCluster(32, 8);
-    assertEquals(201, cluster.submit("node-0", World.job("wk-1", 12, 1)).status());
-    cluster.pass(3);
-    assertEquals(12, cluster.running("wk-1"));
+    SimulatedCluster cluster = startCluster(32, 8);
+    assertEquals(201, cluster.submit("node-0", SimulatedCluster.job("wk-1", 12, 1)).status());
+    cluster.advance(3);
+    assertEquals(12, cluster.runningCount("wk-1"));
     int[] endedTasks = {0};
     cluster
         .workers
@@ -47,14 +47,14 @@
                 m.running().stream()
                     .filter(t -> endedTasks[0]++ < 5)
                     .forEach(t -> m.exit(t, "done")));
-    cluster.pass(5);
-    assertEquals(201, cluster.submit("node-1", World.job("wk-2", 30, 1)).status());
-    cluster.pass(10);
-    assertEquals(7, cluster.running("wk-1"));
+    cluster.advance(5);
+    assertEquals(201, cluster.submit("node-1", SimulatedCluster.job("wk-2", 30, 1)).status());
+    cluster.advance(10);
+    assertEquals(7, cluster.runningCount("wk-1"));
     assertEquals(
-        25, cluster.running("wk-2"), "the second job does not use all that the first leaves");
-    cluster.rest();
-    assertEquals(List.of(), cluster.dayEnds());
+        25, cluster.runningCount("wk-2"), "the second job does not use all that the first leaves");
+    cluster.checkStarvationWhileTasksRun();
+    assertEquals(List.of(), cluster.drainAndCheck());
   }
 
   /** The faults of the machines on which cancelled jobs run. */
@@ -74,12 +74,12 @@
     CLAIMANT_SHUTS_DOWN
   }
 
-  private static void inject(World cluster, ControllerFault fault) {
-    World.Node claimant = cluster.nodes.get("node-0");
+  private static void inject(SimulatedCluster cluster, ControllerFault fault) {
+    SimulatedCluster.Node claimant = cluster.nodes.get("node-0");
     switch (fault) {
       case CLAIMANT_CRASHES -> {
         claimant.crash();
-        cluster.timers.after(3, claimant::start);
+        cluster.clock.after(3, claimant::start);
       }
       case ALL_CRASH ->
           cluster
@@ -88,31 +88,31 @@
               .forEach(
                   n -> {
                     n.crash();
-                    cluster.timers.after(1.5, n::start);
+                    cluster.clock.after(1.5, n::start);
                   });
-      case CLAIMANT_PAUSES -> claimant.standStill(7);
+      case CLAIMANT_PAUSES -> claimant.pause(7);
       case CLAIMANT_SHUTS_DOWN -> {
-        claimant.end();
-        cluster.timers.after(2, claimant::start);
+        claimant.shutDown();
+        cluster.clock.after(2, claimant::start);
       }
     }
   }
 
-  private static void inject(World cluster, WorkerFault fault, String host) {
+  private static void inject(SimulatedCluster cluster, WorkerFault fault, String host) {
     switch (fault) {
       case PARTITIONED -> {
-        cluster.silent.add(host);
-        cluster.timers.after(14, () -> cluster.silent.remove(host));
+        cluster.isolatedHosts.add(host);
+        cluster.clock.after(14, () -> cluster.isolatedHosts.remove(host));
       }
-      case HUNG_WITHIN_LEASE -> cluster.hang(host, World.LEASE_S - 1.5);
-      case HUNG_BEYOND_LEASE -> cluster.hang(host, World.LEASE_S + 3);
+      case HUNG_WITHIN_LEASE -> cluster.hang(host, SimulatedCluster.LEASE_S - 1.5);
+      case HUNG_BEYOND_LEASE -> cluster.hang(host, SimulatedCluster.LEASE_S + 3);
       case INBOUND_BLOCKED -> {
-        cluster.deaf.add(host);
-        cluster.timers.after(14, () -> cluster.deaf.remove(host));
+        cluster.inboundBlockedHosts.add(host);
+        cluster.clock.after(14, () -> cluster.inboundBlockedHosts.remove(host));
       }
       case RECLAIMED -> {
-        cluster.silent.add(host);
-        cluster.timers.after(10, () -> cluster.cloud.reclaim(host));
+        cluster.isolatedHosts.add(host);
+        cluster.clock.after(10, () -> cluster.cloud.reclaim(host));
       }
     }
   }
@@ -129,50 +129,55 @@
       @ForAll ControllerFault controllerFault,
       @ForAll @IntRange(max = 2) int faultStep)
       throws MalformedMessageException {
-    World cluster = startCluster(24, 12);
-    Crowd users = new Crowd(cluster);
+    SimulatedCluster cluster = startCluster(24, 12);
+    RedundantClients users = new RedundantClients(cluster);
     for (int i = 0; i < 6; i++) {
-      users.submit(World.job("wk-" + i, 3, 2), i % 3);
+      users.submit(SimulatedCluster.job("wk-" + i, 3, 2), i % 3);
     }
-    cluster.pass(3);
-    assertEquals(12, cluster.running(), "the team is not at its limit");
+    cluster.advance(3);
+    assertEquals(12, cluster.runningCount(), "the team is not at its limit");
     List<String> running =
-        cluster.accepted.keySet().stream().filter(id -> cluster.running(id) == 3).sorted().toList();
+        cluster.acceptedJobs.keySet().stream()
+            .filter(id -> cluster.runningCount(id) == 3)
+            .sorted()
+            .toList();
     for (String id : running.subList(0, 2)) {
       List<FakeWorker> workersOfJob =
-          cluster.workers.values().stream().filter(m -> World.running(m, id) > 0).toList();
+          cluster.workers.values().stream()
+              .filter(m -> SimulatedCluster.runningCount(m, id) > 0)
+              .toList();
       assertTrue(workersOfJob.size() > 1, id + " runs on a single machine");
       inject(cluster, workerFault, workersOfJob.get(0).host());
     }
     if (faultStep == 0) {
       inject(cluster, controllerFault);
-      cluster.pass(0.5);
+      cluster.advance(0.5);
     }
     users.cancel(running.get(0), 1);
     users.cancel(running.get(1), 2);
-    cluster.pass(0.1);
+    cluster.advance(0.1);
     if (faultStep == 1) {
       inject(cluster, controllerFault);
     }
-    cluster.pass(3);
+    cluster.advance(3);
     if (faultStep == 2) {
       inject(cluster, controllerFault);
     }
-    cluster.pass(3 * World.LEASE_S);
-    for (int second = 0; second < 60 && cluster.running() < 12; second++) {
-      cluster.pass(1);
+    cluster.advance(3 * SimulatedCluster.LEASE_S);
+    for (int second = 0; second < 60 && cluster.runningCount() < 12; second++) {
+      cluster.advance(1);
     }
-    assertEquals(12, cluster.running(), "the returned share of the limit is not used again");
-    cluster.rest();
-    assertEquals(recordedCpusInUse(cluster), 2 * cluster.running());
-    assertEquals(List.of(), cluster.dayEnds());
-    cluster.pass(5);
+    assertEquals(12, cluster.runningCount(), "the returned share of the limit is not used again");
+    cluster.checkStarvationWhileTasksRun();
+    assertEquals(recordedCpusInUse(cluster), 2 * cluster.runningCount());
+    assertEquals(List.of(), cluster.drainAndCheck());
+    cluster.advance(5);
     assertEquals(0, recordedCpusInUse(cluster));
   }
 
   /** Returns the CPUs in use by the record of the team, which counts in millionths of a CPU. */
-  private static long recordedCpusInUse(World cluster) throws MalformedMessageException {
-    Document record = cluster.state.value("w/q/t");
+  private static long recordedCpusInUse(SimulatedCluster cluster) throws MalformedMessageException {
+    Document record = cluster.stateService.value("w/q/t");
     return record.count("cpu") / 1_000_000;
   }
 
@@ -182,20 +187,20 @@
    */
   @Example
   void starvationCheckDetectsJobWaitingBesideFreeRoom() {
-    World cluster = startCluster(12, 2);
+    SimulatedCluster cluster = startCluster(12, 2);
     for (int i = 0; i < 2; i++) {
-      assertEquals(201, cluster.submit("node-0", World.job("wk-" + i, 4, 1)).status());
+      assertEquals(201, cluster.submit("node-0", SimulatedCluster.job("wk-" + i, 4, 1)).status());
     }
-    cluster.pass(3);
-    assertEquals(8, cluster.running());
-    cluster.fates =
+    cluster.advance(3);
+    assertEquals(8, cluster.runningCount());
+    cluster.deliveryPolicy =
         (from, path, body) ->
             path.equals("/orders") && body.contains("verb=run")
-                ? World.Fate.LOST
-                : World.Fate.ON_TIME;
-    cluster.finishAll();
-    assertEquals(201, cluster.submit("node-1", World.job("wk-2", 4, 1)).status());
-    cluster.rest();
-    assertTrue(cluster.starvation.wrong.contains("wk-2 has waited for 90 s beside room"));
+                ? SimulatedCluster.Delivery.DROPPED
+                : SimulatedCluster.Delivery.ON_TIME;
+    cluster.completeAllTasks();
+    assertEquals(201, cluster.submit("node-1", SimulatedCluster.job("wk-2", 4, 1)).status());
+    cluster.checkStarvationWhileTasksRun();
+    assertTrue(cluster.starvationCheck.violations.contains("wk-2 has waited for 90 s beside room"));
   }
 }
--- a/src/test/java/dev/dunefront/story/WriteRateLoanTest.java
+++ b/src/test/java/dev/dunefront/story/WriteRateLoanTest.java
@@ -15,15 +15,15 @@
   private static final int CONTROLLERS = 10;
   private static final int TASKS = 120;
 
-  private static World startCluster(Predicate<Message> heldMessages) {
-    World cluster = World.limited(CONTROLLERS, 100_000);
+  private static SimulatedCluster startCluster(Predicate<Message> heldMessages) {
+    SimulatedCluster cluster = SimulatedCluster.withTeamLimit(CONTROLLERS, 100_000);
     cluster.writeRps = 40;
-    cluster.start().pass(2);
+    cluster.start().advance(2);
     for (int i = 0; i < TASKS / 4; i++) {
-      cluster.machine("host-" + i, "small", "a", "node-" + i % CONTROLLERS);
+      cluster.addMachine("host-" + i, "small", "a", "node-" + i % CONTROLLERS);
     }
-    cluster.pass(10);
-    cluster.late = heldMessages;
+    cluster.advance(10);
+    cluster.holdPeerMessage = heldMessages;
     return cluster;
   }
 
@@ -31,16 +31,17 @@
    * Submits jobs one after the other to one controller, and returns the seconds until all their
    * tasks run.
    */
-  private static double secondsUntilAllTasksRun(World cluster) {
-    double startedAtS = cluster.timers.now();
+  private static double secondsUntilAllTasksRun(SimulatedCluster cluster) {
+    double startedAtS = cluster.clock.now();
     for (int i = 0; i < 4; i++) {
-      assertEquals(201, cluster.submit("node-3", World.job("wk-" + i, TASKS / 4, 1)).status());
+      assertEquals(
+          201, cluster.submit("node-3", SimulatedCluster.job("wk-" + i, TASKS / 4, 1)).status());
     }
-    while (cluster.running() < TASKS && cluster.timers.now() - startedAtS < 20) {
-      cluster.pass(0.01);
+    while (cluster.runningCount() < TASKS && cluster.clock.now() - startedAtS < 20) {
+      cluster.advance(0.01);
     }
-    assertEquals(TASKS, cluster.running());
-    return cluster.timers.now() - startedAtS;
+    assertEquals(TASKS, cluster.runningCount());
+    return cluster.clock.now() - startedAtS;
   }
 
   @Test
--- a/src/test/java/dev/dunefront/story/ZoneAndLinkFaultTest.java
+++ b/src/test/java/dev/dunefront/story/ZoneAndLinkFaultTest.java
@@ -20,20 +20,21 @@
 
 /** Losses of machines and zones, and links that are slow or pass messages in one direction only. */
 class ZoneAndLinkFaultTest {
-  private static World startCluster() {
-    World cluster = new World(List.of("a", "a", "b"), World.ONE_TEAM);
-    cluster.start().pass(2);
+  private static SimulatedCluster startCluster() {
+    SimulatedCluster cluster =
+        new SimulatedCluster(List.of("a", "a", "b"), SimulatedCluster.ONE_TEAM);
+    cluster.start().advance(2);
     for (int i = 0; i < 8; i++) {
-      cluster.machine(
+      cluster.addMachine(
           "host-" + i, "small", i % 2 == 0 ? "a" : "b", i % 2 == 0 ? "node-0" : "node-2");
     }
-    cluster.pass(6);
+    cluster.advance(6);
     return cluster;
   }
 
-  private static long zoneCount(World cluster, String job) {
+  private static long zoneCount(SimulatedCluster cluster, String job) {
     return cluster.workers.values().stream()
-        .filter(m -> World.running(m, job) > 0)
+        .filter(m -> SimulatedCluster.runningCount(m, job) > 0)
         .map(cluster::zoneOf)
         .distinct()
         .count();
@@ -47,32 +48,34 @@
   @Property(generation = GenerationMode.EXHAUSTIVE)
   void directCommandsDoNotRenewLeaseOfWorkerWhoseReportsAreLost(
       @ForAll boolean controllerCrashes, @ForAll boolean beyondLease) {
-    World cluster = startCluster();
-    assertEquals(201, cluster.submit("node-0", World.job("wk-1", 12, 1)).status());
-    assertEquals(201, cluster.submit("node-1", World.job("wk-2", 4, 1)).status());
-    cluster.pass(3);
-    assertEquals(16, cluster.running());
-    cluster.lost =
+    SimulatedCluster cluster = startCluster();
+    assertEquals(201, cluster.submit("node-0", SimulatedCluster.job("wk-1", 12, 1)).status());
+    assertEquals(201, cluster.submit("node-1", SimulatedCluster.job("wk-2", 4, 1)).status());
+    cluster.advance(3);
+    assertEquals(16, cluster.runningCount());
+    cluster.dropDelivery =
         (from, to) -> from.startsWith("host-") && to.startsWith("node-") && reportsAreLost(from);
-    cluster.timers.after(
-        beyondLease ? 25 : World.LEASE_S - 2, () -> cluster.lost = (from, to) -> false);
-    cluster.pass(1);
-    Crowd users = new Crowd(cluster);
+    cluster.clock.after(
+        beyondLease ? 25 : SimulatedCluster.LEASE_S - 2,
+        () -> cluster.dropDelivery = (from, to) -> false);
+    cluster.advance(1);
+    RedundantClients users = new RedundantClients(cluster);
     users.cancel("wk-2", 1);
     if (controllerCrashes) {
-      cluster.pass(0.3);
+      cluster.advance(0.3);
       cluster.nodes.get("node-0").crash();
-      cluster.timers.after(2, () -> cluster.nodes.get("node-0").start());
+      cluster.clock.after(2, () -> cluster.nodes.get("node-0").start());
     }
-    cluster.pass(2);
+    cluster.advance(2);
     if (!controllerCrashes) {
-      assertEquals(0, cluster.running("wk-2"), "the tasks are not stopped by a direct command");
+      assertEquals(
+          0, cluster.runningCount("wk-2"), "the tasks are not stopped by a direct command");
     }
-    cluster.pass(2.5 * World.LEASE_S);
-    assertEquals(12, cluster.running("wk-1"), "the tasks do not run on the other machines");
-    assertEquals("cancelled", cluster.poll("node-2", "wk-2").state());
-    cluster.pass(10);
-    assertEquals(List.of(), cluster.dayEnds());
+    cluster.advance(2.5 * SimulatedCluster.LEASE_S);
+    assertEquals(12, cluster.runningCount("wk-1"), "the tasks do not run on the other machines");
+    assertEquals("cancelled", cluster.poll("node-2", "wk-2").jobStatus());
+    cluster.advance(10);
+    assertEquals(List.of(), cluster.drainAndCheck());
   }
 
   private static boolean reportsAreLost(String endpoint) {
@@ -105,8 +108,8 @@
       @ForAll PlacementConstraint constraint,
       @ForAll WorkerFault fault,
       @ForAll boolean controllerCrashes) {
-    World cluster = startCluster();
-    Document job = World.job("wk-1", 6, 1);
+    SimulatedCluster cluster = startCluster();
+    Document job = SimulatedCluster.job("wk-1", 6, 1);
     switch (constraint) {
       case NAMED_ZONE -> job.put("site", "b");
       case ARRAY_IN_SAME_ZONE -> job.put("same_place", true);
@@ -114,27 +117,28 @@
       case SPREAD_OVER_ZONES -> job.put("apart", true);
     }
     assertEquals(201, cluster.submit("node-0", job).status());
-    cluster.pass(3);
-    assertEquals(6, cluster.running("wk-1"));
+    cluster.advance(3);
+    assertEquals(6, cluster.runningCount("wk-1"));
     List<FakeWorker> faultyWorkers =
         cluster.workers.values().stream().filter(m -> !m.running().isEmpty()).limit(1).toList();
     for (FakeWorker m : faultyWorkers) {
       switch (fault) {
-        case PARTITIONED_FOR_GOOD -> cluster.silent.add(m.host());
+        case PARTITIONED_FOR_GOOD -> cluster.isolatedHosts.add(m.host());
         case PARTITIONED_BEYOND_LEASE -> {
-          cluster.silent.add(m.host());
-          cluster.timers.after(World.LEASE_S + 3, () -> cluster.silent.remove(m.host()));
+          cluster.isolatedHosts.add(m.host());
+          cluster.clock.after(
+              SimulatedCluster.LEASE_S + 3, () -> cluster.isolatedHosts.remove(m.host()));
         }
         case RESTARTED -> m.restart();
-        case HUNG_BEYOND_LEASE -> cluster.hang(m.host(), World.LEASE_S + 3);
+        case HUNG_BEYOND_LEASE -> cluster.hang(m.host(), SimulatedCluster.LEASE_S + 3);
       }
     }
     if (controllerCrashes) {
       cluster.nodes.get("node-0").crash();
-      cluster.timers.after(1, () -> cluster.nodes.get("node-0").start());
+      cluster.clock.after(1, () -> cluster.nodes.get("node-0").start());
     }
     for (int i = 0; i < 250; i++) {
-      cluster.pass(0.1);
+      cluster.advance(0.1);
       long zones = zoneCount(cluster, "wk-1");
       assertTrue(
           zones <= (constraint == PlacementConstraint.SPREAD_OVER_ZONES ? 2 : 1),
@@ -145,17 +149,17 @@
             "more than half of the tasks run in one zone");
       }
     }
-    assertEquals(6, cluster.running("wk-1"));
+    assertEquals(6, cluster.runningCount("wk-1"));
     if (constraint == PlacementConstraint.NAMED_ZONE) {
       assertEquals(6, runningInZone(cluster, "b"));
     }
-    assertEquals(List.of(), cluster.dayEnds());
+    assertEquals(List.of(), cluster.drainAndCheck());
   }
 
-  private static int runningInZone(World cluster, String zone) {
+  private static int runningInZone(SimulatedCluster cluster, String zone) {
     return cluster.workers.values().stream()
         .filter(m -> cluster.zoneOf(m).equals(zone))
-        .mapToInt(m -> World.running(m, "wk-1"))
+        .mapToInt(m -> SimulatedCluster.runningCount(m, "wk-1"))
         .sum();
   }
 
@@ -163,33 +167,33 @@
   @Property(generation = GenerationMode.EXHAUSTIVE)
   void zoneWithControllerIsPartitioned(
       @ForAll boolean cancelJob, @ForAll @IntRange(max = 2) int crashChoice) {
-    World cluster = startCluster();
-    assertEquals(201, cluster.submit("node-0", World.job("wk-1", 12, 1)).status());
-    assertEquals(201, cluster.submit("node-2", World.job("wk-2", 12, 1)).status());
-    cluster.pass(3);
-    assertEquals(24, cluster.running());
-    cluster.cut("b");
-    cluster.pass(2);
-    Crowd users = new Crowd(cluster);
+    SimulatedCluster cluster = startCluster();
+    assertEquals(201, cluster.submit("node-0", SimulatedCluster.job("wk-1", 12, 1)).status());
+    assertEquals(201, cluster.submit("node-2", SimulatedCluster.job("wk-2", 12, 1)).status());
+    cluster.advance(3);
+    assertEquals(24, cluster.runningCount());
+    cluster.partitionZone("b");
+    cluster.advance(2);
+    RedundantClients users = new RedundantClients(cluster);
     if (cancelJob) {
-      cluster.cancelled.add("wk-1");
-      cluster.user("POST", "/v1/jobs/wk-1/abort", null, "wk-1", 0, 40);
-      cluster.user("POST", "/v1/jobs/wk-1/abort", null, "wk-1", 1, 40);
+      cluster.cancelRequestedJobs.add("wk-1");
+      cluster.requestWithRetries("POST", "/v1/jobs/wk-1/abort", null, "wk-1", 0, 40);
+      cluster.requestWithRetries("POST", "/v1/jobs/wk-1/abort", null, "wk-1", 1, 40);
     }
     if (crashChoice > 0) {
       cluster.nodes.get("node-" + (crashChoice - 1)).crash();
-      cluster.timers.after(3, () -> cluster.nodes.get("node-" + (crashChoice - 1)).start());
+      cluster.clock.after(3, () -> cluster.nodes.get("node-" + (crashChoice - 1)).start());
     }
-    cluster.pass(2.5 * World.LEASE_S);
-    cluster.heal();
-    cluster.pass(12);
-    users.look("wk-1", 5);
-    cluster.pass(8);
+    cluster.advance(2.5 * SimulatedCluster.LEASE_S);
+    cluster.healPartition();
+    cluster.advance(12);
+    users.pollFor("wk-1", 5);
+    cluster.advance(8);
     if (cancelJob) {
-      assertEquals("cancelled", cluster.poll("node-2", "wk-1").state());
+      assertEquals("cancelled", cluster.poll("node-2", "wk-1").jobStatus());
     }
-    assertEquals(cancelJob ? 12 : 24, cluster.running());
-    assertEquals(List.of(), cluster.dayEnds());
+    assertEquals(cancelJob ? 12 : 24, cluster.runningCount());
+    assertEquals(List.of(), cluster.drainAndCheck());
   }
 
   /**
@@ -197,26 +201,28 @@
    */
   @Example
   void urgentTasksStartDespiteOverloadAndSlowStateService() {
-    World cluster = startCluster();
+    SimulatedCluster cluster = startCluster();
     int[] requestCount = {0};
     double[] delaysS = {0.3, 0.05, 0.6, 0.1, 0.9};
-    cluster.stateSlowS = () -> delaysS[requestCount[0]++ % delaysS.length];
+    cluster.stateServiceDelayS = () -> delaysS[requestCount[0]++ % delaysS.length];
     for (int i = 0; i < 10; i++) {
-      cluster.user("POST", "/v1/jobs", World.job("wk-" + i, 12, 1), "wk-" + i, i, 40);
+      cluster.requestWithRetries(
+          "POST", "/v1/jobs", SimulatedCluster.job("wk-" + i, 12, 1), "wk-" + i, i, 40);
     }
-    cluster.pass(20);
-    assertEquals(32, cluster.running(), "not all room is used");
+    cluster.advance(20);
+    assertEquals(32, cluster.runningCount(), "not all room is used");
     for (int i = 10; i < 14; i++) {
-      Document job = World.job("wk-" + i, 4, 1).put("urgency", i % 2 == 0 ? "high" : "critical");
-      cluster.user("POST", "/v1/jobs", job, "wk-" + i, i, 40);
+      Document job =
+          SimulatedCluster.job("wk-" + i, 4, 1).put("urgency", i % 2 == 0 ? "high" : "critical");
+      cluster.requestWithRetries("POST", "/v1/jobs", job, "wk-" + i, i, 40);
     }
-    cluster.pass(3);
+    cluster.advance(3);
     for (int i = 0; i < 6; i++) {
       cluster
           .workers
           .values()
           .forEach(m -> m.running().stream().limit(1).forEach(t -> m.exit(t, "done")));
-      cluster.pass(6);
+      cluster.advance(6);
     }
     for (int i = 10; i < 14; i++) {
       String id = "wk-" + i + "/";
@@ -225,8 +231,8 @@
               .anyMatch(m -> m.starts().stream().anyMatch(s -> s.startsWith(id))),
           id + " is urgent and has not started");
     }
-    cluster.stateSlowS = () -> 0;
-    assertEquals(List.of(), cluster.dayEnds());
+    cluster.stateServiceDelayS = () -> 0;
+    assertEquals(List.of(), cluster.drainAndCheck());
   }
 
   /** Verifies that the placement check detects tasks that violate the constraints of their jobs. */
@@ -234,24 +240,24 @@
   void placementCheckDetectsViolations() throws MalformedMessageException {
     Map<String, Document> specs = new HashMap<>();
     PlacementCheck check = new PlacementCheck(specs);
-    specs.put("wk-1", World.job("wk-1", 4, 1).put("site", "b"));
-    specs.put("wk-2", World.job("wk-2", 4, 1).put("same_place", true));
-    specs.put("wk-3", World.job("wk-3", 4, 1).put("apart", true));
-    specs.put("wk-4", World.job("wk-4", 4, 1).put("flavors", List.of("large")));
+    specs.put("wk-1", SimulatedCluster.job("wk-1", 4, 1).put("site", "b"));
+    specs.put("wk-2", SimulatedCluster.job("wk-2", 4, 1).put("same_place", true));
+    specs.put("wk-3", SimulatedCluster.job("wk-3", 4, 1).put("apart", true));
+    specs.put("wk-4", SimulatedCluster.job("wk-4", 4, 1).put("flavors", List.of("large")));
     FakeWorker inZoneA = new FakeWorker("host-1", "host-1:9", "small", "a");
     FakeWorker inZoneB = new FakeWorker("host-2", "host-2:9", "small", "b");
     startTasks(inZoneA, "wk-2", 0);
     startTasks(inZoneA, "wk-3", 0, 1);
     startTasks(inZoneB, "wk-3", 2, 3);
     startTasks(inZoneB, "wk-1", 0);
-    check.look(List.of(inZoneA, inZoneB));
-    assertEquals(List.of(), check.wrong);
+    check.check(List.of(inZoneA, inZoneB));
+    assertEquals(List.of(), check.violations);
     startTasks(inZoneA, "wk-1", 1);
     startTasks(inZoneB, "wk-2", 1);
     startTasks(inZoneA, "wk-3", 2);
     startTasks(inZoneA, "wk-4", 0);
-    check.look(List.of(inZoneA, inZoneB));
-    assertEquals(4, check.wrong.size(), check.wrong.toString());
+    check.check(List.of(inZoneA, inZoneB));
+    assertEquals(4, check.violations.size(), check.violations.toString());
   }
 
   private static void startTasks(FakeWorker m, String job, int... numbers)
