--- a/src/test/java/dev/dunefront/story/CombinedFaultsTest.java
+++ b/src/test/java/dev/dunefront/story/CombinedFaultsTest.java
@@ -102,11 +102,10 @@
       }
       case REFUSED_THEN_OUTAGE -> {
         w.refusedByStateService.add(node);
-        double refusedAloneS = 0.3 + random.nextInt(60) / 10.0;
-        w.clock.after(refusedAloneS, () -> w.stateService.outage(true));
-        w.clock.after(refusedAloneS + forS, () -> w.stateService.outage(false));
-        w.clock.after(
-            refusedAloneS + forS + random.nextInt(3), () -> w.refusedByStateService.remove(node));
+        double waitS = 0.3 + random.nextInt(60) / 10.0;
+        w.clock.after(waitS, () -> w.stateService.outage(true));
+        w.clock.after(waitS + forS, () -> w.stateService.outage(false));
+        w.clock.after(waitS + forS + random.nextInt(3), () -> w.refusedByStateService.remove(node));
       }
       case GRACEFUL_RESTART -> {
         SimulatedCluster.Node n = w.nodes.get(node);
